--- a/cmd/kingcup-gateway/main.go
+++ b/cmd/kingcup-gateway/main.go
@@ -25,7 +25,7 @@
 	wait := s.Duration("feed-wait", def.FeedWait, 100*time.Millisecond, 30*time.Second, "how long a call to the store waits for changes")
 	gap := s.Duration("directory-gap", def.DirectoryGap, 0, 10*time.Second, "least time between two calls for the directory of servers")
 	links := s.Int("peer-links", def.PeerLinks, 1, 1000, "most gateways that this one tells of itself, several times a second")
-	leave := s.Duration("leave", def.Leave, 0, time.Minute, "how long after SIGTERM connections are still taken")
+	leave := s.Duration("leave", def.ShutdownDelay, 0, time.Minute, "how long after SIGTERM connections are still taken")
 	s.MustParse()
 
 	path := os.Getenv(platformsettings.PathVariable)
@@ -40,7 +40,7 @@
 	}
 	out := logging.NewWriter(os.Stdout)
 	log := logging.New(out, parsed).WithField("vm", set.VM)
-	opts := gateway.Options{FeedWait: *wait, DirectoryGap: *gap, PeerLinks: *links, Leave: *leave, MetricsPort: *metrics, DroppedLines: out.Dropped}
+	opts := gateway.Options{FeedWait: *wait, DirectoryGap: *gap, PeerLinks: *links, ShutdownDelay: *leave, MetricsPort: *metrics, DroppedLines: out.Dropped}
 	g, err := gateway.Start(opts, set, log)
 	if err != nil {
 		out.Close()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,9 +41,9 @@
 	DirectoryGap time.Duration
 	// PeerLinks bounds the gateways that this one tells of itself.
 	PeerLinks int
-	// Leave is how long after SIGTERM connections are still taken, until the
+	// ShutdownDelay is how long after SIGTERM connections are still taken, until the
 	// balancer has noticed.
-	Leave time.Duration
+	ShutdownDelay time.Duration
 	// MetricsPort serves metrics and reports; 0 for none.
 	MetricsPort int
 	// DroppedLines counts the log lines that were not written.
@@ -53,7 +53,7 @@
 // DefaultOptions are the defaults of the flags.
 func DefaultOptions() Options {
 	return Options{
-		FeedWait: time.Second, DirectoryGap: 100 * time.Millisecond, PeerLinks: peers.DefaultLinks, Leave: 3 * time.Second, MetricsPort: 9464,
+		FeedWait: time.Second, DirectoryGap: 100 * time.Millisecond, PeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
 		DroppedLines: func() uint64 { return 0 },
 	}
 }
@@ -326,12 +326,12 @@
 	g.stopping.Store(true)
 	g.callers.Stop()
 	g.group.stop()
-	g.relay.EndAt(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.Leave-leaveMargin))
+	g.relay.EndAt(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
 	last := g.set.Load().Bounds.Shutdown - endMargin
 	for time.Since(begun) < last {
 		time.Sleep(idlePoll)
-		if time.Since(begun) >= g.opts.Leave && g.relay.InProgress() == 0 {
+		if time.Since(begun) >= g.opts.ShutdownDelay && g.relay.InProgress() == 0 {
 			break
 		}
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -106,7 +106,7 @@
 	s.t.Helper()
 	log := logging.New(io.Discard, logrus.InfoLevel)
 	opts := DefaultOptions()
-	opts.MetricsPort, opts.Leave = 0, 500*time.Millisecond
+	opts.MetricsPort, opts.ShutdownDelay = 0, 500*time.Millisecond
 	if s.peerLinks > 0 {
 		opts.PeerLinks = s.peerLinks
 	}
