--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,8 +37,8 @@
 type Options struct {
 	// FeedWait is how long a call to the store waits for changes.
 	FeedWait time.Duration
-	// DirectoryGap is the least time between two calls for the directory.
-	DirectoryGap time.Duration
+	// MinDirectoryInterval is the least time between two calls for the directory.
+	MinDirectoryInterval time.Duration
 	// PeerLinks bounds the gateways that this one tells of itself.
 	PeerLinks int
 	// ShutdownDelay is how long after SIGTERM connections are still taken, until the
@@ -53,7 +53,7 @@
 // DefaultOptions are the defaults of the flags.
 func DefaultOptions() Options {
 	return Options{
-		FeedWait: time.Second, DirectoryGap: 100 * time.Millisecond, PeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
+		FeedWait: time.Second, MinDirectoryInterval: 100 * time.Millisecond, PeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
 		DroppedLines: func() uint64 { return 0 },
 	}
 }
@@ -232,7 +232,7 @@
 	g.cancel = cancel
 	g.wg.Go(func() { g.callers.Serve() })
 	op := g.follow(operator.Table, g.opts.FeedWait, 0, g.group.config.sink, g.group.config)
-	g.directory = g.follow(directory.Table, g.opts.FeedWait, g.opts.DirectoryGap, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
+	g.directory = g.follow(directory.Table, g.opts.FeedWait, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
 	gateways := g.follow(membersTable, membersWait, membersGap, members{g.group}, sharing{g.group, membersTable})
 	go ingress.NewReady(g.Ready).Serve(ready)
 	g.wg.Go(func() { g.group.links.Run(ctx, links) })
