--- a/cmd/kingcup-gateway/main.go
+++ b/cmd/kingcup-gateway/main.go
@@ -24,7 +24,7 @@
 	s.Group("Platform")
 	wait := s.Duration("feed-wait", def.FeedWait, 100*time.Millisecond, 30*time.Second, "how long a call to the store waits for changes")
 	gap := s.Duration("directory-gap", def.MinDirectoryInterval, 0, 10*time.Second, "least time between two calls for the directory of servers")
-	links := s.Int("peer-links", def.PeerLinks, 1, 1000, "most gateways that this one tells of itself, several times a second")
+	links := s.Int("peer-links", def.MaxPeerLinks, 1, 1000, "most gateways that this one tells of itself, several times a second")
 	leave := s.Duration("leave", def.ShutdownDelay, 0, time.Minute, "how long after SIGTERM connections are still taken")
 	s.MustParse()
 
@@ -40,7 +40,7 @@
 	}
 	out := logging.NewWriter(os.Stdout)
 	log := logging.New(out, parsed).WithField("vm", set.VM)
-	opts := gateway.Options{FeedWait: *wait, MinDirectoryInterval: *gap, PeerLinks: *links, ShutdownDelay: *leave, MetricsPort: *metrics, DroppedLines: out.Dropped}
+	opts := gateway.Options{FeedWait: *wait, MinDirectoryInterval: *gap, MaxPeerLinks: *links, ShutdownDelay: *leave, MetricsPort: *metrics, DroppedLines: out.Dropped}
 	g, err := gateway.Start(opts, set, log)
 	if err != nil {
 		out.Close()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,8 +39,8 @@
 	FeedWait time.Duration
 	// MinDirectoryInterval is the least time between two calls for the directory.
 	MinDirectoryInterval time.Duration
-	// PeerLinks bounds the gateways that this one tells of itself.
-	PeerLinks int
+	// MaxPeerLinks bounds the gateways that this one tells of itself.
+	MaxPeerLinks int
 	// ShutdownDelay is how long after SIGTERM connections are still taken, until the
 	// balancer has noticed.
 	ShutdownDelay time.Duration
@@ -53,7 +53,7 @@
 // DefaultOptions are the defaults of the flags.
 func DefaultOptions() Options {
 	return Options{
-		FeedWait: time.Second, MinDirectoryInterval: 100 * time.Millisecond, PeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
+		FeedWait: time.Second, MinDirectoryInterval: 100 * time.Millisecond, MaxPeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
 		DroppedLines: func() uint64 { return 0 },
 	}
 }
@@ -137,7 +137,7 @@
 		},
 		func(st *store.Client, reg *backends.Registry, rep *routing.Replica, costs *controlCosts) *group {
 			self := peers.Member{Name: set.VM, Address: peerAddress(set), FailureDomain: set.FailureDomain}
-			return newGroup(self, st, reg, rep, set.LinkMbps, opts.PeerLinks, costs, log)
+			return newGroup(self, st, reg, rep, set.LinkMbps, opts.MaxPeerLinks, costs, log)
 		},
 		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *late) *relay.Relay {
 			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Others: gr, Suspects: gr.suspects})
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -108,7 +108,7 @@
 	opts := DefaultOptions()
 	opts.MetricsPort, opts.ShutdownDelay = 0, 500*time.Millisecond
 	if s.peerLinks > 0 {
-		opts.PeerLinks = s.peerLinks
+		opts.MaxPeerLinks = s.peerLinks
 	}
 	g, err := Start(opts, set, log)
 	require.NoError(s.t, err)
