--- a/cmd/kingcup-gateway/main.go
+++ b/cmd/kingcup-gateway/main.go
@@ -22,7 +22,7 @@
 	level := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
 	metrics := s.Int("metrics-port", def.MetricsPort, 0, 65535, "port for metrics and reports, 0 for none")
 	s.Group("Platform")
-	wait := s.Duration("feed-wait", def.FeedWait, 100*time.Millisecond, 30*time.Second, "how long a call to the store waits for changes")
+	wait := s.Duration("feed-wait", def.FeedTimeout, 100*time.Millisecond, 30*time.Second, "how long a call to the store waits for changes")
 	gap := s.Duration("directory-gap", def.MinDirectoryInterval, 0, 10*time.Second, "least time between two calls for the directory of servers")
 	links := s.Int("peer-links", def.MaxPeerLinks, 1, 1000, "most gateways that this one tells of itself, several times a second")
 	leave := s.Duration("leave", def.ShutdownDelay, 0, time.Minute, "how long after SIGTERM connections are still taken")
@@ -40,7 +40,7 @@
 	}
 	out := logging.NewWriter(os.Stdout)
 	log := logging.New(out, parsed).WithField("vm", set.VM)
-	opts := gateway.Options{FeedWait: *wait, MinDirectoryInterval: *gap, MaxPeerLinks: *links, ShutdownDelay: *leave, MetricsPort: *metrics, DroppedLines: out.Dropped}
+	opts := gateway.Options{FeedTimeout: *wait, MinDirectoryInterval: *gap, MaxPeerLinks: *links, ShutdownDelay: *leave, MetricsPort: *metrics, DroppedLines: out.Dropped}
 	g, err := gateway.Start(opts, set, log)
 	if err != nil {
 		out.Close()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,8 +35,8 @@
 
 // Options are the gateway's own settings.
 type Options struct {
-	// FeedWait is how long a call to the store waits for changes.
-	FeedWait time.Duration
+	// FeedTimeout is how long a call to the store waits for changes.
+	FeedTimeout time.Duration
 	// MinDirectoryInterval is the least time between two calls for the directory.
 	MinDirectoryInterval time.Duration
 	// MaxPeerLinks bounds the gateways that this one tells of itself.
@@ -53,7 +53,7 @@
 // DefaultOptions are the defaults of the flags.
 func DefaultOptions() Options {
 	return Options{
-		FeedWait: time.Second, MinDirectoryInterval: 100 * time.Millisecond, MaxPeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
+		FeedTimeout: time.Second, MinDirectoryInterval: 100 * time.Millisecond, MaxPeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
 		DroppedLines: func() uint64 { return 0 },
 	}
 }
@@ -231,8 +231,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	g.wg.Go(func() { g.callers.Serve() })
-	op := g.follow(operator.Table, g.opts.FeedWait, 0, g.group.config.sink, g.group.config)
-	g.directory = g.follow(directory.Table, g.opts.FeedWait, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
+	op := g.follow(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
+	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
 	gateways := g.follow(membersTable, membersWait, membersGap, members{g.group}, sharing{g.group, membersTable})
 	go ingress.NewReady(g.Ready).Serve(ready)
 	g.wg.Go(func() { g.group.links.Run(ctx, links) })
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -216,7 +216,7 @@
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Store.SetFault(fleet.Silent)
 	// A call that waits at the store is still answered, and confirms the keys.
-	time.Sleep(DefaultOptions().FeedWait + testBounds.Revoke)
+	time.Sleep(DefaultOptions().FeedTimeout + testBounds.Revoke)
 	r := n.do(plain(fleet.OncePath))
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.NotEmpty(t, r.header.Get("Retry-After"))
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -27,7 +27,7 @@
 	for _, n := range nodes {
 		n.eventually(func() bool { return len(n.group.links.Live()) == len(nodes)-1 }, "linked")
 	}
-	time.Sleep(DefaultOptions().FeedWait + followSlack)
+	time.Sleep(DefaultOptions().FeedTimeout + followSlack)
 }
 
 // followSlack covers the look at who reads the store.
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -70,7 +70,7 @@
 	}
 	const watched = 3 * time.Second
 	for begun := time.Now(); time.Since(begun) < watched; time.Sleep(20 * time.Millisecond) {
-		require.Less(t, oldest(nodes), DefaultOptions().FeedWait+500*time.Millisecond)
+		require.Less(t, oldest(nodes), DefaultOptions().FeedTimeout+500*time.Millisecond)
 	}
 	callers := 0
 	for i, n := range nodes {
