--- a/flow/queue.go
+++ b/flow/queue.go
@@ -103,7 +103,7 @@
 // Rank orders requests by urgency, 0 first: those that can be on time before all
 // others, then by priority, then those of teams within their share.
 func (w *Waiter) Rank(now time.Duration) int {
-	rank := w.Priority*(MostLevel+1) + w.Level
+	rank := w.Priority*(MaxLevel+1) + w.Level
 	if w.late(now) {
 		rank += lateRank
 	}
--- a/flow/shares.go
+++ b/flow/shares.go
@@ -21,8 +21,8 @@
 	// forgetBelow is the amount below which a team's usage is forgotten: a thousandth
 	// of a short request.
 	forgetBelow = 1.0
-	// MostLevel is the level of teams that use more than four times an equal share.
-	MostLevel = 3
+	// MaxLevel is the level of teams that use more than four times an equal share.
+	MaxLevel = 3
 )
 
 // Shares counts what teams use and tells which of them take more than an equal share.
@@ -102,5 +102,5 @@
 	if ratio <= 1 {
 		return 0
 	}
-	return min(MostLevel, int(math.Ceil(math.Log2(ratio))))
+	return min(MaxLevel, int(math.Ceil(math.Log2(ratio))))
 }
