--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -129,7 +129,7 @@
 	now    func() time.Duration
 	relay  *Relay
 	mu     sync.Mutex
-	book   *quarantine.Book
+	book   *quarantine.Tracker
 	looked int
 }
 
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -35,8 +35,8 @@
 		Records: 1024, PerTeam: 128}
 }
 
-// Book holds the records of all requests, and the verdicts that follow from them.
-type Book struct {
+// Tracker holds the records of all requests, and the verdicts that follow from them.
+type Tracker struct {
 	policy  Policy
 	records map[ID]*Record
 	// held are the requests that are refused.
@@ -53,15 +53,15 @@
 }
 
 // NewBook returns an empty book.
-func NewBook(p Policy) *Book {
-	return &Book{policy: p, records: make(map[ID]*Record), held: make(map[ID]verdict)}
+func NewBook(p Policy) *Tracker {
+	return &Tracker{policy: p, records: make(map[ID]*Record), held: make(map[ID]verdict)}
 }
 
 // Len counts the requests that are remembered.
-func (b *Book) Len() int { return len(b.records) }
+func (b *Tracker) Len() int { return len(b.records) }
 
 // Holds counts the requests that are refused.
-func (b *Book) Holds() int { return len(b.held) }
+func (b *Tracker) Holds() int { return len(b.held) }
 
 // Change is what a Book has learnt.
 type Change struct {
@@ -72,7 +72,7 @@
 }
 
 // Ended notes that a life of a server has ended while requests ran there.
-func (b *Book) Ended(server uint64, at time.Duration, ran []ID) Change {
+func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Change {
 	list := make([]Record, 0, len(ran))
 	for _, id := range ran {
 		list = append(list, Record{ID: id, Ends: []End{{Server: server, At: at}}})
@@ -82,7 +82,7 @@
 
 // Absolve notes that a server has answered a request, or that an operator lifts its
 // verdict. It is no news where nothing is held against the request.
-func (b *Book) Absolve(id ID, at time.Duration) Change {
+func (b *Tracker) Absolve(id ID, at time.Duration) Change {
 	if r := b.records[id]; r == nil || len(r.together(b.policy.Window)) == 0 {
 		return Change{}
 	}
@@ -90,7 +90,7 @@
 }
 
 // Merge takes records of this process or of others.
-func (b *Book) Merge(list []Record) Change {
+func (b *Tracker) Merge(list []Record) Change {
 	var news []*Record
 	for _, o := range list {
 		if r := b.take(o); r != nil {
@@ -112,7 +112,7 @@
 }
 
 // take merges a record, and returns what it changed, nil if it brought no news.
-func (b *Book) take(o Record) *Record {
+func (b *Tracker) take(o Record) *Record {
 	r := b.records[o.ID]
 	if r == nil {
 		r = &Record{ID: o.ID}
@@ -126,7 +126,7 @@
 
 // Held reports whether a request is refused, and when to come back: after its term, or after
 // its next trial where it is held in doubt.
-func (b *Book) Held(id ID, now time.Duration) (left time.Duration, held bool) {
+func (b *Tracker) Held(id ID, now time.Duration) (left time.Duration, held bool) {
 	v, held := b.held[id]
 	if !held {
 		return 0, false
@@ -143,13 +143,13 @@
 
 // Near reports whether a request would be refused, or already is, if one more server ended
 // under it.
-func (b *Book) Near(id ID) bool {
+func (b *Tracker) Near(id ID) bool {
 	r := b.records[id]
 	return r != nil && len(r.together(b.policy.Window)) >= b.policy.Ends-1
 }
 
 // Record returns what is known of a request.
-func (b *Book) Record(id ID) Record {
+func (b *Tracker) Record(id ID) Record {
 	if r := b.records[id]; r != nil {
 		return r.clone()
 	}
@@ -157,17 +157,17 @@
 }
 
 // Convicts reports whether a record by itself has a request refused.
-func (b *Book) Convicts(r Record) bool { return len(r.together(b.policy.Window)) >= b.policy.Ends }
+func (b *Tracker) Convicts(r Record) bool { return len(r.together(b.policy.Window)) >= b.policy.Ends }
 
 // Expired reports whether a record does not count any more.
-func (b *Book) Expired(r Record, now time.Duration) bool {
+func (b *Tracker) Expired(r Record, now time.Duration) bool {
 	age, kept := now-r.last(), max(b.policy.Window, b.policy.Term)
 	return age >= kept || age <= -kept
 }
 
 // List returns the records of requests under which at least so many servers ended, in the
 // order of their IDs.
-func (b *Book) List(ends int) (out []Record) {
+func (b *Tracker) List(ends int) (out []Record) {
 	for _, r := range b.records {
 		if len(r.together(b.policy.Window)) >= ends {
 			out = append(out, r.clone())
@@ -179,7 +179,7 @@
 
 // Expire forgets what does not count any more. What seems to lie far ahead is of a clock
 // that has begun anew.
-func (b *Book) Expire(now time.Duration) Change {
+func (b *Tracker) Expire(now time.Duration) Change {
 	maps.DeleteFunc(b.records, func(_ ID, r *Record) bool { return b.Expired(*r, now) })
 	var c Change
 	c.Held, c.Freed = b.judge()
@@ -193,7 +193,7 @@
 // ends under a harmful one, and that would go on. What is held for nothing shares its ends
 // with others under which several servers ended, and shows by a trial that it is harmless;
 // that one of them has shown so already takes nothing of the doubt.
-func (b *Book) judge() (held, freed []ID) {
+func (b *Tracker) judge() (held, freed []ID) {
 	was := b.held
 	b.held = make(map[ID]verdict, len(was))
 	shared := make(map[uint64]int)
@@ -231,7 +231,7 @@
 
 // bound forgets the weakest records of teams beyond their bound, then of all: someone may
 // send ten thousand different harmful requests.
-func (b *Book) bound() {
+func (b *Tracker) bound() {
 	if len(b.records) <= b.policy.PerTeam {
 		return
 	}
@@ -249,7 +249,7 @@
 
 // forgetWeakest drops the records with the fewest ends, of these the oldest, if there are
 // more than so many.
-func (b *Book) forgetWeakest(records []*Record, most int) {
+func (b *Tracker) forgetWeakest(records []*Record, most int) {
 	if len(records) <= most {
 		return
 	}
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -163,7 +163,7 @@
 	return out
 }
 
-func (e event) happen(b *Book) []Record {
+func (e event) happen(b *Tracker) []Record {
 	if e.try {
 		c, _ := b.Try(e.ran[0], e.at+time.Minute)
 		return c.News
@@ -179,7 +179,7 @@
 // and hearing an older record changes nothing.
 func TestVerdictsDoNotDependOnTheOrderOfTelling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		books := []*Book{NewBook(Default()), NewBook(Default()), NewBook(Default())}
+		books := []*Tracker{NewBook(Default()), NewBook(Default()), NewBook(Default())}
 		var told []Record
 		for _, e := range drawEvents(t) {
 			at := rapid.IntRange(0, len(books)-1).Draw(t, "process")
@@ -284,7 +284,7 @@
 	require.True(t, triedFrom(b, second, at+p.TrialApart))
 }
 
-func firstTried(b *Book, x, y ID, at time.Duration) bool {
+func firstTried(b *Tracker, x, y ID, at time.Duration) bool {
 	_, tried := b.Try(x, at)
 	if !tried {
 		_, tried = b.Try(y, at)
@@ -297,11 +297,11 @@
 
 // triedFrom reports whether a request that comes again and again is tried in the time that it
 // may have to wait for its turn.
-func triedFrom(b *Book, id ID, from time.Duration) bool {
+func triedFrom(b *Tracker, id ID, from time.Duration) bool {
 	return triedWithin(b, id, from, waitsMost)
 }
 
-func triedWithin(b *Book, id ID, from, lasts time.Duration) bool {
+func triedWithin(b *Tracker, id ID, from, lasts time.Duration) bool {
 	for at := from; at < from+lasts; at += trialTurn / 5 {
 		if _, tried := b.Try(id, at); tried {
 			return true
--- a/quarantine/play_test.go
+++ b/quarantine/play_test.go
@@ -42,7 +42,7 @@
 }
 
 type gate struct {
-	book  *Book
+	book  *Tracker
 	peers []int
 	inbox []letter
 }
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -20,7 +20,7 @@
 // have the same ends, and the one that is refused without a reason could show by no answer
 // that it is harmless. A trial may be cut short by what has nothing to do with it; those
 // that servers end under are few, as each costs what runs beside.
-func (b *Book) Try(id ID, now time.Duration) (Change, bool) {
+func (b *Tracker) Try(id ID, now time.Duration) (Change, bool) {
 	if !b.Due(id, now) || !b.hasTurn(b.records[id], now) {
 		return Change{}, false
 	}
@@ -28,13 +28,13 @@
 }
 
 // Due reports whether a request is held in doubt and long enough without a trial.
-func (b *Book) Due(id ID, now time.Duration) bool {
+func (b *Tracker) Due(id ID, now time.Duration) bool {
 	at, tried := b.nextTrial(id)
 	return tried && now >= at
 }
 
 // nextTrial is from when on a request is tried, false for one that is not to be tried again.
-func (b *Book) nextTrial(id ID) (at time.Duration, tried bool) {
+func (b *Tracker) nextTrial(id ID) (at time.Duration, tried bool) {
 	v, held := b.held[id]
 	if !held || !v.doubtful {
 		return 0, false
@@ -54,7 +54,7 @@
 // come due together, and a harmful one at the same server would end the trial of another.
 // So one that is under trial keeps the others from theirs, and all take turns in an order
 // that is alike in all processes.
-func (b *Book) hasTurn(r *Record, now time.Duration) bool {
+func (b *Tracker) hasTurn(r *Record, now time.Duration) bool {
 	rank, turns := 0, 1
 	for id, v := range b.held {
 		o := b.records[id]
