--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -48,7 +48,7 @@
 // generation is one that was sent to an engine.
 type generation struct {
 	gateway int
-	lease   *Lease
+	lease   *Reservation
 	sent    time.Duration
 	memory  int
 	lasts   time.Duration
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -27,8 +27,8 @@
 	Ended
 )
 
-// Lease counts a request at a server. Done ends it.
-type Lease struct {
+// Reservation counts a request at a server. Done ends it.
+type Reservation struct {
 	// Server is the server as listed when it was picked.
 	Server Server
 	// Load is what was known of its load before, of Of servers listed.
@@ -43,8 +43,8 @@
 }
 
 // lease counts a request at a server; mu is held.
-func (r *Registry) lease(s *server, q Query, of int) *Lease {
-	l := &Lease{reg: r, s: s, Server: s.Server, Of: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.Tokens, Prompt: q.Prompt}}
+func (r *Registry) lease(s *server, q Query, of int) *Reservation {
+	l := &Reservation{reg: r, s: s, Server: s.Server, Of: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.Tokens, Prompt: q.Prompt}}
 	if q.Copy {
 		l.part.Copying = q.Tokens
 	}
@@ -53,17 +53,17 @@
 }
 
 // Begun notes that the server has read the prompt.
-func (l *Lease) Begun() {
+func (l *Reservation) Begun() {
 	l.change(func(part Load) Load { return Load{Prompt: -part.Prompt} })
 }
 
 // Copied notes that the copy that the lease was taken for is complete.
-func (l *Lease) Copied() {
+func (l *Reservation) Copied() {
 	l.change(func(part Load) Load { return Load{Copying: -part.Copying} })
 }
 
 // change adds to what the request is to the server's load, unless it is over.
-func (l *Lease) change(by func(part Load) Load) {
+func (l *Reservation) change(by func(part Load) Load) {
 	l.reg.mu.Lock()
 	defer l.reg.mu.Unlock()
 	if l.part.Running == 0 {
@@ -75,7 +75,7 @@
 }
 
 // Expect revises the memory that the request is expected to need.
-func (l *Lease) Expect(tokens int) {
+func (l *Reservation) Expect(tokens int) {
 	l.change(func(part Load) Load { return Load{Tokens: tokens - part.Tokens} })
 }
 
@@ -86,7 +86,7 @@
 // Overdue notes that the server should have read the prompt by now. Something is on
 // it that is not known here, such as runs of gateways that have lost power, and what
 // is sent there waits too: it gets no more until it begins.
-func (l *Lease) Overdue() {
+func (l *Reservation) Overdue() {
 	l.change(func(part Load) Load {
 		if part.Prompt == 0 {
 			return Load{}
@@ -97,7 +97,7 @@
 
 // Silent notes that the server has not answered for far longer than it should have;
 // it may answer yet.
-func (l *Lease) Silent(now time.Duration) {
+func (l *Reservation) Silent(now time.Duration) {
 	l.reg.mu.Lock()
 	defer l.reg.mu.Unlock()
 	if l.part.Running > 0 {
@@ -106,11 +106,11 @@
 }
 
 // Done ends the lease; further calls do nothing.
-func (l *Lease) Done(result Result, now time.Duration) {
+func (l *Reservation) Done(result Result, now time.Duration) {
 	l.once.Do(func() { l.reg.done(l, result, now) })
 }
 
-func (r *Registry) done(l *Lease, result Result, now time.Duration) {
+func (r *Registry) done(l *Reservation, result Result, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := l.s
@@ -139,7 +139,7 @@
 
 // Rejoin takes a lease on a given server even if it is leaving, for a run whose
 // memory is nowhere else. It returns nil if the server is gone.
-func (r *Registry) Rejoin(at Server, tokens int) *Lease {
+func (r *Registry) Rejoin(at Server, tokens int) *Reservation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current(at)
--- a/backends/pace.go
+++ b/backends/pace.go
@@ -46,7 +46,7 @@
 // TakeTurn counts a request that goes to a server for which no turn was taken when it was
 // chosen, as that was for a copy. It reports whether the server takes the request: it may have
 // named a limit since.
-func (r *Registry) TakeTurn(l *Lease, at pacing.Clock, now time.Duration) bool {
+func (r *Registry) TakeTurn(l *Reservation, at pacing.Clock, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !l.s.limit.named {
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -314,7 +314,7 @@
 
 // Acquire picks a server and counts the request as running there until the
 // lease is done. It returns nil if no server can take the request.
-func (r *Registry) Acquire(q Query, now time.Duration) *Lease {
+func (r *Registry) Acquire(q Query, now time.Duration) *Reservation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	views, list := r.views(q, now)
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -15,7 +15,7 @@
 type attempt struct {
 	*Attempt
 	relay *Relay
-	lease *backends.Lease
+	lease *backends.Reservation
 	// try is its number within the request.
 	try int
 	ctx context.Context
@@ -33,7 +33,7 @@
 }
 
 // send makes one attempt at the server of a lease.
-func (r *Relay) send(ctx context.Context, j *job, lease *backends.Lease, a *Attempt) (*offer, error) {
+func (r *Relay) send(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, error) {
 	t, err := r.startAttempt(ctx, j, lease, a)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 }
 
 // startAttempt counts an attempt that is about to be sent. Errors: *Refused.
-func (r *Relay) startAttempt(ctx context.Context, j *job, lease *backends.Lease, a *Attempt) (*attempt, error) {
+func (r *Relay) startAttempt(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*attempt, error) {
 	a.Look = func() error { return r.look(j, lease, a) }
 	if err := a.Look(); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 
 // look is the last look before a request goes to a server: what was known when it was chosen, or
 // when the copy was made that the run goes on from, may be so no more.
-func (r *Relay) look(j *job, lease *backends.Lease, a *Attempt) error {
+func (r *Relay) look(j *job, lease *backends.Reservation, a *Attempt) error {
 	if r.Registry.Barred(lease.Server, j.regions) {
 		return &Refused{Why: RefusedBarred, Detail: lease.Server.FailureDomain}
 	}
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -33,7 +33,7 @@
 // An engine that dies without a notice takes its runs with it, and their callers lose
 // answers that may not run again. A run with a standing copy goes on there within some
 // 30 ms.
-func (r *Relay) cover(j *job, s backends.Server) *backends.Lease {
+func (r *Relay) cover(j *job, s backends.Server) *backends.Reservation {
 	e := j.engine
 	if e == nil || !e.Backups || j.Generation == nil || j.route.Resumable {
 		return nil
@@ -50,7 +50,7 @@
 }
 
 // sendCovered makes one attempt, with a standing copy if there is room for one.
-func (r *Relay) sendCovered(ctx context.Context, j *job, lease *backends.Lease, a *Attempt) (*offer, error) {
+func (r *Relay) sendCovered(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, error) {
 	cover := r.cover(j, lease.Server)
 	if cover != nil {
 		a.Backup = cover.Server.Address
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -174,7 +174,7 @@
 }
 
 // acquireEngine waits for an engine with room.
-func (r *Relay) acquireEngine(ctx context.Context, j *job) (*backends.Lease, *Refusal) {
+func (r *Relay) acquireEngine(ctx context.Context, j *job) (*backends.Reservation, *Refusal) {
 	l := r.lane(j.service)
 	w := r.waiter(j, l)
 	wake := l.enter(w, r.Now())
@@ -241,7 +241,7 @@
 
 // takeEngine takes an engine for the first request of a lane, nil if none has room or
 // it is another gateway's turn.
-func (r *Relay) takeEngine(j *job, l *lane, w *flow.Waiter, spill bool) *backends.Lease {
+func (r *Relay) takeEngine(j *job, l *lane, w *flow.Waiter, spill bool) *backends.Reservation {
 	q := r.engineQuery(j, w.Rank(r.Now()))
 	q.Spill = spill
 	lease := r.Registry.Acquire(q, r.Now())
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -34,7 +34,7 @@
 // copied is a copy of a run's memory at a server that counts it.
 type copied struct {
 	Copy
-	lease *backends.Lease
+	lease *backends.Reservation
 }
 
 // run is a stream at a server.
@@ -338,7 +338,7 @@
 // once. By the same view of the loads they would all choose the same few servers:
 // one that joined empty was given four copies, and callers whom others sent there
 // waited for 5 s. So each takes those where it is its turn, as long as they are near.
-func (m *move) target() *backends.Lease {
+func (m *move) target() *backends.Reservation {
 	r := m.relay
 	q := r.query(m.run.job)
 	q.Tokens, q.Tried, q.MostUsed = m.run.memory(), m.tried, copyRoom
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -38,12 +38,12 @@
 
 // offer is a server's answer, and the lease that counts the request there.
 type offer struct {
-	lease  *backends.Lease
+	lease  *backends.Reservation
 	answer *Answer
 	// cut breaks the answer off.
 	cut context.CancelFunc
 	// cover counts the run's standing copy, nil without one.
-	cover *backends.Lease
+	cover *backends.Reservation
 }
 
 // place asks servers until one answers. A server that certainly did not run the
@@ -79,7 +79,7 @@
 
 // passOver judges a failed attempt. It returns nil if another server may be
 // asked.
-func (r *Relay) passOver(ctx context.Context, j *job, lease *backends.Lease, err error) *Refusal {
+func (r *Relay) passOver(ctx context.Context, j *job, lease *backends.Reservation, err error) *Refusal {
 	id := lease.Server.ID
 	j.tried = append(j.tried, id)
 	var refused *Refused
@@ -140,7 +140,7 @@
 }
 
 // acquire takes a lease on a server, waiting a while for one with room.
-func (r *Relay) acquire(ctx context.Context, j *job) (*backends.Lease, *Refusal) {
+func (r *Relay) acquire(ctx context.Context, j *job) (*backends.Reservation, *Refusal) {
 	if j.engine != nil && j.Generation != nil {
 		return r.acquireEngine(ctx, j)
 	}
@@ -148,7 +148,7 @@
 }
 
 // acquirePlain takes a server for a request that waits for no engine.
-func (r *Relay) acquirePlain(ctx context.Context, j *job) (*backends.Lease, *Refusal) {
+func (r *Relay) acquirePlain(ctx context.Context, j *job) (*backends.Reservation, *Refusal) {
 	l := r.line(j.service)
 	var w *flow.Waiter
 	defer func() { l.leave(w, r.Now()) }()
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -23,7 +23,7 @@
 //
 // A server that hangs says nothing: its requests would end with their callers' time, until
 // enough are lost for it to be left. Waiting for its end and repeating then comes too late.
-func (r *Relay) sendRaced(ctx context.Context, j *job, lease *backends.Lease, a *Attempt) (*offer, *backends.Lease, error) {
+func (r *Relay) sendRaced(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, *backends.Reservation, error) {
 	if !j.mayRace() {
 		o, err := r.sendCovered(ctx, j, lease, a)
 		return o, lease, err
@@ -61,7 +61,7 @@
 	return r.finishRaced(j, <-replies)
 }
 
-func (r *Relay) finishRaced(j *job, p reply) (*offer, *backends.Lease, error) {
+func (r *Relay) finishRaced(j *job, p reply) (*offer, *backends.Reservation, error) {
 	o, err := r.finishAttempt(j, p)
 	return o, p.lease, err
 }
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -31,7 +31,7 @@
 )
 
 // watchStart notes if a server does not begin to answer in time; stop ends that.
-func (r *Relay) watchStart(j *job, lease *backends.Lease, a *Attempt) (stop func()) {
+func (r *Relay) watchStart(j *job, lease *backends.Reservation, a *Attempt) (stop func()) {
 	if a.From != nil {
 		return func() {}
 	}
@@ -54,7 +54,7 @@
 // them. After all gateways had lost power, runs of theirs went on for up to 20 s, and
 // requests sent beside them waited 3 to 7 s for room, one after the other, while other
 // engines had some.
-func (r *Relay) overdueAfter(j *job, lease *backends.Lease) time.Duration {
+func (r *Relay) overdueAfter(j *job, lease *backends.Reservation) time.Duration {
 	usual := time.Duration(float64(lease.Prompt+j.prompt()) / r.readSpeed() * float64(time.Second))
 	return overdueTimes*usual + overdueSlack
 }
