--- a/cmd/kingcup-bench/main.go
+++ b/cmd/kingcup-bench/main.go
@@ -49,7 +49,7 @@
 		}
 	}
 	if *what == "robust" {
-		bench.PrintRobust(os.Stdout, bench.Deployments(*equal), append(bench.Baselines()[:2], bench.Forecasting("kingcup", sched.Parts{}, change)), o)
+		bench.PrintRobust(os.Stdout, bench.Deployments(*equal), append(bench.Baselines()[:2], bench.Forecasting("kingcup", sched.DisabledFeatures{}, change)), o)
 		return
 	}
 	for _, d := range bench.Deployments(*equal) {
@@ -59,16 +59,16 @@
 }
 
 func contenders(what string, change func(*sched.Config)) []bench.Contender {
-	whole := bench.Forecasting("kingcup", sched.Parts{}, change)
+	whole := bench.Forecasting("kingcup", sched.DisabledFeatures{}, change)
 	if what == "policy" {
 		return append(bench.Baselines(), whole)
 	}
 	return []bench.Contender{
 		whole,
-		bench.Forecasting("without forecast", sched.Parts{Forecast: true}, nil),
-		bench.Forecasting("without shares", sched.Parts{Shares: true}, nil),
-		bench.Forecasting("without victims", sched.Parts{Victims: true}, nil),
-		bench.Forecasting("without refusal", sched.Parts{Refusal: true}, nil),
-		bench.Forecasting("without reserve", sched.Parts{Reserve: true}, nil),
+		bench.Forecasting("without forecast", sched.DisabledFeatures{Forecast: true}, nil),
+		bench.Forecasting("without shares", sched.DisabledFeatures{Shares: true}, nil),
+		bench.Forecasting("without victims", sched.DisabledFeatures{Victims: true}, nil),
+		bench.Forecasting("without refusal", sched.DisabledFeatures{Refusal: true}, nil),
+		bench.Forecasting("without reserve", sched.DisabledFeatures{Reserve: true}, nil),
 	}
 }
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -22,7 +22,7 @@
 func table(d Deployment) ([]Row, Options) {
 	o := DefaultOptions()
 	o.Length, o.Seeds = 120*time.Second, 3
-	return Measure(d, append(Baselines()[:2], Forecasting("kingcup", sched.Parts{}, nil)), o), o
+	return Measure(d, append(Baselines()[:2], Forecasting("kingcup", sched.DisabledFeatures{}, nil)), o), o
 }
 
 // best is the better baseline's mean.
@@ -75,7 +75,7 @@
 func TestRunsRepeat(t *testing.T) {
 	o := DefaultOptions()
 	o.Length, o.Seeds, o.Loads = 30*time.Second, 1, []float64{1.3}
-	c := []Contender{Forecasting("kingcup", sched.Parts{}, nil)}
+	c := []Contender{Forecasting("kingcup", sched.DisabledFeatures{}, nil)}
 	a, b := Measure(Rinpan(), c, o)[0].Results[0], Measure(Rinpan(), c, o)[0].Results[0]
 	require.Equal(t, a.Small, b.Small)
 	require.Equal(t, a.Large, b.Large)
--- a/sched/config.go
+++ b/sched/config.go
@@ -18,11 +18,11 @@
 	// free for teams under theirs.
 	Reserve float64
 	// Off switches parts off, for ablation.
-	Off Parts
+	Off DisabledFeatures
 }
 
-// Parts are switches for the parts of the policy.
-type Parts struct {
+// DisabledFeatures are switches for the parts of the policy.
+type DisabledFeatures struct {
 	Forecast, Shares, Victims, Refusal, Reserve bool
 }
 
