--- a/cmd/kingcup-gateway/main.go
+++ b/cmd/kingcup-gateway/main.go
@@ -40,7 +40,7 @@
 	}
 	out := logging.NewWriter(os.Stdout)
 	log := logging.New(out, parsed).WithField("vm", set.VM)
-	opts := gateway.Options{FeedTimeout: *wait, MinDirectoryInterval: *gap, MaxPeerLinks: *links, ShutdownDelay: *leave, MetricsPort: *metrics, DroppedLines: out.Dropped}
+	opts := gateway.Options{FeedTimeout: *wait, MinDirectoryInterval: *gap, MaxPeerLinks: *links, ShutdownDelay: *leave, MetricsPort: *metrics, DroppedLogLines: out.Dropped}
 	g, err := gateway.Start(opts, set, log)
 	if err != nil {
 		out.Close()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -46,15 +46,15 @@
 	ShutdownDelay time.Duration
 	// MetricsPort serves metrics and reports; 0 for none.
 	MetricsPort int
-	// DroppedLines counts the log lines that were not written.
-	DroppedLines func() uint64
+	// DroppedLogLines counts the log lines that were not written.
+	DroppedLogLines func() uint64
 }
 
 // DefaultOptions are the defaults of the flags.
 func DefaultOptions() Options {
 	return Options{
 		FeedTimeout: time.Second, MinDirectoryInterval: 100 * time.Millisecond, MaxPeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
-		DroppedLines: func() uint64 { return 0 },
+		DroppedLogLines: func() uint64 { return 0 },
 	}
 }
 
@@ -221,7 +221,7 @@
 	rec.Gauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
 	rec.Gauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.Limited()) })
 	rec.Gauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.Resting(clock.SinceBoot())) })
-	rec.Gauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLines()) })
+	rec.Gauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLogLines()) })
 	if err := g.serveMetrics(set, rec); err != nil {
 		callers.Close()
 		ready.Close()
