--- a/flow/queue.go
+++ b/flow/queue.go
@@ -16,10 +16,10 @@
 	Level int
 	// Prompt is the tokens that an engine has to read before the first answer.
 	Prompt int
-	// Arrived is when the request came, OnTimeBy when it has to reach an engine for
+	// Arrived is when the request came, OnTimeDeadline when it has to reach an engine for
 	// its first answer to be on time, and LastBy for its whole answer to arrive
 	// before the caller has left.
-	Arrived, OnTimeBy, LastBy time.Duration
+	Arrived, OnTimeDeadline, LastBy time.Duration
 }
 
 // Queue holds the waiters of one service.
@@ -93,7 +93,7 @@
 	if a.late(now) {
 		return a.Arrived < b.Arrived
 	}
-	return a.OnTimeBy < b.OnTimeBy
+	return a.OnTimeDeadline < b.OnTimeDeadline
 }
 
 // lateRank is added to the rank of a request that cannot be on time any more; it is
@@ -110,7 +110,7 @@
 	return rank
 }
 
-func (w *Waiter) late(now time.Duration) bool { return now > w.OnTimeBy }
+func (w *Waiter) late(now time.Duration) bool { return now > w.OnTimeDeadline }
 
 // Wait estimates how long a request would wait behind those that go before it.
 func (q *Queue) Wait(w *Waiter, now time.Duration) time.Duration {
--- a/flow/shares_test.go
+++ b/flow/shares_test.go
@@ -53,7 +53,7 @@
 			if (now+time.Duration(i)*90*time.Millisecond)%t.every >= tick {
 				continue
 			}
-			w := &Waiter{Priority: 1, Prompt: read, Arrived: now, OnTimeBy: now + seconds(1.3), LastBy: now + seconds(6)}
+			w := &Waiter{Priority: 1, Prompt: read, Arrived: now, OnTimeDeadline: now + seconds(1.3), LastBy: now + seconds(6)}
 			if fair {
 				w.Level = shares.Level(t.name, nil, now)
 			}
@@ -71,7 +71,7 @@
 			q.Leave(w, true, now)
 			free = max(free, now) + seconds(float64(read)/perSecond)
 			shares.Charge(owner[w].name, read, now)
-			if now <= w.OnTimeBy {
+			if now <= w.OnTimeDeadline {
 				owner[w].onTime++
 			}
 		}
--- a/flow/turns_test.go
+++ b/flow/turns_test.go
@@ -34,7 +34,7 @@
 // servers with urgent ones only, and a long one leaves each urgent one a server; one
 // that is late goes behind all that can be on time.
 func TestUrgentRequestsGoFirstElsewhereToo(t *testing.T) {
-	urgent, long, late := &Waiter{Priority: 0, OnTimeBy: seconds(9)}, &Waiter{Priority: 1, OnTimeBy: seconds(9)}, &Waiter{Priority: 0, OnTimeBy: seconds(1)}
+	urgent, long, late := &Waiter{Priority: 0, OnTimeDeadline: seconds(9)}, &Waiter{Priority: 1, OnTimeDeadline: seconds(9)}, &Waiter{Priority: 0, OnTimeDeadline: seconds(1)}
 	now := seconds(2)
 	self := Contender{Name: "self", Waiting: 1}
 	others := []Contender{
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -168,8 +168,8 @@
 	}
 	return &flow.Waiter{
 		Priority: j.priority, Level: r.level(j, l), Prompt: j.prompt(), Arrived: j.arrived,
-		OnTimeBy: j.arrived + j.route.Target - read,
-		LastBy:   max(lastBy, j.arrived+j.patience()),
+		OnTimeDeadline: j.arrived + j.route.Target - read,
+		LastBy:         max(lastBy, j.arrived+j.patience()),
 	}
 }
 
