--- a/backends/registry.go
+++ b/backends/registry.go
@@ -74,7 +74,7 @@
 	// lists caches the servers of each service, scratch their descriptions.
 	lists   map[string][]*server
 	scratch []placement.Server
-	leaving func(Server, Notice)
+	leaving func(Server, LeaveReason)
 	// cell is this process's of count cells.
 	cell, count int
 	// inCell and inAll are this process's part of what cold servers bear, among those of its
@@ -85,24 +85,24 @@
 	regions  map[string]string
 }
 
-// Notice says why a server is taken to be leaving.
-type Notice string
+// LeaveReason says why a server is taken to be leaving.
+type LeaveReason string
 
 // The notices.
 const (
-	NoticeDraining Notice = "draining"
-	NoticeVanished Notice = "entry vanished"
-	NoticeReplaced Notice = "another server has its address"
-	NoticeReported Notice = "its own report"
+	NoticeDraining LeaveReason = "draining"
+	NoticeVanished LeaveReason = "entry vanished"
+	NoticeReplaced LeaveReason = "another server has its address"
+	NoticeReported LeaveReason = "its own report"
 	// NoticeTold is told of a server whose report another process has seen.
-	NoticeTold Notice = "its own report to a peer"
+	NoticeTold LeaveReason = "its own report to a peer"
 	// NoticeRestarted is told of the life that has ended; its runs ended with it.
-	NoticeRestarted Notice = "started again"
+	NoticeRestarted LeaveReason = "started again"
 )
 
 // New returns an empty registry of a process in domain. leaving is told once of
 // each server that begins to leave; it is called without the lock.
-func New(domain string, traits func(service string) Traits, leaving func(Server, Notice)) *Registry {
+func New(domain string, traits func(service string) Traits, leaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
 		domain: domain, traits: traits, leaving: leaving,
 		policy: placement.Direct(), copies: placement.Copies(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]Loss),
@@ -112,7 +112,7 @@
 
 type leave struct {
 	s Server
-	n Notice
+	n LeaveReason
 }
 
 func (r *Registry) tell(left []leave) {
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -11,12 +11,12 @@
 
 type told struct {
 	id string
-	n  Notice
+	n  LeaveReason
 }
 
 func newRegistry() (*Registry, *[]told) {
 	var notices []told
-	r := New("zone-1", func(string) Traits { return Traits{MemoryTokens: 30000} }, func(s Server, n Notice) { notices = append(notices, told{s.ID, n}) })
+	r := New("zone-1", func(string) Traits { return Traits{MemoryTokens: 30000} }, func(s Server, n LeaveReason) { notices = append(notices, told{s.ID, n}) })
 	return r, &notices
 }
 
@@ -251,7 +251,7 @@
 // Guards against each of many gateways finding out by attempts of its own that a server has
 // ended: it looks least used to all of them.
 func TestEndedServerIsKnownToAll(t *testing.T) {
-	r := New("z", func(string) Traits { return Traits{} }, func(Server, Notice) {})
+	r := New("z", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
 	ended, sound := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, Born: 7}, Server{ID: "b", Service: svc, FailureDomain: "z", Slots: 6}
 	r.Put(ended, 0)
 	r.Put(sound, 0)
@@ -287,10 +287,10 @@
 // Guards against runs and copies being sent to servers that are about to end while the
 // directory cannot say so: only those that run something there have asked.
 func TestReportIsToldToAll(t *testing.T) {
-	var notices []Notice
+	var notices []LeaveReason
 	leaving := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, Born: 7}
 	reg := func() *Registry {
-		r := New("z", func(string) Traits { return Traits{} }, func(_ Server, n Notice) { notices = append(notices, n) })
+		r := New("z", func(string) Traits { return Traits{} }, func(_ Server, n LeaveReason) { notices = append(notices, n) })
 		r.Put(leaving, 0)
 		return r
 	}
@@ -304,7 +304,7 @@
 	told.SetLosses("vm-1", losses, 0)
 	told.SetLosses("vm-1", losses, 0)
 	require.Zero(t, told.Ready(svc))
-	require.Equal(t, []Notice{NoticeReported, NoticeTold}, notices)
+	require.Equal(t, []LeaveReason{NoticeReported, NoticeTold}, notices)
 	told.Remove("a", 0, 0)
 	require.Empty(t, told.Losses(0), "gone")
 }
--- a/backends/server.go
+++ b/backends/server.go
@@ -110,7 +110,7 @@
 }
 
 // report notes that the server is leaving by its own word.
-func (s *server) report(left []leave, n Notice) []leave {
+func (s *server) report(left []leave, n LeaveReason) []leave {
 	if s.gone {
 		return left
 	}
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -19,7 +19,7 @@
 
 // Noticed is told of a server that begins to leave, or that has started again. It
 // returns at once.
-func (r *Relay) Noticed(s backends.Server, n backends.Notice) {
+func (r *Relay) Noticed(s backends.Server, n backends.LeaveReason) {
 	if n == backends.NoticeRestarted {
 		r.Ended(s)
 		return
