--- a/flow/queue.go
+++ b/flow/queue.go
@@ -17,9 +17,9 @@
 	// Prompt is the tokens that an engine has to read before the first answer.
 	Prompt int
 	// Arrived is when the request came, OnTimeDeadline when it has to reach an engine for
-	// its first answer to be on time, and LastBy for its whole answer to arrive
+	// its first answer to be on time, and DispatchDeadline for its whole answer to arrive
 	// before the caller has left.
-	Arrived, OnTimeDeadline, LastBy time.Duration
+	Arrived, OnTimeDeadline, DispatchDeadline time.Duration
 }
 
 // Queue holds the waiters of one service.
@@ -130,7 +130,7 @@
 // that those leave. Sent away as long as others can be on time, more are refused for good,
 // and no more are on time.
 func (q *Queue) Refuse(w *Waiter, now time.Duration) bool {
-	return now+q.Wait(w, now) > w.LastBy
+	return now+q.Wait(w, now) > w.DispatchDeadline
 }
 
 // rate measures the prompt tokens that go to engines in a second while requests
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -24,10 +24,10 @@
 	for at := time.Duration(0); at < lasts; at += step {
 		r := &request{target: seconds(1.8)}
 		r.Arrived, r.Priority, r.Prompt = at, 1, 3000
-		r.OnTimeDeadline, r.LastBy = at+seconds(1.3), at+seconds(26)
+		r.OnTimeDeadline, r.DispatchDeadline = at+seconds(1.3), at+seconds(26)
 		if len(out)%2 == 0 {
 			r.Priority, r.Prompt, r.target = 0, 2200, seconds(1.5)
-			r.OnTimeDeadline, r.LastBy = at+seconds(1.1), at+seconds(5)
+			r.OnTimeDeadline, r.DispatchDeadline = at+seconds(1.1), at+seconds(5)
 		}
 		out = append(out, r)
 	}
@@ -57,7 +57,7 @@
 			read := seconds(float64(w.Prompt) / perSecond)
 			free = max(free, now) + read
 			q.Leave(w, true, now)
-			r.sent, r.took = now <= w.LastBy, now-w.Arrived+seconds(0.4)
+			r.sent, r.took = now <= w.DispatchDeadline, now-w.Arrived+seconds(0.4)
 		}
 	}
 	for _, r := range load {
@@ -112,14 +112,14 @@
 	q := NewQueue(10000)
 	const ahead = 20
 	for range ahead {
-		q.Enter(&Waiter{Prompt: 3000, OnTimeDeadline: seconds(5), LastBy: time.Minute})
+		q.Enter(&Waiter{Prompt: 3000, OnTimeDeadline: seconds(5), DispatchDeadline: time.Minute})
 	}
-	require.True(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), LastBy: seconds(5)}, 0))
-	require.False(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), LastBy: seconds(7)}, 0))
-	urgent := &Waiter{Priority: -1, OnTimeDeadline: seconds(1), LastBy: seconds(5)}
+	require.True(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(5)}, 0))
+	require.False(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(7)}, 0))
+	urgent := &Waiter{Priority: -1, OnTimeDeadline: seconds(1), DispatchDeadline: seconds(5)}
 	require.False(t, q.Refuse(urgent, 0))
 
-	late := &Waiter{OnTimeDeadline: seconds(0.5), LastBy: seconds(7.5)}
+	late := &Waiter{OnTimeDeadline: seconds(0.5), DispatchDeadline: seconds(7.5)}
 	q.Enter(late)
 	require.False(t, q.Refuse(late, seconds(1)), "6 s of others' prompts go first, and it has 6.5")
 	require.True(t, q.Refuse(late, seconds(1.6)))
@@ -145,7 +145,7 @@
 // whileOthersAreOnTime sends a late request away as long as another can be on time.
 func whileOthersAreOnTime(q *Queue, w *Waiter, now time.Duration) bool {
 	others := slices.ContainsFunc(q.waiting, func(o *Waiter) bool { return o != w && now <= o.OnTimeDeadline })
-	return w.late(now) && others || now+q.Wait(w, now) > w.LastBy
+	return w.late(now) && others || now+q.Wait(w, now) > w.DispatchDeadline
 }
 
 // Half as many requests again come for 4 s as the engines can read. Callers that cannot
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -168,8 +168,8 @@
 	}
 	return &flow.Waiter{
 		Priority: j.priority, Level: r.level(j, l), Prompt: j.prompt(), Arrived: j.arrived,
-		OnTimeDeadline: j.arrived + j.route.Target - read,
-		LastBy:         max(lastBy, j.arrived+j.patience()),
+		OnTimeDeadline:   j.arrived + j.route.Target - read,
+		DispatchDeadline: max(lastBy, j.arrived+j.patience()),
 	}
 }
 
@@ -227,7 +227,7 @@
 // resting refuses a request whose engines all rest for longer than it can wait, nil otherwise.
 func (r *Relay) resting(j *job, w *flow.Waiter) *Refusal {
 	p := r.paceOf(j)
-	if !p.Later() || p.Bounded || r.Now()+p.Rest <= w.LastBy {
+	if !p.Later() || p.Bounded || r.Now()+p.Rest <= w.DispatchDeadline {
 		return nil
 	}
 	return r.refuseInLine(j, p, p.Rest)
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -44,7 +44,7 @@
 	if j.ran == 0 {
 		l.enter(w)
 	}
-	if turn := l.wait(w, p, r.Now()); r.Now()+turn > w.LastBy {
+	if turn := l.wait(w, p, r.Now()); r.Now()+turn > w.DispatchDeadline {
 		return r.refuseInLine(j, p, turn)
 	}
 	return nil
@@ -95,7 +95,7 @@
 // lineWaiter describes a plain request to its line.
 func (r *Relay) lineWaiter(j *job) *flow.Waiter {
 	lastBy := j.arrived + max(j.patience(), r.paceWait(j))
-	return &flow.Waiter{Priority: j.priority, Prompt: 1, Arrived: j.arrived, OnTimeDeadline: lastBy, LastBy: lastBy}
+	return &flow.Waiter{Priority: j.priority, Prompt: 1, Arrived: j.arrived, OnTimeDeadline: lastBy, DispatchDeadline: lastBy}
 }
 
 // latestReturn bounds when a caller is told to come back to servers that name a limit: the limit
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -174,7 +174,7 @@
 			if refusal := r.standInLine(j, l, w, pace); refusal != nil {
 				return nil, refusal
 			}
-			poll, until = pacePoll, w.LastBy
+			poll, until = pacePoll, w.DispatchDeadline
 		}
 		if r.Now()+poll > until || j.left() < poll {
 			return nil, r.refuseUnplaced(j)
