--- a/engine/engine.go
+++ b/engine/engine.go
@@ -67,8 +67,8 @@
 	MaxTokens uint32
 }
 
-// Load is the engine's report of itself; it lags.
-type Load struct {
+// Status is the engine's report of itself; it lags.
+type Status struct {
 	Running           uint32
 	MemoryUsed        uint64
 	MemoryCapacity    uint64
@@ -93,7 +93,7 @@
 	Attach(ctx context.Context, id string, next uint64) (Stream, error)
 	Cancel(ctx context.Context, id string, attempt uint32) error
 	List(ctx context.Context) ([]Running, error)
-	Load(ctx context.Context) (Load, error)
+	Load(ctx context.Context) (Status, error)
 	Order(ctx context.Context, o Order) error
 }
 
--- a/engine/engineclient/client.go
+++ b/engine/engineclient/client.go
@@ -118,12 +118,12 @@
 }
 
 // Load implements engine.Engine.
-func (c *Client) Load(ctx context.Context) (engine.Load, error) {
+func (c *Client) Load(ctx context.Context) (engine.Status, error) {
 	resp, err := c.rpc.Load(ctx, &platformv1.EngineLoadRequest{})
 	if err != nil {
-		return engine.Load{}, engineError(err)
+		return engine.Status{}, engineError(err)
 	}
-	return engine.Load{
+	return engine.Status{
 		Running:           resp.GetRunning(),
 		MemoryUsed:        resp.GetMemoryUsed(),
 		MemoryCapacity:    resp.GetMemoryCapacity(),
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -65,7 +65,7 @@
 	leaving  atomic.Bool
 	calling  atomic.Int64
 	resumes  bool
-	models   atomic.Pointer[engine.Load]
+	models   atomic.Pointer[engine.Status]
 	observer Observer
 
 	mu     sync.Mutex
@@ -148,14 +148,14 @@
 }
 
 // firstLoad waits for the engine, which may start later than its agent.
-func (a *Agent) firstLoad(ctx context.Context) (engine.Load, error) {
+func (a *Agent) firstLoad(ctx context.Context) (engine.Status, error) {
 	for backoff := firstBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		load, err := a.engine.Load(ctx)
 		if err == nil {
 			return load, nil
 		}
 		if !wait.For(ctx, backoff) {
-			return engine.Load{}, errors.Wrap(err, "engine load")
+			return engine.Status{}, errors.Wrap(err, "engine load")
 		}
 	}
 }
--- a/internal/slopes/clock.go
+++ b/internal/slopes/clock.go
@@ -74,6 +74,6 @@
 func (e *clockEngine) Order(context.Context, engine.Order) error { return nil }
 
 // Load implements engine.Engine.
-func (e *clockEngine) Load(context.Context) (engine.Load, error) {
-	return engine.Load{MemoryCapacity: 1 << 40, Models: []string{model}}, nil
+func (e *clockEngine) Load(context.Context) (engine.Status, error) {
+	return engine.Status{MemoryCapacity: 1 << 40, Models: []string{model}}, nil
 }
--- a/internal/standin/engines/engine.go
+++ b/internal/standin/engines/engine.go
@@ -357,13 +357,13 @@
 }
 
 // Load implements engine.Engine.
-func (e *Engine) Load(context.Context) (engine.Load, error) {
+func (e *Engine) Load(context.Context) (engine.Status, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
-		return engine.Load{}, engine.ErrLost
+		return engine.Status{}, engine.ErrLost
 	}
-	l := engine.Load{
+	l := engine.Status{
 		MemoryCapacity: e.cfg.Memory, Preemptions: e.preemptions, ResumesFromPrefix: e.cfg.Resumes,
 		Models: slices.Clone(e.models), Adapters: slices.Clone(e.adapters),
 	}
