--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -122,7 +122,7 @@
 		same, err := decodeSuspect(follow.Row{Key: key, Value: again})
 		require.NoError(t, err)
 		require.Equal(t, r.ID, same.ID)
-		quarantine.NewBook(quarantine.Default()).Merge([]quarantine.Record{r, same})
+		quarantine.NewTracker(quarantine.Default()).Merge([]quarantine.Record{r, same})
 	})
 }
 
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -68,7 +68,7 @@
 
 func newSuspects(g *group) *suspects {
 	return &suspects{
-		group: g, log: g.log, told: rate.NewLimiter(toldPerSecond, toldAtOnce), book: quarantine.NewBook(quarantine.Default()),
+		group: g, log: g.log, told: rate.NewLimiter(toldPerSecond, toldAtOnce), book: quarantine.NewTracker(quarantine.Default()),
 		rows: make(map[quarantine.ID]suspectRow), due: make(map[quarantine.ID]time.Time),
 	}
 }
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -194,7 +194,7 @@
 
 // suspicious has a world remember suspects.
 func (w *world) suspicious() *ledger {
-	l := &ledger{now: w.now, relay: w.relay, book: quarantine.NewBook(quarantine.Default())}
+	l := &ledger{now: w.now, relay: w.relay, book: quarantine.NewTracker(quarantine.Default())}
 	w.relay.Suspects = l
 	return l
 }
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -10,7 +10,7 @@
 // A request's content and a look at a book of 1,000, with a body of 12 KB: to be below 2 us.
 // There was no such look before.
 func BenchmarkLook(b *testing.B) {
-	book := NewBook(Policy{Ends: 3, Window: time.Hour, Term: time.Hour, Records: 2000, PerTeam: 2000})
+	book := NewTracker(Policy{Ends: 3, Window: time.Hour, Term: time.Hour, Records: 2000, PerTeam: 2000})
 	for i := range 1000 {
 		id := Of("team", "POST", "host", "/path", fmt.Append(nil, i))
 		for server := range uint64(3) {
@@ -26,7 +26,7 @@
 
 // The news of a server that ended with 48 requests, in a full book.
 func BenchmarkEnded(b *testing.B) {
-	book := NewBook(Default())
+	book := NewTracker(Default())
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -52,8 +52,8 @@
 	doubtful bool
 }
 
-// NewBook returns an empty book.
-func NewBook(p Policy) *Tracker {
+// NewTracker returns an empty book.
+func NewTracker(p Policy) *Tracker {
 	return &Tracker{policy: p, records: make(map[ID]*Record), held: make(map[ID]verdict)}
 }
 
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -17,7 +17,7 @@
 // third end on, for the term, and is tried again after it.
 func TestThirdEndConvicts(t *testing.T) {
 	p := Default()
-	b, id := NewBook(p), request("a")
+	b, id := NewTracker(p), request("a")
 	require.Empty(t, b.Ended(1, time.Second, []ID{id}).Held)
 	require.False(t, b.Near(id))
 	require.Empty(t, b.Ended(1, 2*time.Second, []ID{id}).Held, "the same life counts once")
@@ -36,7 +36,7 @@
 // Ends that are further apart than the window are no sign of a harmful request.
 func TestOldEndsDoNotCount(t *testing.T) {
 	p := Default()
-	b, id := NewBook(p), request("a")
+	b, id := NewTracker(p), request("a")
 	for i := range 6 {
 		at := time.Duration(i) * (p.Window/2 + time.Minute)
 		require.Empty(t, b.Ended(uint64(i), at, []ID{id}).Held)
@@ -46,7 +46,7 @@
 // An answer from beginning to end shows that servers do not end under a request. What was
 // seen before it does not count any more, also when a process tells of it later.
 func TestAnsweredRequestIsAbsolved(t *testing.T) {
-	b, id := NewBook(Default()), request("a")
+	b, id := NewTracker(Default()), request("a")
 	b.Ended(1, 1*time.Second, []ID{id})
 	old := b.Record(id)
 	b.Ended(2, 2*time.Second, []ID{id})
@@ -62,7 +62,7 @@
 // and is held before them. The ends must count against those all the same, or they would go
 // on; and what is held for the ends under others is in doubt, and tried.
 func TestHeldRequestsExplainNothing(t *testing.T) {
-	b, popular := NewBook(Default()), request("popular")
+	b, popular := NewTracker(Default()), request("popular")
 	harmful := []ID{request("x"), request("y")}
 	var held []ID
 	for s := range uint64(6) {
@@ -77,7 +77,7 @@
 // A request ran beside a harmful one on two servers that ended, and on a third that ended by
 // chance. It is held, in doubt, and served again once it has shown that it is harmless.
 func TestRequestBesideAHarmfulOneIsTried(t *testing.T) {
-	b, harmful, beside := NewBook(Default()), request("harmful"), request("beside")
+	b, harmful, beside := NewTracker(Default()), request("harmful"), request("beside")
 	b.Ended(1, 1*time.Second, []ID{harmful, beside})
 	b.Ended(2, 2*time.Second, []ID{harmful, beside})
 	b.Ended(3, 3*time.Second, []ID{harmful})
@@ -89,7 +89,7 @@
 // Two requests that ran on the same three servers cannot be told apart; both are refused, or
 // the harmful one might go on.
 func TestRequestsWithTheSameEndsAreAllHeld(t *testing.T) {
-	b, x, y := NewBook(Default()), request("x"), request("y")
+	b, x, y := NewTracker(Default()), request("x"), request("y")
 	b.Ended(1, 1*time.Second, []ID{x, y})
 	b.Ended(2, 2*time.Second, []ID{x, y})
 	require.ElementsMatch(t, []ID{x, y}, b.Ended(3, 3*time.Second, []ID{x, y}).Held)
@@ -98,7 +98,7 @@
 // Attempts that were under way end further servers after the verdict. These are no ends under
 // a trial: the one that is harmless must be tried all the same.
 func TestEndsAfterTheVerdictAreNoTrials(t *testing.T) {
-	b, harmful, beside := NewBook(Default()), request("harmful"), request("beside")
+	b, harmful, beside := NewTracker(Default()), request("harmful"), request("beside")
 	for i := uint64(1); i <= 2*keptEnds; i++ {
 		b.Ended(i, time.Duration(i)*time.Second, []ID{harmful, beside})
 	}
@@ -111,7 +111,7 @@
 // number of records, and pushes no verdict of another team out.
 func TestRecordsAreBounded(t *testing.T) {
 	p := Default()
-	b, other := NewBook(p), request("other")
+	b, other := NewTracker(p), request("other")
 	for s := range uint64(3) {
 		b.Ended(s, time.Duration(1+s), []ID{other})
 	}
@@ -132,7 +132,7 @@
 // Records are forgotten when they count no more, also those of a clock that began anew.
 func TestRecordsExpire(t *testing.T) {
 	p := Default()
-	b := NewBook(p)
+	b := NewTracker(p)
 	b.Ended(1, time.Minute, []ID{request("old")})
 	b.Ended(2, 10*p.Window, []ID{request("ahead")})
 	b.Ended(3, p.Window, []ID{request("new")})
@@ -179,7 +179,7 @@
 // and hearing an older record changes nothing.
 func TestVerdictsDoNotDependOnTheOrderOfTelling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		books := []*Tracker{NewBook(Default()), NewBook(Default()), NewBook(Default())}
+		books := []*Tracker{NewTracker(Default()), NewTracker(Default()), NewTracker(Default())}
 		var told []Record
 		for _, e := range drawEvents(t) {
 			at := rapid.IntRange(0, len(books)-1).Draw(t, "process")
@@ -214,7 +214,7 @@
 // and served again. Under the harmful one two servers more end, and it is tried no more.
 func TestRequestsHeldTogetherAreTried(t *testing.T) {
 	p := Default()
-	b, popular, harmful := NewBook(p), request("popular"), request("harmful")
+	b, popular, harmful := NewTracker(p), request("popular"), request("harmful")
 	for s := range uint64(3) {
 		b.Ended(s, time.Duration(1+s)*time.Second, []ID{popular, harmful})
 	}
@@ -240,7 +240,7 @@
 // hour of the verdict, although a trial decides within seconds.
 func TestDoubtfulRequestsAreToldToComeBackSoon(t *testing.T) {
 	p := Default()
-	b, x, y, sole := NewBook(p), request("x"), request("y"), request("sole")
+	b, x, y, sole := NewTracker(p), request("x"), request("y"), request("sole")
 	for s := range uint64(3) {
 		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
 		b.Ended(100+s, time.Duration(1+s)*time.Second, []ID{sole})
@@ -261,7 +261,7 @@
 // the harmful one would end the trial of the other.
 func TestRequestsWithTheSameEndsAreTriedOneAfterTheOther(t *testing.T) {
 	p := Default()
-	b := NewBook(p)
+	b := NewTracker(p)
 	x, y := request("x"), request("y")
 	for s := range uint64(3) {
 		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
@@ -313,7 +313,7 @@
 // Two requests that many make run on three servers that end by chance. The one is tried and
 // served again; that it is harmless must not leave the other without a trial.
 func TestAbsolvedRequestLeavesTheOthersDoubt(t *testing.T) {
-	b, x, y := NewBook(Default()), request("x"), request("y")
+	b, x, y := NewTracker(Default()), request("x"), request("y")
 	for s := range uint64(3) {
 		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
 	}
@@ -325,7 +325,7 @@
 // A request that many make is held; the harmful one beside it has ended two servers that it
 // did not end alone, and is not held yet. The first must be tried.
 func TestDoubtByOneThatIsNotHeldYet(t *testing.T) {
-	b, popular, harmful := NewBook(Default()), request("popular"), request("harmful")
+	b, popular, harmful := NewTracker(Default()), request("popular"), request("harmful")
 	b.Ended(1, time.Second, []ID{popular})
 	b.Ended(2, 2*time.Second, []ID{popular, harmful})
 	require.Equal(t, []ID{popular}, b.Ended(3, 3*time.Second, []ID{popular, harmful}).Held)
@@ -334,7 +334,7 @@
 
 // A request that is held for ends of its own is not tried.
 func TestVerdictsWithoutDoubtAreNotTried(t *testing.T) {
-	b, harmful := NewBook(Default()), request("harmful")
+	b, harmful := NewTracker(Default()), request("harmful")
 	for s := range uint64(3) {
 		b.Ended(s, time.Duration(1+s)*time.Second, []ID{harmful, request(string('a' + rune(s)))})
 	}
--- a/quarantine/play_test.go
+++ b/quarantine/play_test.go
@@ -77,7 +77,7 @@
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 7))}
 	for self := range gateways {
 		others := slices.DeleteFunc(f.rng.Perm(gateways), func(i int) bool { return i == self })
-		f.gateways = append(f.gateways, &gate{book: NewBook(Default()), peers: others[:min(links, len(others))]})
+		f.gateways = append(f.gateways, &gate{book: NewTracker(Default()), peers: others[:min(links, len(others))]})
 	}
 	for range servers {
 		f.lives++
