--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -15,7 +15,7 @@
 
 func limitedRegistry() (*Registry, Server) {
 	r := New("z0", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
-	s := Server{ID: "s", Service: svc, Born: 1, Slots: 6}
+	s := Server{ID: "s", Service: svc, StartTime: 1, Slots: 6}
 	r.Put(s, 0)
 	return r, s
 }
@@ -39,7 +39,7 @@
 	r, s := limitedRegistry()
 	r.Advised(s, Advice{Limited: true, Limit: 3}, 0, time.Second)
 	again := s
-	again.Born = 2
+	again.StartTime = 2
 	r.Put(again, 2*time.Second)
 	require.Zero(t, r.Limited())
 	require.Equal(t, News{}, r.Advised(s, Advice{Limited: true}, 0, 3*time.Second), "an answer of the life before")
@@ -111,11 +111,11 @@
 		{Named: true, PerSecond: 3}, {Known: true, Named: true, PerSecond: -1}, {Known: true, Named: true, PerSecond: math.NaN()},
 		{Known: true, Named: true, PerSecond: math.Inf(1)}, {Known: true, Named: true, PerSecond: 3, Age: -time.Second},
 	} {
-		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: l, Born: s.Born}}, time.Minute))
-		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true}, Born: s.Born + 1}}, time.Minute), "another life")
+		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: l, Born: s.StartTime}}, time.Minute))
+		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true}, Born: s.StartTime + 1}}, time.Minute), "another life")
 		require.Zero(t, r.Limited())
 	}
-	require.Len(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, Born: s.Born}}, time.Minute), 1)
+	require.Len(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, Born: s.StartTime}}, time.Minute), 1)
 	require.Equal(t, 1, r.Limited())
 }
 
@@ -178,7 +178,7 @@
 	r.Put(s, 13*time.Second)
 	require.Zero(t, r.Ready(svc))
 	again := s
-	again.Born = 2
+	again.StartTime = 2
 	r.Put(again, 14*time.Second)
 	require.Equal(t, 1, r.Ready(svc))
 	r.Advised(s, Advice{Leaving: true}, 0, 15*time.Second)
@@ -210,7 +210,7 @@
 	lease.Done(Good, 4*time.Second)
 	r.Advised(s, Advice{Rest: MostRest}, 0, 5*time.Second)
 	again := s
-	again.Born = 2
+	again.StartTime = 2
 	r.Put(again, 6*time.Second)
 	require.Zero(t, r.Resting(6*time.Second))
 }
--- a/backends/load.go
+++ b/backends/load.go
@@ -27,7 +27,7 @@
 
 // load is what is known of a server's load, here and at other processes.
 func (r *Registry) load(s *server) Load {
-	return s.own.plus(r.told[life{s.ID, s.Born}])
+	return s.own.plus(r.told[life{s.ID, s.StartTime}])
 }
 
 // life is one start of a server.
@@ -57,7 +57,7 @@
 	for id, s := range r.servers {
 		if s.own.Running > 0 {
 			l := s.own
-			l.Born = s.Born
+			l.Born = s.StartTime
 			out[id] = l
 		}
 	}
@@ -119,7 +119,7 @@
 	defer r.mu.Unlock()
 	out := make(map[string]Loss)
 	for id, s := range r.servers {
-		l := Loss{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), Born: s.Born}
+		l := Loss{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), Born: s.StartTime}
 		if l.InARow > 0 || l.Ended || l.Leaving || l.Resting || l.Limit.Known {
 			out[id] = l
 		}
@@ -150,7 +150,7 @@
 	var left []leave
 	for id, l := range losses {
 		s := r.servers[id]
-		if s == nil || s.Born != l.Born {
+		if s == nil || s.StartTime != l.Born {
 			continue
 		}
 		leavingNews := l.Leaving && !s.gone && !s.reported
@@ -177,7 +177,7 @@
 	own := s.lostInARow(now)
 	sum := own
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Born == s.Born {
+		if l := losses[s.ID]; l.Born == s.StartTime {
 			sum += min(believedLosses, l.InARow)
 		}
 	}
@@ -196,7 +196,7 @@
 		return true
 	}
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Ended && l.Born == s.Born {
+		if l := losses[s.ID]; l.Ended && l.Born == s.StartTime {
 			return true
 		}
 	}
@@ -237,7 +237,7 @@
 			out[self] += s.own.Running
 		}
 		for process, loads := range r.remote {
-			if l := loads[id]; l.Running > 0 && l.Born == s.Born {
+			if l := loads[id]; l.Running > 0 && l.Born == s.StartTime {
 				out[process] += l.Running
 			}
 		}
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -62,7 +62,7 @@
 						want = want.plus(l)
 					}
 				}
-				require.Equal(t, want, r.load(&server{Server: Server{ID: id, Born: born}}))
+				require.Equal(t, want, r.load(&server{Server: Server{ID: id, StartTime: born}}))
 			}
 		}
 	})
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -166,7 +166,7 @@
 		}
 		return left
 	case old != nil && !s.SameLife(old.Server):
-		if s.Born < old.Born {
+		if s.StartTime < old.StartTime {
 			return left
 		}
 		left = append(left, leave{old.Server, NoticeRestarted})
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -252,7 +252,7 @@
 // ended: it looks least used to all of them.
 func TestEndedServerIsKnownToAll(t *testing.T) {
 	r := New("z", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
-	ended, sound := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, Born: 7}, Server{ID: "b", Service: svc, FailureDomain: "z", Slots: 6}
+	ended, sound := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, StartTime: 7}, Server{ID: "b", Service: svc, FailureDomain: "z", Slots: 6}
 	r.Put(ended, 0)
 	r.Put(sound, 0)
 	picked := func(now time.Duration) (ids []string) {
@@ -288,7 +288,7 @@
 // directory cannot say so: only those that run something there have asked.
 func TestReportIsToldToAll(t *testing.T) {
 	var notices []LeaveReason
-	leaving := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, Born: 7}
+	leaving := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, StartTime: 7}
 	reg := func() *Registry {
 		r := New("z", func(string) Traits { return Traits{} }, func(_ Server, n LeaveReason) { notices = append(notices, n) })
 		r.Put(leaving, 0)
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -10,7 +10,7 @@
 
 func bornAt(id string, born int64) Server {
 	s := entry(id)
-	s.Born = born
+	s.StartTime = born
 	return s
 }
 
@@ -110,10 +110,10 @@
 		for range rapid.IntRange(1, 12).Draw(t, "entries") {
 			s := bornAt("a", rapid.Int64Range(1, 5).Draw(t, "born"))
 			s.Leaving = rapid.Bool().Draw(t, "leaving")
-			if s.Born > newest {
-				newest, leaves = s.Born, false
+			if s.StartTime > newest {
+				newest, leaves = s.StartTime, false
 			}
-			leaves = leaves || s.Born == newest && s.Leaving
+			leaves = leaves || s.StartTime == newest && s.Leaving
 			r.Put(s, time.Second)
 		}
 		lease := r.Acquire(Query{Service: svc}, time.Second)
@@ -122,6 +122,6 @@
 			return
 		}
 		require.NotNil(t, lease)
-		require.Equal(t, newest, lease.Server.Born)
+		require.Equal(t, newest, lease.Server.StartTime)
 	})
 }
--- a/backends/server.go
+++ b/backends/server.go
@@ -11,10 +11,10 @@
 type Server struct {
 	// ID names the server. One that starts again may keep it.
 	ID string
-	// Born is when this life of the server began, in Unix milliseconds of its own
+	// StartTime is when this life of the server began, in Unix milliseconds of its own
 	// clock, 0 if it does not say. A later one under the same id knows nothing of what
 	// the server held before.
-	Born          int64
+	StartTime     int64
 	Service       string
 	Address       string
 	FailureDomain string
@@ -30,7 +30,7 @@
 
 // SameLife reports whether both describe one start of one server, as far as they say.
 func (s Server) SameLife(o Server) bool {
-	return s.ID == o.ID && (s.Born == o.Born || s.Born == 0 || o.Born == 0)
+	return s.ID == o.ID && (s.StartTime == o.StartTime || s.StartTime == 0 || o.StartTime == 0)
 }
 
 type server struct {
@@ -141,8 +141,8 @@
 func (o *server) update(left []leave, s Server, now time.Duration) []leave {
 	news := s.Leaving && !o.Leaving && !o.gone
 	s.Leaving = s.Leaving || o.Leaving
-	if s.Born == 0 {
-		s.Born = o.Born
+	if s.StartTime == 0 {
+		s.StartTime = o.StartTime
 	}
 	o.Server = s
 	o.gone = o.gone && (o.replaced || s.Leaving)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -129,7 +129,7 @@
 		routing.NewReplica,
 		func(rep *routing.Replica, l *late) *backends.Registry {
 			return backends.New(set.FailureDomain, traitsOf(rep, l), func(s backends.Server, n backends.LeaveReason) {
-				log.WithFields(logrus.Fields{"server": s.ID, "born": s.Born, "service": s.Service, "notice": string(n)}).Info("server is leaving")
+				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(n)}).Info("server is leaving")
 				if r := l.relay.Load(); r != nil {
 					r.Noticed(s, n)
 				}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -127,7 +127,7 @@
 		}
 		l := losses[t.ID].Limit
 		g.log.WithFields(logrus.Fields{
-			"server": t.ID, "born": t.Born, "service": t.Service, "peer": peer,
+			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
 			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
 		}).Info("a peer tells of a server's limit")
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -142,7 +142,7 @@
 
 // lifeHash identifies a life of a server among all gateways.
 func lifeHash(s backends.Server) uint64 {
-	return xxhash.Sum64String(s.ID + "/" + strconv.FormatInt(s.Born, 10))
+	return xxhash.Sum64String(s.ID + "/" + strconv.FormatInt(s.StartTime, 10))
 }
 
 // Answered implements relay.Suspects.
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -12,7 +12,7 @@
 // attempt that it answers, 0 if what the answer leaves out says nothing.
 func (r *Relay) Advised(s backends.Server, a backends.Advice, begun time.Duration) {
 	news := r.Registry.Advised(s, a, begun, r.Now())
-	log := r.Log.WithFields(logrus.Fields{"server": s.ID, "born": s.Born, "service": s.Service})
+	log := r.Log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service})
 	if news.Unreadable {
 		log.WithField("headers", a.Unreadable).Warn("server says something of itself that means nothing")
 	}
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -57,7 +57,7 @@
 	born int64
 }
 
-func lifeOf(s backends.Server) life { return life{s.ID, s.Born} }
+func lifeOf(s backends.Server) life { return life{s.ID, s.StartTime} }
 
 // id identifies what a request asks for, whatever its attempt.
 func (j *job) id() quarantine.ID {
@@ -173,7 +173,7 @@
 		r.Observer.Ended(q.server.Service)
 	}
 	r.Log.WithFields(logrus.Fields{
-		"server": q.server.ID, "born": q.server.Born, "service": q.server.Service, "requests": len(ran), "ran": named(ran),
+		"server": q.server.ID, "born": q.server.StartTime, "service": q.server.Service, "requests": len(ran), "ran": named(ran),
 	}).Warn("server has ended under requests")
 	ids := make([]quarantine.ID, 0, len(ran))
 	for _, b := range ran {
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -168,7 +168,7 @@
 
 func (w *world) entryBorn(id string, born int64) backends.Server {
 	s := w.entry(id, modelService)
-	s.Born = born
+	s.StartTime = born
 	return s
 }
 
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -44,7 +44,7 @@
 	time.AfterFunc(lifeSign, func() {
 		for _, u := range runs {
 			if u.cutSilent(s, r.Now()-lifeSilence) {
-				u.job.log.WithFields(logrus.Fields{"server": s.ID, "born": s.Born}).Info("stream ended with its server's earlier life")
+				u.job.log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime}).Info("stream ended with its server's earlier life")
 			}
 		}
 	})
