--- a/flow/queue.go
+++ b/flow/queue.go
@@ -14,8 +14,8 @@
 	Priority int
 	// Level is how far the request's team is above an equal share, see Shares.
 	Level int
-	// Prompt is the tokens that an engine has to read before the first answer.
-	Prompt int
+	// PromptTokens is the tokens that an engine has to read before the first answer.
+	PromptTokens int
 	// Arrived is when the request came, OnTimeDeadline when it has to reach an engine for
 	// its first answer to be on time, and DispatchDeadline for its whole answer to arrive
 	// before the caller has left.
@@ -44,7 +44,7 @@
 func (q *Queue) Leave(w *Waiter, sent bool, now time.Duration) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(o *Waiter) bool { return o == w })
 	if sent {
-		q.rate.add(w.Prompt, now, len(q.waiting) > 0)
+		q.rate.add(w.PromptTokens, now, len(q.waiting) > 0)
 	}
 }
 
@@ -117,7 +117,7 @@
 	ahead := 0
 	for _, o := range q.waiting {
 		if o != w && before(o, w, now) {
-			ahead += o.Prompt
+			ahead += o.PromptTokens
 		}
 	}
 	return time.Duration(float64(ahead) / q.rate.perSecond * float64(time.Second))
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -23,10 +23,10 @@
 	step := time.Duration(float64(time.Second) / perSecond)
 	for at := time.Duration(0); at < lasts; at += step {
 		r := &request{target: seconds(1.8)}
-		r.Arrived, r.Priority, r.Prompt = at, 1, 3000
+		r.Arrived, r.Priority, r.PromptTokens = at, 1, 3000
 		r.OnTimeDeadline, r.DispatchDeadline = at+seconds(1.3), at+seconds(26)
 		if len(out)%2 == 0 {
-			r.Priority, r.Prompt, r.target = 0, 2200, seconds(1.5)
+			r.Priority, r.PromptTokens, r.target = 0, 2200, seconds(1.5)
 			r.OnTimeDeadline, r.DispatchDeadline = at+seconds(1.1), at+seconds(5)
 		}
 		out = append(out, r)
@@ -54,7 +54,7 @@
 				break
 			}
 			r := byWaiter[w]
-			read := seconds(float64(w.Prompt) / perSecond)
+			read := seconds(float64(w.PromptTokens) / perSecond)
 			free = max(free, now) + read
 			q.Leave(w, true, now)
 			r.sent, r.took = now <= w.DispatchDeadline, now-w.Arrived+seconds(0.4)
@@ -112,7 +112,7 @@
 	q := NewQueue(10000)
 	const ahead = 20
 	for range ahead {
-		q.Enter(&Waiter{Prompt: 3000, OnTimeDeadline: seconds(5), DispatchDeadline: time.Minute})
+		q.Enter(&Waiter{PromptTokens: 3000, OnTimeDeadline: seconds(5), DispatchDeadline: time.Minute})
 	}
 	require.True(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(5)}, 0))
 	require.False(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(7)}, 0))
@@ -167,14 +167,14 @@
 	q := NewQueue(10000)
 	at := time.Duration(0)
 	for range 20 {
-		w := &Waiter{Prompt: 100}
+		w := &Waiter{PromptTokens: 100}
 		q.Enter(w)
 		q.Leave(w, true, at)
 		at += seconds(1)
 	}
 	require.InDelta(t, 10000, q.rate.perSecond, 1)
 	for range 40 {
-		q.Enter(&Waiter{Prompt: 1000})
+		q.Enter(&Waiter{PromptTokens: 1000})
 	}
 	for range 30 {
 		w := q.Next(at)
--- a/flow/shares_test.go
+++ b/flow/shares_test.go
@@ -53,7 +53,7 @@
 			if (now+time.Duration(i)*90*time.Millisecond)%t.every >= tick {
 				continue
 			}
-			w := &Waiter{Priority: 1, Prompt: read, Arrived: now, OnTimeDeadline: now + seconds(1.3), DispatchDeadline: now + seconds(6)}
+			w := &Waiter{Priority: 1, PromptTokens: read, Arrived: now, OnTimeDeadline: now + seconds(1.3), DispatchDeadline: now + seconds(6)}
 			if fair {
 				w.Level = shares.Level(t.name, nil, now)
 			}
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -167,7 +167,7 @@
 		lastBy = min(lastBy, j.arrived+time.Duration(silenceShare*float64(s))-read)
 	}
 	return &flow.Waiter{
-		Priority: j.priority, Level: r.level(j, l), Prompt: j.prompt(), Arrived: j.arrived,
+		Priority: j.priority, Level: r.level(j, l), PromptTokens: j.prompt(), Arrived: j.arrived,
 		OnTimeDeadline:   j.arrived + j.route.Target - read,
 		DispatchDeadline: max(lastBy, j.arrived+j.patience()),
 	}
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -95,7 +95,7 @@
 // lineWaiter describes a plain request to its line.
 func (r *Relay) lineWaiter(j *job) *flow.Waiter {
 	lastBy := j.arrived + max(j.patience(), r.paceWait(j))
-	return &flow.Waiter{Priority: j.priority, Prompt: 1, Arrived: j.arrived, OnTimeDeadline: lastBy, DispatchDeadline: lastBy}
+	return &flow.Waiter{Priority: j.priority, PromptTokens: 1, Arrived: j.arrived, OnTimeDeadline: lastBy, DispatchDeadline: lastBy}
 }
 
 // latestReturn bounds when a caller is told to come back to servers that name a limit: the limit
