--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -251,7 +251,7 @@
 func recordOf(p *peerv1.Suspect) quarantine.Record {
 	r := quarantine.Record{ID: quarantine.ID{Team: p.GetTeam(), Content: p.GetContent()}, Absolved: time.Duration(p.GetAbsolvedMs()) * time.Millisecond, Trials: fromMillis(p.GetTrialsMs())}
 	for _, e := range p.GetEnds() {
-		r.Ends = append(r.Ends, quarantine.End{Server: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
+		r.Ends = append(r.Ends, quarantine.Crash{Server: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
 	}
 	return r
 }
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -59,7 +59,7 @@
 	}
 	r := quarantine.Record{ID: quarantine.ID{Team: d.Team, Content: d.Content}, Absolved: time.Duration(d.AbsolvedMs) * time.Millisecond, Trials: fromMillis(d.TrialsMs)}
 	for _, e := range d.Ends {
-		r.Ends = append(r.Ends, quarantine.End{Server: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
+		r.Ends = append(r.Ends, quarantine.Crash{Server: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
 	}
 	if suspectKey(r.ID) != row.Key {
 		return r, errWrongKey
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -75,7 +75,7 @@
 func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Change {
 	list := make([]Record, 0, len(ran))
 	for _, id := range ran {
-		list = append(list, Record{ID: id, Ends: []End{{Server: server, At: at}}})
+		list = append(list, Record{ID: id, Ends: []Crash{{Server: server, At: at}}})
 	}
 	return b.Merge(list)
 }
@@ -208,7 +208,7 @@
 		}
 	}
 	for id, v := range b.held {
-		v.doubtful = b.records[id].endsAmong(b.policy.Window, func(e End) bool { return shared[e.Server] == 1 }) < b.policy.Ends
+		v.doubtful = b.records[id].endsAmong(b.policy.Window, func(e Crash) bool { return shared[e.Server] == 1 }) < b.policy.Ends
 		b.held[id] = v
 	}
 	return missing(b.held, was), missing(was, b.held)
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -14,8 +14,8 @@
 // with each of them, up to some six minutes.
 const keptTrials = 8
 
-// End is the end of one life of a server under a request.
-type End struct {
+// Crash is the end of one life of a server under a request.
+type Crash struct {
 	// Server identifies the life of the server, alike for all processes.
 	Server uint64
 	// At is when it was noticed, on the steady clock that all processes share.
@@ -23,7 +23,7 @@
 }
 
 // compareEnds orders ends from the newest to the oldest.
-func compareEnds(a, b End) int {
+func compareEnds(a, b Crash) int {
 	return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Server, b.Server))
 }
 
@@ -33,7 +33,7 @@
 	ID
 	// Ends are ends under the request, one a life, from the newest to the oldest. Those up
 	// to Absolved count no more against it; they tell what else ran on those servers.
-	Ends []End
+	Ends []Crash
 	// Absolved is when the request was last answered by a server, or an operator lifted
 	// the verdict; ends up to then do not count. 0 if never.
 	Absolved time.Duration
@@ -53,10 +53,10 @@
 }
 
 // newest returns the newest ends, one a life, that of the latest notice.
-func newest(ends []End) []End {
+func newest(ends []Crash) []Crash {
 	slices.SortFunc(ends, compareEnds)
 	seen := make(map[uint64]bool, len(ends))
-	ends = slices.DeleteFunc(ends, func(e End) bool {
+	ends = slices.DeleteFunc(ends, func(e Crash) bool {
 		drop := seen[e.Server]
 		seen[e.Server] = true
 		return drop
@@ -89,7 +89,7 @@
 
 // together lists the ends that count together: those since the absolution, within a window
 // up to the newest.
-func (r *Record) together(window time.Duration) []End {
+func (r *Record) together(window time.Duration) []Crash {
 	for i, e := range r.Ends {
 		if e.At <= r.Absolved || e.At <= r.Ends[0].At-window {
 			return r.Ends[:i]
@@ -107,7 +107,7 @@
 }
 
 // endsAmong counts those ends that count together and are of some kind.
-func (r *Record) endsAmong(window time.Duration, kind func(End) bool) (n int) {
+func (r *Record) endsAmong(window time.Duration, kind func(Crash) bool) (n int) {
 	for _, e := range r.together(window) {
 		if kind(e) {
 			n++
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -46,7 +46,7 @@
 		return at, true
 	}
 	first := r.Trials[n-1]
-	ended := r.endsAmong(b.policy.Window, func(e End) bool { return e.At > first })
+	ended := r.endsAmong(b.policy.Window, func(e Crash) bool { return e.At > first })
 	return max(at, r.Trials[0]+b.policy.TrialAfter<<n), ended < b.policy.TrialEnds
 }
 
@@ -75,12 +75,12 @@
 
 // underTrial reports whether a trial of the last so much time has shown nothing yet.
 func (r *Record) underTrial(now, lasts time.Duration) bool {
-	return len(r.Trials) > 0 && now-r.Trials[0] < lasts && !slices.ContainsFunc(r.Ends, func(e End) bool { return e.At > r.Trials[0] })
+	return len(r.Trials) > 0 && now-r.Trials[0] < lasts && !slices.ContainsFunc(r.Ends, func(e Crash) bool { return e.At > r.Trials[0] })
 }
 
 // sharesEnd reports whether a server has ended under both requests.
 func (r *Record) sharesEnd(o *Record) bool {
-	return slices.ContainsFunc(r.Ends, func(e End) bool {
-		return slices.ContainsFunc(o.Ends, func(f End) bool { return f.Server == e.Server })
+	return slices.ContainsFunc(r.Ends, func(e Crash) bool {
+		return slices.ContainsFunc(o.Ends, func(f Crash) bool { return f.Server == e.Server })
 	})
 }
