--- a/backends/load.go
+++ b/backends/load.go
@@ -13,8 +13,8 @@
 	// Copying is the tokens of memory that are being copied to the server: a further
 	// copy waits on its link behind them.
 	Copying int
-	// Born is the life of the server that has the load, see Server.
-	Born int64
+	// StartTime is the life of the server that has the load, see Server.
+	StartTime int64
 }
 
 func (l Load) plus(o Load) Load {
@@ -39,7 +39,7 @@
 // addTold adds what a process tells of its loads to the sums, or takes it back; mu is held.
 func (r *Registry) addTold(loads map[string]Load, sign func(sum, l Load) Load) {
 	for id, l := range loads {
-		of := life{id, l.Born}
+		of := life{id, l.StartTime}
 		sum := sign(r.told[of], l)
 		if sum == (Load{}) {
 			delete(r.told, of)
@@ -57,7 +57,7 @@
 	for id, s := range r.servers {
 		if s.own.Running > 0 {
 			l := s.own
-			l.Born = s.StartTime
+			l.StartTime = s.StartTime
 			out[id] = l
 		}
 	}
@@ -237,7 +237,7 @@
 			out[self] += s.own.Running
 		}
 		for process, loads := range r.remote {
-			if l := loads[id]; l.Running > 0 && l.Born == s.StartTime {
+			if l := loads[id]; l.Running > 0 && l.StartTime == s.StartTime {
 				out[process] += l.Running
 			}
 		}
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -48,7 +48,7 @@
 			loads := make(map[string]Load)
 			for _, s := range servers {
 				if rapid.Bool().Draw(t, "some") {
-					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Tokens: 10, Born: rapid.Int64Range(0, 1).Draw(t, "born")}
+					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Tokens: 10, StartTime: rapid.Int64Range(0, 1).Draw(t, "born")}
 				}
 			}
 			r.SetRemote(p, loads)
@@ -58,7 +58,7 @@
 			for _, born := range []int64{0, 1} {
 				var want Load
 				for _, loads := range last {
-					if l := loads[id]; l.Born == born {
+					if l := loads[id]; l.StartTime == born {
 						want = want.plus(l)
 					}
 				}
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -24,7 +24,7 @@
 		r.Acquire(Query{Service: svc}, 0).Done(Lost, 0)
 	}
 	held := r.Acquire(Query{Service: svc, Tokens: 20000, Prompt: 9000}, 0)
-	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, Born: 100}})
+	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, StartTime: 100}})
 	r.SetLosses("vm-2", map[string]Loss{"a": {InARow: 2, Born: 100}}, 0)
 	r.Reported(bornAt("a", 100))
 	require.Zero(t, r.Ready(svc))
@@ -38,7 +38,7 @@
 	require.Empty(t, r.Losses(0))
 	held.Done(Lost, 0)
 	require.Empty(t, r.Losses(0), "a request of the earlier life that ends late says nothing of this one")
-	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 9000, Prompt: 3000, Born: 200}}, r.Loads())
+	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 9000, Prompt: 3000, StartTime: 200}}, r.Loads())
 }
 
 // Messages of a server's earlier life arrive late: an entry that was written before its
