--- a/flow/queue.go
+++ b/flow/queue.go
@@ -37,8 +37,8 @@
 // SetRate says what goes to servers in a second, where that is known without measuring.
 func (q *Queue) SetRate(perSecond float64) { q.rate.perSecond = perSecond }
 
-// Enter adds a waiter.
-func (q *Queue) Enter(w *Waiter) { q.waiting = append(q.waiting, w) }
+// Add adds a waiter.
+func (q *Queue) Add(w *Waiter) { q.waiting = append(q.waiting, w) }
 
 // Leave takes a waiter out. sent says that it went to an engine.
 func (q *Queue) Leave(w *Waiter, sent bool, now time.Duration) {
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -44,7 +44,7 @@
 	free, i := time.Duration(0), 0
 	for now := time.Duration(0); now < seconds(60); now += tick {
 		for i < len(load) && load[i].Arrived <= now {
-			q.Enter(&load[i].Waiter)
+			q.Add(&load[i].Waiter)
 			byWaiter[&load[i].Waiter] = load[i]
 			i++
 		}
@@ -112,7 +112,7 @@
 	q := NewQueue(10000)
 	const ahead = 20
 	for range ahead {
-		q.Enter(&Waiter{PromptTokens: 3000, OnTimeDeadline: seconds(5), DispatchDeadline: time.Minute})
+		q.Add(&Waiter{PromptTokens: 3000, OnTimeDeadline: seconds(5), DispatchDeadline: time.Minute})
 	}
 	require.True(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(5)}, 0))
 	require.False(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(7)}, 0))
@@ -120,7 +120,7 @@
 	require.False(t, q.Refuse(urgent, 0))
 
 	late := &Waiter{OnTimeDeadline: seconds(0.5), DispatchDeadline: seconds(7.5)}
-	q.Enter(late)
+	q.Add(late)
 	require.False(t, q.Refuse(late, seconds(1)), "6 s of others' prompts go first, and it has 6.5")
 	require.True(t, q.Refuse(late, seconds(1.6)))
 }
@@ -168,13 +168,13 @@
 	at := time.Duration(0)
 	for range 20 {
 		w := &Waiter{PromptTokens: 100}
-		q.Enter(w)
+		q.Add(w)
 		q.Leave(w, true, at)
 		at += seconds(1)
 	}
 	require.InDelta(t, 10000, q.rate.perSecond, 1)
 	for range 40 {
-		q.Enter(&Waiter{PromptTokens: 1000})
+		q.Add(&Waiter{PromptTokens: 1000})
 	}
 	for range 30 {
 		w := q.Next(at)
--- a/flow/shares_test.go
+++ b/flow/shares_test.go
@@ -59,7 +59,7 @@
 			}
 			t.asked++
 			if !q.Refuse(w, now) {
-				q.Enter(w)
+				q.Add(w)
 				owner[w] = t
 			}
 		}
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -75,7 +75,7 @@
 	}
 	wake = make(chan struct{}, 1)
 	l.wakes[w] = wake
-	l.queue.Enter(w)
+	l.queue.Add(w)
 	return wake
 }
 
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -63,7 +63,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.queue.Holds(w) {
-		l.queue.Enter(w)
+		l.queue.Add(w)
 	}
 }
 
