--- a/engine/engine.go
+++ b/engine/engine.go
@@ -55,8 +55,8 @@
 	Recv() (Token, error)
 }
 
-// Running is a stream that the engine holds.
-type Running struct {
+// RunningStream is a stream that the engine holds.
+type RunningStream struct {
 	ID        string
 	Attempt   uint32
 	Team      string
@@ -92,7 +92,7 @@
 	Generate(ctx context.Context, req Request) (Stream, error)
 	Attach(ctx context.Context, id string, next uint64) (Stream, error)
 	Cancel(ctx context.Context, id string, attempt uint32) error
-	List(ctx context.Context) ([]Running, error)
+	List(ctx context.Context) ([]RunningStream, error)
 	Load(ctx context.Context) (Status, error)
 	Order(ctx context.Context, o Order) error
 }
--- a/engine/engineclient/client.go
+++ b/engine/engineclient/client.go
@@ -96,14 +96,14 @@
 }
 
 // List implements engine.Engine.
-func (c *Client) List(ctx context.Context) ([]engine.Running, error) {
+func (c *Client) List(ctx context.Context) ([]engine.RunningStream, error) {
 	resp, err := c.rpc.List(ctx, &platformv1.EngineListRequest{})
 	if err != nil {
 		return nil, engineError(err)
 	}
-	out := make([]engine.Running, 0, len(resp.GetStreams()))
+	out := make([]engine.RunningStream, 0, len(resp.GetStreams()))
 	for _, s := range resp.GetStreams() {
-		out = append(out, engine.Running{
+		out = append(out, engine.RunningStream{
 			ID:        s.GetId(),
 			Attempt:   s.GetAttempt(),
 			Team:      s.GetTeam(),
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func (a *Agent) adoptOne(r engine.Running) {
+func (a *Agent) adoptOne(r engine.RunningStream) {
 	g := &generation{
 		id: r.ID,
 		req: engine.Request{
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -87,9 +87,9 @@
 func (s *swap) Cancel(ctx context.Context, id string, a uint32) error {
 	return s.get().Cancel(ctx, id, a)
 }
-func (s *swap) List(ctx context.Context) ([]engine.Running, error) { return s.get().List(ctx) }
-func (s *swap) Load(ctx context.Context) (engine.Status, error)    { return s.get().Load(ctx) }
-func (s *swap) Order(ctx context.Context, o engine.Order) error    { return s.get().Order(ctx, o) }
+func (s *swap) List(ctx context.Context) ([]engine.RunningStream, error) { return s.get().List(ctx) }
+func (s *swap) Load(ctx context.Context) (engine.Status, error)          { return s.get().Load(ctx) }
+func (s *swap) Order(ctx context.Context, o engine.Order) error          { return s.get().Order(ctx, o) }
 
 // node is one agent with what stands behind it.
 type node struct {
--- a/internal/slopes/clock.go
+++ b/internal/slopes/clock.go
@@ -68,7 +68,7 @@
 func (e *clockEngine) Cancel(context.Context, string, uint32) error { return nil }
 
 // List implements engine.Engine.
-func (e *clockEngine) List(context.Context) ([]engine.Running, error) { return nil, nil }
+func (e *clockEngine) List(context.Context) ([]engine.RunningStream, error) { return nil, nil }
 
 // Order implements engine.Engine.
 func (e *clockEngine) Order(context.Context, engine.Order) error { return nil }
--- a/internal/standin/engines/engine.go
+++ b/internal/standin/engines/engine.go
@@ -340,15 +340,15 @@
 }
 
 // List implements engine.Engine.
-func (e *Engine) List(context.Context) ([]engine.Running, error) {
+func (e *Engine) List(context.Context) ([]engine.RunningStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
 		return nil, engine.ErrLost
 	}
-	var out []engine.Running
+	var out []engine.RunningStream
 	for id, s := range e.streams {
-		out = append(out, engine.Running{
+		out = append(out, engine.RunningStream{
 			ID: id, Attempt: s.req.Attempt, Team: s.req.Team, RequestID: s.req.RequestID, Model: s.req.Model,
 			Emitted: uint64(len(s.tokens)), Prompt: uint32(len(s.req.Prompt)), MaxTokens: s.req.MaxTokens,
 		})
