--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -202,7 +202,7 @@
 // ends describes the evidence of a record, as the lines on servers that ended name it.
 func ends(r quarantine.Record) (out []string) {
 	for _, e := range r.Ends[:min(len(r.Ends), mostEvidence)] {
-		out = append(out, fmt.Sprintf("%016x at %d ms", e.Server, e.At.Milliseconds()))
+		out = append(out, fmt.Sprintf("%016x at %d ms", e.Incarnation, e.At.Milliseconds()))
 	}
 	return out
 }
@@ -243,7 +243,7 @@
 func suspectOf(r quarantine.Record) *peerv1.Suspect {
 	p := &peerv1.Suspect{Team: r.Team, Content: r.Content, AbsolvedMs: r.Absolved.Milliseconds(), TrialsMs: millis(r.Trials)}
 	for _, e := range r.Ends {
-		p.Ends = append(p.Ends, &peerv1.End{Server: e.Server, AtMs: e.At.Milliseconds()})
+		p.Ends = append(p.Ends, &peerv1.End{Server: e.Incarnation, AtMs: e.At.Milliseconds()})
 	}
 	return p
 }
@@ -251,7 +251,7 @@
 func recordOf(p *peerv1.Suspect) quarantine.Record {
 	r := quarantine.Record{ID: quarantine.ID{Team: p.GetTeam(), Content: p.GetContent()}, Absolved: time.Duration(p.GetAbsolvedMs()) * time.Millisecond, Trials: fromMillis(p.GetTrialsMs())}
 	for _, e := range p.GetEnds() {
-		r.Ends = append(r.Ends, quarantine.Crash{Server: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
+		r.Ends = append(r.Ends, quarantine.Crash{Incarnation: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
 	}
 	return r
 }
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -44,7 +44,7 @@
 func encodeSuspect(r quarantine.Record) ([]byte, error) {
 	d := suspectData{Team: r.Team, Content: r.Content, AbsolvedMs: r.Absolved.Milliseconds(), TrialsMs: millis(r.Trials)}
 	for _, e := range r.Ends {
-		d.Ends = append(d.Ends, endData{e.Server, e.At.Milliseconds()})
+		d.Ends = append(d.Ends, endData{e.Incarnation, e.At.Milliseconds()})
 	}
 	return json.Marshal(d)
 }
@@ -59,7 +59,7 @@
 	}
 	r := quarantine.Record{ID: quarantine.ID{Team: d.Team, Content: d.Content}, Absolved: time.Duration(d.AbsolvedMs) * time.Millisecond, Trials: fromMillis(d.TrialsMs)}
 	for _, e := range d.Ends {
-		r.Ends = append(r.Ends, quarantine.Crash{Server: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
+		r.Ends = append(r.Ends, quarantine.Crash{Incarnation: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
 	}
 	if suspectKey(r.ID) != row.Key {
 		return r, errWrongKey
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -75,7 +75,7 @@
 func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Change {
 	list := make([]Record, 0, len(ran))
 	for _, id := range ran {
-		list = append(list, Record{ID: id, Ends: []Crash{{Server: server, At: at}}})
+		list = append(list, Record{ID: id, Ends: []Crash{{Incarnation: server, At: at}}})
 	}
 	return b.Merge(list)
 }
@@ -203,12 +203,12 @@
 		}
 		if len(r.Ends) > 1 {
 			for _, e := range r.Ends {
-				shared[e.Server]++
+				shared[e.Incarnation]++
 			}
 		}
 	}
 	for id, v := range b.held {
-		v.doubtful = b.records[id].endsAmong(b.policy.Window, func(e Crash) bool { return shared[e.Server] == 1 }) < b.policy.Ends
+		v.doubtful = b.records[id].endsAmong(b.policy.Window, func(e Crash) bool { return shared[e.Incarnation] == 1 }) < b.policy.Ends
 		b.held[id] = v
 	}
 	return missing(b.held, was), missing(was, b.held)
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -16,15 +16,15 @@
 
 // Crash is the end of one life of a server under a request.
 type Crash struct {
-	// Server identifies the life of the server, alike for all processes.
-	Server uint64
+	// Incarnation identifies the life of the server, alike for all processes.
+	Incarnation uint64
 	// At is when it was noticed, on the steady clock that all processes share.
 	At time.Duration
 }
 
 // compareEnds orders ends from the newest to the oldest.
 func compareEnds(a, b Crash) int {
-	return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Server, b.Server))
+	return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
 // Record is what is known of a request. Records of one request merge: the result holds
@@ -57,8 +57,8 @@
 	slices.SortFunc(ends, compareEnds)
 	seen := make(map[uint64]bool, len(ends))
 	ends = slices.DeleteFunc(ends, func(e Crash) bool {
-		drop := seen[e.Server]
-		seen[e.Server] = true
+		drop := seen[e.Incarnation]
+		seen[e.Incarnation] = true
 		return drop
 	})
 	if len(ends) == 0 {
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -81,6 +81,6 @@
 // sharesEnd reports whether a server has ended under both requests.
 func (r *Record) sharesEnd(o *Record) bool {
 	return slices.ContainsFunc(r.Ends, func(e Crash) bool {
-		return slices.ContainsFunc(o.Ends, func(f Crash) bool { return f.Server == e.Server })
+		return slices.ContainsFunc(o.Ends, func(f Crash) bool { return f.Incarnation == e.Incarnation })
 	})
 }
