--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -111,11 +111,11 @@
 		{Named: true, PerSecond: 3}, {Known: true, Named: true, PerSecond: -1}, {Known: true, Named: true, PerSecond: math.NaN()},
 		{Known: true, Named: true, PerSecond: math.Inf(1)}, {Known: true, Named: true, PerSecond: 3, Age: -time.Second},
 	} {
-		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: l, Born: s.StartTime}}, time.Minute))
-		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true}, Born: s.StartTime + 1}}, time.Minute), "another life")
+		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: l, StartTime: s.StartTime}}, time.Minute))
+		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
 		require.Zero(t, r.Limited())
 	}
-	require.Len(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, Born: s.StartTime}}, time.Minute), 1)
+	require.Len(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
 	require.Equal(t, 1, r.Limited())
 }
 
--- a/backends/load.go
+++ b/backends/load.go
@@ -108,8 +108,8 @@
 	Resting bool
 	// Limit is what is known of its limit.
 	Limit ToldLimit
-	// Born is the life of the server that lost them, see Server.
-	Born int64
+	// StartTime is the life of the server that lost them, see Server.
+	StartTime int64
 }
 
 // Losses tells what is wrong with servers: requests that were lost in a row of late, without an
@@ -119,7 +119,7 @@
 	defer r.mu.Unlock()
 	out := make(map[string]Loss)
 	for id, s := range r.servers {
-		l := Loss{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), Born: s.StartTime}
+		l := Loss{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
 		if l.InARow > 0 || l.Ended || l.Leaving || l.Resting || l.Limit.Known {
 			out[id] = l
 		}
@@ -150,7 +150,7 @@
 	var left []leave
 	for id, l := range losses {
 		s := r.servers[id]
-		if s == nil || s.StartTime != l.Born {
+		if s == nil || s.StartTime != l.StartTime {
 			continue
 		}
 		leavingNews := l.Leaving && !s.gone && !s.reported
@@ -177,7 +177,7 @@
 	own := s.lostInARow(now)
 	sum := own
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Born == s.StartTime {
+		if l := losses[s.ID]; l.StartTime == s.StartTime {
 			sum += min(believedLosses, l.InARow)
 		}
 	}
@@ -196,7 +196,7 @@
 		return true
 	}
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Ended && l.Born == s.StartTime {
+		if l := losses[s.ID]; l.Ended && l.StartTime == s.StartTime {
 			return true
 		}
 	}
