--- a/flow/queue.go
+++ b/flow/queue.go
@@ -40,8 +40,8 @@
 // Add adds a waiter.
 func (q *Queue) Add(w *Waiter) { q.waiting = append(q.waiting, w) }
 
-// Leave takes a waiter out. sent says that it went to an engine.
-func (q *Queue) Leave(w *Waiter, sent bool, now time.Duration) {
+// Remove takes a waiter out. sent says that it went to an engine.
+func (q *Queue) Remove(w *Waiter, sent bool, now time.Duration) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(o *Waiter) bool { return o == w })
 	if sent {
 		q.rate.add(w.PromptTokens, now, len(q.waiting) > 0)
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -56,7 +56,7 @@
 			r := byWaiter[w]
 			read := seconds(float64(w.PromptTokens) / perSecond)
 			free = max(free, now) + read
-			q.Leave(w, true, now)
+			q.Remove(w, true, now)
 			r.sent, r.took = now <= w.DispatchDeadline, now-w.Arrived+seconds(0.4)
 		}
 	}
@@ -132,7 +132,7 @@
 	next := func(q *Queue, now time.Duration) *Waiter {
 		for _, w := range slices.Clone(q.waiting) {
 			if refuse(q, w, now) {
-				q.Leave(w, false, now)
+				q.Remove(w, false, now)
 				away++
 			}
 		}
@@ -169,7 +169,7 @@
 	for range 20 {
 		w := &Waiter{PromptTokens: 100}
 		q.Add(w)
-		q.Leave(w, true, at)
+		q.Remove(w, true, at)
 		at += seconds(1)
 	}
 	require.InDelta(t, 10000, q.rate.perSecond, 1)
@@ -178,7 +178,7 @@
 	}
 	for range 30 {
 		w := q.Next(at)
-		q.Leave(w, true, at)
+		q.Remove(w, true, at)
 		at += seconds(0.2)
 	}
 	require.InDelta(t, 5000, q.rate.perSecond, 800)
--- a/flow/shares_test.go
+++ b/flow/shares_test.go
@@ -68,7 +68,7 @@
 			if w == nil {
 				break
 			}
-			q.Leave(w, true, now)
+			q.Remove(w, true, now)
 			free = max(free, now) + seconds(float64(read)/perSecond)
 			shares.Charge(owner[w].name, read, now)
 			if now <= w.OnTimeDeadline {
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -94,7 +94,7 @@
 		return
 	}
 	delete(l.wakes, w)
-	l.queue.Leave(w, sent, now)
+	l.queue.Remove(w, sent, now)
 	l.wakeFirst(now)
 }
 
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -74,7 +74,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.queue.Leave(w, false, now)
+	l.queue.Remove(w, false, now)
 }
 
 // wait estimates how long a request waits for its turn.
