--- a/engine/engine.go
+++ b/engine/engine.go
@@ -57,14 +57,14 @@
 
 // RunningStream is a stream that the engine holds.
 type RunningStream struct {
-	ID        string
-	Attempt   uint32
-	Team      string
-	RequestID string
-	Model     string
-	Emitted   uint64
-	Prompt    uint32
-	MaxTokens uint32
+	ID          string
+	Attempt     uint32
+	Team        string
+	RequestID   string
+	Model       string
+	Emitted     uint64
+	PromptBytes uint32
+	MaxTokens   uint32
 }
 
 // Status is the engine's report of itself; it lags.
--- a/engine/engineclient/client.go
+++ b/engine/engineclient/client.go
@@ -104,14 +104,14 @@
 	out := make([]engine.RunningStream, 0, len(resp.GetStreams()))
 	for _, s := range resp.GetStreams() {
 		out = append(out, engine.RunningStream{
-			ID:        s.GetId(),
-			Attempt:   s.GetAttempt(),
-			Team:      s.GetTeam(),
-			RequestID: s.GetRequestId(),
-			Model:     s.GetModel(),
-			Emitted:   s.GetEmitted(),
-			Prompt:    s.GetPromptBytes(),
-			MaxTokens: s.GetMaxTokens(),
+			ID:          s.GetId(),
+			Attempt:     s.GetAttempt(),
+			Team:        s.GetTeam(),
+			RequestID:   s.GetRequestId(),
+			Model:       s.GetModel(),
+			Emitted:     s.GetEmitted(),
+			PromptBytes: s.GetPromptBytes(),
+			MaxTokens:   s.GetMaxTokens(),
 		})
 	}
 	return out, nil
--- a/internal/standin/engines/engine.go
+++ b/internal/standin/engines/engine.go
@@ -350,7 +350,7 @@
 	for id, s := range e.streams {
 		out = append(out, engine.RunningStream{
 			ID: id, Attempt: s.req.Attempt, Team: s.req.Team, RequestID: s.req.RequestID, Model: s.req.Model,
-			Emitted: uint64(len(s.tokens)), Prompt: uint32(len(s.req.Prompt)), MaxTokens: s.req.MaxTokens,
+			Emitted: uint64(len(s.tokens)), PromptBytes: uint32(len(s.req.Prompt)), MaxTokens: s.req.MaxTokens,
 		})
 	}
 	return out, nil
--- a/internal/standin/engines/server.go
+++ b/internal/standin/engines/server.go
@@ -94,7 +94,7 @@
 	for _, r := range running {
 		out.Streams = append(out.Streams, &platformv1.EngineStream{
 			Id: r.ID, Attempt: r.Attempt, Team: r.Team, RequestId: r.RequestID, Model: r.Model,
-			Emitted: r.Emitted, PromptBytes: r.Prompt, MaxTokens: r.MaxTokens,
+			Emitted: r.Emitted, PromptBytes: r.PromptBytes, MaxTokens: r.MaxTokens,
 		})
 	}
 	return out, nil
