--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -203,25 +203,25 @@
 	}
 	g.callers = ingress.New(callers, g.relay)
 	rep.OnChange(func(c *routing.Config) { g.callers.SetLimits(c.Limits) })
-	rec.Gauge("kingcup_gateway_in_progress", "Requests without a final answer.", func() float64 { return float64(g.relay.InProgress()) })
-	rec.Gauge("kingcup_gateway_config_version", "Version of the configuration in force.", func() float64 {
+	rec.RegisterGauge("kingcup_gateway_in_progress", "Requests without a final answer.", func() float64 { return float64(g.relay.InProgress()) })
+	rec.RegisterGauge("kingcup_gateway_config_version", "Version of the configuration in force.", func() float64 {
 		c, _ := rep.Current()
 		if c == nil {
 			return 0
 		}
 		return float64(c.Version)
 	})
-	rec.Gauge("kingcup_gateway_config_age_seconds", "Time since the configuration was known to be the newest.", func() float64 {
+	rec.RegisterGauge("kingcup_gateway_config_age_seconds", "Time since the configuration was known to be the newest.", func() float64 {
 		_, confirmed := rep.Current()
 		return (clock.SinceBoot() - confirmed).Seconds()
 	})
-	rec.Gauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
-	rec.Gauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.Live())) })
-	rec.Gauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
-	rec.Gauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
-	rec.Gauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.Limited()) })
-	rec.Gauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.Resting(clock.SinceBoot())) })
-	rec.Gauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLogLines()) })
+	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
+	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.Live())) })
+	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
+	rec.RegisterGauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
+	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.Limited()) })
+	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.Resting(clock.SinceBoot())) })
+	rec.RegisterGauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLogLines()) })
 	if err := g.serveMetrics(set, rec); err != nil {
 		callers.Close()
 		ready.Close()
--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -106,8 +106,8 @@
 // Registry is what an admin server exports.
 func (r *Recorder) Registry() *prometheus.Registry { return r.registry }
 
-// Gauge exports a value that is read when it is scraped.
-func (r *Recorder) Gauge(name, help string, value func() float64) {
+// RegisterGauge exports a value that is read when it is scraped.
+func (r *Recorder) RegisterGauge(name, help string, value func() float64) {
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
