--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -201,7 +201,7 @@
 
 // ends describes the evidence of a record, as the lines on servers that ended name it.
 func ends(r quarantine.Record) (out []string) {
-	for _, e := range r.Ends[:min(len(r.Ends), mostEvidence)] {
+	for _, e := range r.Crashes[:min(len(r.Crashes), mostEvidence)] {
 		out = append(out, fmt.Sprintf("%016x at %d ms", e.Incarnation, e.At.Milliseconds()))
 	}
 	return out
@@ -209,7 +209,7 @@
 
 // tell passes records on to the peers, those with most ends first.
 func (s *suspects) tell(news []quarantine.Record) {
-	slices.SortStableFunc(news, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Ends), len(x.Ends)) })
+	slices.SortStableFunc(news, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Crashes), len(x.Crashes)) })
 	out := &peerv1.Suspects{}
 	for _, r := range news {
 		if !s.told.Allow() {
@@ -232,7 +232,7 @@
 	if len(list) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(list, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Ends), len(x.Ends)) })
+	slices.SortStableFunc(list, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Crashes), len(x.Crashes)) })
 	out := &peerv1.Suspects{}
 	for _, r := range list[:min(len(list), greeted)] {
 		out.Suspects = append(out.Suspects, suspectOf(r))
@@ -242,7 +242,7 @@
 
 func suspectOf(r quarantine.Record) *peerv1.Suspect {
 	p := &peerv1.Suspect{Team: r.Team, Content: r.Content, AbsolvedMs: r.Absolved.Milliseconds(), TrialsMs: millis(r.Trials)}
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		p.Ends = append(p.Ends, &peerv1.End{Server: e.Incarnation, AtMs: e.At.Milliseconds()})
 	}
 	return p
@@ -251,7 +251,7 @@
 func recordOf(p *peerv1.Suspect) quarantine.Record {
 	r := quarantine.Record{ID: quarantine.ID{Team: p.GetTeam(), Content: p.GetContent()}, Absolved: time.Duration(p.GetAbsolvedMs()) * time.Millisecond, Trials: fromMillis(p.GetTrialsMs())}
 	for _, e := range p.GetEnds() {
-		r.Ends = append(r.Ends, quarantine.Crash{Incarnation: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
+		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
 	}
 	return r
 }
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -43,7 +43,7 @@
 
 func encodeSuspect(r quarantine.Record) ([]byte, error) {
 	d := suspectData{Team: r.Team, Content: r.Content, AbsolvedMs: r.Absolved.Milliseconds(), TrialsMs: millis(r.Trials)}
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		d.Ends = append(d.Ends, endData{e.Incarnation, e.At.Milliseconds()})
 	}
 	return json.Marshal(d)
@@ -59,7 +59,7 @@
 	}
 	r := quarantine.Record{ID: quarantine.ID{Team: d.Team, Content: d.Content}, Absolved: time.Duration(d.AbsolvedMs) * time.Millisecond, Trials: fromMillis(d.TrialsMs)}
 	for _, e := range d.Ends {
-		r.Ends = append(r.Ends, quarantine.Crash{Incarnation: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
+		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
 	}
 	if suspectKey(r.ID) != row.Key {
 		return r, errWrongKey
@@ -154,7 +154,7 @@
 	case !exists || !s.book.Convicts(row.record):
 		return true
 	}
-	return len(r.Trials) > 0 && (len(r.Trials) > len(row.record.Trials) || len(r.Ends) > len(row.record.Ends))
+	return len(r.Trials) > 0 && (len(r.Trials) > len(row.record.Trials) || len(r.Crashes) > len(row.record.Crashes))
 }
 
 // saveDue writes the rows that are due, as far as they are still lacking.
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -75,7 +75,7 @@
 func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Change {
 	list := make([]Record, 0, len(ran))
 	for _, id := range ran {
-		list = append(list, Record{ID: id, Ends: []Crash{{Incarnation: server, At: at}}})
+		list = append(list, Record{ID: id, Crashes: []Crash{{Incarnation: server, At: at}}})
 	}
 	return b.Merge(list)
 }
@@ -201,8 +201,8 @@
 		if ends := r.together(b.policy.Window); len(ends) >= b.policy.Ends {
 			b.held[id] = verdict{newest: ends[0].At}
 		}
-		if len(r.Ends) > 1 {
-			for _, e := range r.Ends {
+		if len(r.Crashes) > 1 {
+			for _, e := range r.Crashes {
 				shared[e.Incarnation]++
 			}
 		}
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -31,9 +31,9 @@
 // what either knows, in whatever order and however often they are merged.
 type Record struct {
 	ID
-	// Ends are ends under the request, one a life, from the newest to the oldest. Those up
+	// Crashes are ends under the request, one a life, from the newest to the oldest. Those up
 	// to Absolved count no more against it; they tell what else ran on those servers.
-	Ends []Crash
+	Crashes []Crash
 	// Absolved is when the request was last answered by a server, or an operator lifted
 	// the verdict; ends up to then do not count. 0 if never.
 	Absolved time.Duration
@@ -45,11 +45,11 @@
 // merge takes over what another record of the request knows, and reports whether that is
 // news.
 func (r *Record) merge(o Record) bool {
-	old, trials, absolved := r.Ends, r.Trials, r.Absolved
+	old, trials, absolved := r.Crashes, r.Trials, r.Absolved
 	r.Absolved = max(r.Absolved, o.Absolved)
 	r.Trials = newestTrials(slices.Concat(r.Trials, o.Trials), r.Absolved)
-	r.Ends = newest(slices.Concat(r.Ends, o.Ends))
-	return r.Absolved != absolved || !slices.Equal(r.Trials, trials) || !slices.Equal(r.Ends, old)
+	r.Crashes = newest(slices.Concat(r.Crashes, o.Crashes))
+	return r.Absolved != absolved || !slices.Equal(r.Trials, trials) || !slices.Equal(r.Crashes, old)
 }
 
 // newest returns the newest ends, one a life, that of the latest notice.
@@ -81,26 +81,26 @@
 
 // last is when something was last learnt of the request.
 func (r *Record) last() time.Duration {
-	if len(r.Ends) == 0 {
+	if len(r.Crashes) == 0 {
 		return r.Absolved
 	}
-	return max(r.Ends[0].At, r.Absolved)
+	return max(r.Crashes[0].At, r.Absolved)
 }
 
 // together lists the ends that count together: those since the absolution, within a window
 // up to the newest.
 func (r *Record) together(window time.Duration) []Crash {
-	for i, e := range r.Ends {
-		if e.At <= r.Absolved || e.At <= r.Ends[0].At-window {
-			return r.Ends[:i]
+	for i, e := range r.Crashes {
+		if e.At <= r.Absolved || e.At <= r.Crashes[0].At-window {
+			return r.Crashes[:i]
 		}
 	}
-	return r.Ends
+	return r.Crashes
 }
 
 // live counts the ends since the absolution.
 func (r *Record) live() (n int) {
-	for n < len(r.Ends) && r.Ends[n].At > r.Absolved {
+	for n < len(r.Crashes) && r.Crashes[n].At > r.Absolved {
 		n++
 	}
 	return n
@@ -118,6 +118,6 @@
 
 func (r *Record) clone() Record {
 	c := *r
-	c.Ends, c.Trials = slices.Clone(r.Ends), slices.Clone(r.Trials)
+	c.Crashes, c.Trials = slices.Clone(r.Crashes), slices.Clone(r.Trials)
 	return c
 }
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -75,12 +75,12 @@
 
 // underTrial reports whether a trial of the last so much time has shown nothing yet.
 func (r *Record) underTrial(now, lasts time.Duration) bool {
-	return len(r.Trials) > 0 && now-r.Trials[0] < lasts && !slices.ContainsFunc(r.Ends, func(e Crash) bool { return e.At > r.Trials[0] })
+	return len(r.Trials) > 0 && now-r.Trials[0] < lasts && !slices.ContainsFunc(r.Crashes, func(e Crash) bool { return e.At > r.Trials[0] })
 }
 
 // sharesEnd reports whether a server has ended under both requests.
 func (r *Record) sharesEnd(o *Record) bool {
-	return slices.ContainsFunc(r.Ends, func(e Crash) bool {
-		return slices.ContainsFunc(o.Ends, func(f Crash) bool { return f.Incarnation == e.Incarnation })
+	return slices.ContainsFunc(r.Crashes, func(e Crash) bool {
+		return slices.ContainsFunc(o.Crashes, func(f Crash) bool { return f.Incarnation == e.Incarnation })
 	})
 }
