--- a/backends/registry.go
+++ b/backends/registry.go
@@ -165,7 +165,7 @@
 			old.withheld = true
 		}
 		return left
-	case old != nil && !s.SameLife(old.Server):
+	case old != nil && !s.SameIncarnation(old.Server):
 		if s.StartTime < old.StartTime {
 			return left
 		}
@@ -177,14 +177,14 @@
 		r.servers[s.ID] = old
 		// An entry that lags brings back no server that was about to end when it went.
 		e, ended := r.endings[s.ID]
-		s.Leaving = s.Leaving || ended && e.Leaving && e.SameLife(s)
+		s.Leaving = s.Leaving || ended && e.Leaving && e.SameIncarnation(s)
 	}
 	return old.update(left, s, now)
 }
 
 // current returns what is known of the life that s describes, nil if that has ended.
 func (r *Registry) current(s Server) *server {
-	if known := r.servers[s.ID]; known != nil && known.SameLife(s) {
+	if known := r.servers[s.ID]; known != nil && known.SameIncarnation(s) {
 		return known
 	}
 	return nil
--- a/backends/restore.go
+++ b/backends/restore.go
@@ -41,7 +41,7 @@
 func (r *Registry) withholdEnded(s Server, now time.Duration) {
 	e, ended := r.endings[s.ID]
 	known := r.servers[s.ID]
-	if !ended || known == nil || !known.SameLife(e.Server) || now-e.at >= endedFor {
+	if !ended || known == nil || !known.SameIncarnation(e.Server) || now-e.at >= endedFor {
 		return
 	}
 	known.withheld, known.withheldUntil = true, e.at+endedFor
--- a/backends/server.go
+++ b/backends/server.go
@@ -28,8 +28,8 @@
 	Unreadable bool
 }
 
-// SameLife reports whether both describe one start of one server, as far as they say.
-func (s Server) SameLife(o Server) bool {
+// SameIncarnation reports whether both describe one start of one server, as far as they say.
+func (s Server) SameIncarnation(o Server) bool {
 	return s.ID == o.ID && (s.StartTime == o.StartTime || s.StartTime == 0 || o.StartTime == 0)
 }
 
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -84,7 +84,7 @@
 func (u *run) cutSilent(s backends.Server, since time.Duration) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended || !u.server.SameLife(s) || u.heard > since {
+	if u.ended || !u.server.SameIncarnation(s) || u.heard > since {
 		return false
 	}
 	u.cut()
@@ -109,7 +109,7 @@
 func (u *run) isAt(s backends.Server) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return !u.ended && u.server.SameLife(s)
+	return !u.ended && u.server.SameIncarnation(s)
 }
 
 // host is the id of the server that the run is at.
@@ -124,7 +124,7 @@
 func (u *run) beginMove(from backends.Server) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended || u.moving != nil || !u.server.SameLife(from) {
+	if u.ended || u.moving != nil || !u.server.SameIncarnation(from) {
 		return false
 	}
 	u.moving = make(chan struct{})
