--- a/flow/queue.go
+++ b/flow/queue.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Holds reports whether a waiter is in the queue.
-func (q *Queue) Holds(w *Waiter) bool { return slices.Contains(q.waiting, w) }
+// Contains reports whether a waiter is in the queue.
+func (q *Queue) Contains(w *Waiter) bool { return slices.Contains(q.waiting, w) }
 
 // Len is the number of waiters.
 func (q *Queue) Len() int { return len(q.waiting) }
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -62,7 +62,7 @@
 func (l *line) enter(w *flow.Waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.queue.Holds(w) {
+	if !l.queue.Contains(w) {
 		l.queue.Add(w)
 	}
 }
