--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -50,7 +50,7 @@
 	if j.MaxTokens > 0 {
 		most = min(most, j.MaxTokens)
 	}
-	return j.Prompt + most
+	return j.PromptTokens + most
 }
 
 // Offer implements Policy.
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -124,7 +124,7 @@
 	if p.cfg.Off.Forecast {
 		return flat(j)
 	}
-	return contribute(p.lengths(j.team, j.Model), j.Prompt, j.emitted, j.MaxTokens)
+	return contribute(p.lengths(j.team, j.Model), j.PromptTokens, j.emitted, j.MaxTokens)
 }
 
 // flat counts only the memory that the job holds now.
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -72,7 +72,7 @@
 func (w *world) check(t require.TestingT) {
 	used := 0
 	for j, emitted := range w.active {
-		used += j.Prompt + emitted
+		used += j.PromptTokens + emitted
 	}
 	s := w.p.Stats()
 	require.Equal(t, len(w.active), s.Running)
@@ -91,11 +91,11 @@
 			for range rapid.IntRange(0, 3).Draw(t, "arrivals") {
 				offered++
 				w.offer(&Job{
-					ID:     fmt.Sprint(offered),
-					Team:   rapid.SampledFrom([]string{"a", "b", "large"}).Draw(t, "team"),
-					Model:  "m",
-					Weight: rapid.Uint32Range(1, 3).Draw(t, "weight"),
-					Prompt: rapid.IntRange(1, 1500).Draw(t, "prompt"),
+					ID:           fmt.Sprint(offered),
+					Team:         rapid.SampledFrom([]string{"a", "b", "large"}).Draw(t, "team"),
+					Model:        "m",
+					Weight:       rapid.Uint32Range(1, 3).Draw(t, "weight"),
+					PromptTokens: rapid.IntRange(1, 1500).Draw(t, "prompt"),
 				}, rapid.IntRange(1, 3000).Draw(t, "length"))
 			}
 			w.step(t, rapid.IntRange(1, 40).Draw(t, "tokens"))
@@ -112,13 +112,13 @@
 // start at once, from the reserve.
 func TestSmallTeamNeverWaitsForABorrower(t *testing.T) {
 	w := newWorld(Config{Capacity: 40000, MaxWait: time.Minute})
-	w.offer(&Job{ID: "warm", Team: "small", Model: "m", Weight: 1, Prompt: 100}, 50)
+	w.offer(&Job{ID: "warm", Team: "small", Model: "m", Weight: 1, PromptTokens: 100}, 50)
 	for i := range 300 {
-		w.offer(&Job{ID: fmt.Sprint(i), Team: "large", Model: "m", Weight: 1, Prompt: 200}, 400+i)
+		w.offer(&Job{ID: fmt.Sprint(i), Team: "large", Model: "m", Weight: 1, PromptTokens: 200}, 400+i)
 		w.step(t, 5)
 	}
 	require.NotEmpty(t, w.queued, "the test needs a full engine to say anything")
-	small := &Job{ID: "small", Team: "small", Model: "m", Weight: 1, Prompt: 100}
+	small := &Job{ID: "small", Team: "small", Model: "m", Weight: 1, PromptTokens: 100}
 	w.offer(small, 50)
 	w.step(t, 1)
 	require.Contains(t, w.active, small)
@@ -129,7 +129,7 @@
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			p := NewForecasting(Config{Capacity: 1 << 20, MaxBatch: 257})
 			job := func(i int) *Job {
-				return &Job{ID: "j", Team: fmt.Sprint("t", i%teams), Model: "m", Weight: 1, Prompt: 100}
+				return &Job{ID: "j", Team: fmt.Sprint("t", i%teams), Model: "m", Weight: 1, PromptTokens: 100}
 			}
 			for i := range teams {
 				j := job(i)
@@ -157,7 +157,7 @@
 	p := NewForecasting(Config{Capacity: 1 << 20, MaxBatch: 257})
 	jobs := make([]*Job, 256)
 	for i := range jobs {
-		jobs[i] = &Job{ID: "j", Team: "t", Model: "m", Weight: 1, Prompt: 100}
+		jobs[i] = &Job{ID: "j", Team: "t", Model: "m", Weight: 1, PromptTokens: 100}
 		p.Offer(0, jobs[i])
 	}
 	p.Tick(0, nil)
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -15,9 +15,9 @@
 	Weight uint32
 	// Level is the priority class; higher is served first.
 	Level uint32
-	// Prompt and MaxTokens are in tokens; MaxTokens 0 is unbounded.
-	Prompt    int
-	MaxTokens int
+	// PromptTokens and MaxTokens are in tokens; MaxTokens 0 is unbounded.
+	PromptTokens int
+	MaxTokens    int
 	// Emitted is the number of tokens of an earlier attempt.
 	Emitted int
 	// Urgent jobs continue a stream whose caller already got tokens.
@@ -35,7 +35,7 @@
 }
 
 // Context is the number of tokens of memory that the job holds when it runs.
-func (j *Job) Context() int { return j.Prompt + j.emitted }
+func (j *Job) Context() int { return j.PromptTokens + j.emitted }
 
 type state uint8
 
