--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -241,7 +241,7 @@
 }
 
 func suspectOf(r quarantine.Record) *peerv1.Suspect {
-	p := &peerv1.Suspect{Team: r.Team, Content: r.Content, AbsolvedMs: r.Absolved.Milliseconds(), TrialsMs: millis(r.Trials)}
+	p := &peerv1.Suspect{Team: r.Team, Content: r.Content, AbsolvedMs: r.ClearedAt.Milliseconds(), TrialsMs: millis(r.Trials)}
 	for _, e := range r.Crashes {
 		p.Ends = append(p.Ends, &peerv1.End{Server: e.Incarnation, AtMs: e.At.Milliseconds()})
 	}
@@ -249,7 +249,7 @@
 }
 
 func recordOf(p *peerv1.Suspect) quarantine.Record {
-	r := quarantine.Record{ID: quarantine.ID{Team: p.GetTeam(), Content: p.GetContent()}, Absolved: time.Duration(p.GetAbsolvedMs()) * time.Millisecond, Trials: fromMillis(p.GetTrialsMs())}
+	r := quarantine.Record{ID: quarantine.ID{Team: p.GetTeam(), Content: p.GetContent()}, ClearedAt: time.Duration(p.GetAbsolvedMs()) * time.Millisecond, Trials: fromMillis(p.GetTrialsMs())}
 	for _, e := range p.GetEnds() {
 		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
 	}
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -42,7 +42,7 @@
 }
 
 func encodeSuspect(r quarantine.Record) ([]byte, error) {
-	d := suspectData{Team: r.Team, Content: r.Content, AbsolvedMs: r.Absolved.Milliseconds(), TrialsMs: millis(r.Trials)}
+	d := suspectData{Team: r.Team, Content: r.Content, AbsolvedMs: r.ClearedAt.Milliseconds(), TrialsMs: millis(r.Trials)}
 	for _, e := range r.Crashes {
 		d.Ends = append(d.Ends, endData{e.Incarnation, e.At.Milliseconds()})
 	}
@@ -57,7 +57,7 @@
 	if err := json.Unmarshal(row.Value, &d); err != nil {
 		return quarantine.Record{}, err
 	}
-	r := quarantine.Record{ID: quarantine.ID{Team: d.Team, Content: d.Content}, Absolved: time.Duration(d.AbsolvedMs) * time.Millisecond, Trials: fromMillis(d.TrialsMs)}
+	r := quarantine.Record{ID: quarantine.ID{Team: d.Team, Content: d.Content}, ClearedAt: time.Duration(d.AbsolvedMs) * time.Millisecond, Trials: fromMillis(d.TrialsMs)}
 	for _, e := range d.Ends {
 		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
 	}
@@ -150,7 +150,7 @@
 	r := s.book.Record(id)
 	switch {
 	case !s.book.Convicts(r):
-		return exists && r.Absolved > row.record.Absolved
+		return exists && r.ClearedAt > row.record.ClearedAt
 	case !exists || !s.book.Convicts(row.record):
 		return true
 	}
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -86,7 +86,7 @@
 	if r := b.records[id]; r == nil || len(r.together(b.policy.Window)) == 0 {
 		return Change{}
 	}
-	return b.Merge([]Record{{ID: id, Absolved: at}})
+	return b.Merge([]Record{{ID: id, ClearedAt: at}})
 }
 
 // Merge takes records of this process or of others.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -34,9 +34,9 @@
 	// Crashes are ends under the request, one a life, from the newest to the oldest. Those up
 	// to Absolved count no more against it; they tell what else ran on those servers.
 	Crashes []Crash
-	// Absolved is when the request was last answered by a server, or an operator lifted
+	// ClearedAt is when the request was last answered by a server, or an operator lifted
 	// the verdict; ends up to then do not count. 0 if never.
-	Absolved time.Duration
+	ClearedAt time.Duration
 	// Trials are when the request was let through since then, to see whether it is harmful,
 	// from the newest to the oldest.
 	Trials []time.Duration
@@ -45,11 +45,11 @@
 // merge takes over what another record of the request knows, and reports whether that is
 // news.
 func (r *Record) merge(o Record) bool {
-	old, trials, absolved := r.Crashes, r.Trials, r.Absolved
-	r.Absolved = max(r.Absolved, o.Absolved)
-	r.Trials = newestTrials(slices.Concat(r.Trials, o.Trials), r.Absolved)
+	old, trials, absolved := r.Crashes, r.Trials, r.ClearedAt
+	r.ClearedAt = max(r.ClearedAt, o.ClearedAt)
+	r.Trials = newestTrials(slices.Concat(r.Trials, o.Trials), r.ClearedAt)
 	r.Crashes = newest(slices.Concat(r.Crashes, o.Crashes))
-	return r.Absolved != absolved || !slices.Equal(r.Trials, trials) || !slices.Equal(r.Crashes, old)
+	return r.ClearedAt != absolved || !slices.Equal(r.Trials, trials) || !slices.Equal(r.Crashes, old)
 }
 
 // newest returns the newest ends, one a life, that of the latest notice.
@@ -82,16 +82,16 @@
 // last is when something was last learnt of the request.
 func (r *Record) last() time.Duration {
 	if len(r.Crashes) == 0 {
-		return r.Absolved
+		return r.ClearedAt
 	}
-	return max(r.Crashes[0].At, r.Absolved)
+	return max(r.Crashes[0].At, r.ClearedAt)
 }
 
 // together lists the ends that count together: those since the absolution, within a window
 // up to the newest.
 func (r *Record) together(window time.Duration) []Crash {
 	for i, e := range r.Crashes {
-		if e.At <= r.Absolved || e.At <= r.Crashes[0].At-window {
+		if e.At <= r.ClearedAt || e.At <= r.Crashes[0].At-window {
 			return r.Crashes[:i]
 		}
 	}
@@ -100,7 +100,7 @@
 
 // live counts the ends since the absolution.
 func (r *Record) live() (n int) {
-	for n < len(r.Crashes) && r.Crashes[n].At > r.Absolved {
+	for n < len(r.Crashes) && r.Crashes[n].At > r.ClearedAt {
 		n++
 	}
 	return n
