--- a/backends/advice.go
+++ b/backends/advice.go
@@ -10,8 +10,8 @@
 // then, and may ask for more.
 const MostRest = time.Hour
 
-// Advice is what a server says of itself in the head of an answer.
-type Advice struct {
+// Signals is what a server says of itself in the head of an answer.
+type Signals struct {
 	// Limited reports that it names a limit: the requests a second that it takes from all
 	// processes together.
 	Limited bool
@@ -144,7 +144,7 @@
 //
 // Answers overtake each other. That a limit is missing says that it has ended only in an answer
 // to a request that was sent after the limit was last heard of.
-func (r *Registry) Advised(at Server, a Advice, sent, now time.Duration) (n News) {
+func (r *Registry) Advised(at Server, a Signals, sent, now time.Duration) (n News) {
 	r.mu.Lock()
 	n, left := r.advised(at, a, sent, now)
 	r.mu.Unlock()
@@ -153,7 +153,7 @@
 }
 
 // advised is Advised with mu held.
-func (r *Registry) advised(at Server, a Advice, sent, now time.Duration) (n News, left []leave) {
+func (r *Registry) advised(at Server, a Signals, sent, now time.Duration) (n News, left []leave) {
 	s := r.current(at)
 	if s == nil {
 		return n, nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -118,7 +118,7 @@
 		func() clock.Source { return clock.SinceBoot },
 		func(rec *gatewaymetrics.Recorder) *store.Client { return store.New(set.Store, set.LinkMbps, rec) },
 		func(l *late) *upstream.Client {
-			return upstream.New(func(s backends.Server, a backends.Advice, begun time.Duration) {
+			return upstream.New(func(s backends.Server, a backends.Signals, begun time.Duration) {
 				if r := l.relay.Load(); r != nil {
 					r.Advised(s, a, begun)
 				}
--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -129,7 +129,7 @@
 				return answer(200, "ok"), nil
 			}
 			require.NoError(t, a.Look())
-			w.relay.Advised(a.Server, backends.Advice{Leaving: true}, 0)
+			w.relay.Advised(a.Server, backends.Signals{Leaving: true}, 0)
 			err := a.Look()
 			require.Error(t, err)
 			a.From = &Copy{}
