--- a/flow/queue.go
+++ b/flow/queue.go
@@ -54,8 +54,8 @@
 // Len is the number of waiters.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// First returns the rank of the next waiter and how many have it.
-func (q *Queue) First(now time.Duration) (rank, n int) {
+// HeadRank returns the rank of the next waiter and how many have it.
+func (q *Queue) HeadRank(now time.Duration) (rank, n int) {
 	next := q.Next(now)
 	if next == nil {
 		return 0, 0
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -129,7 +129,7 @@
 	defer l.mu.Unlock()
 	l.unplaced += change
 	l.crowded = r.Now()
-	rank, first := l.queue.First(r.Now())
+	rank, first := l.queue.HeadRank(r.Now())
 	r.Others.Queued(service, flow.Contender{Waiting: l.unplaced, Rank: rank, First: first})
 }
 
