--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -44,7 +44,7 @@
 // need is the memory that a job is admitted against.
 func (b *Baseline) need(j *Job) int {
 	if b.reserve == 0 {
-		return j.Context() + 1
+		return j.ContextTokens() + 1
 	}
 	most := b.reserve
 	if j.MaxTokens > 0 {
@@ -69,13 +69,13 @@
 
 func (b *Baseline) begin(j *Job) {
 	j.state = stateRunning
-	b.used += j.Context()
+	b.used += j.ContextTokens()
 	b.held += b.need(j)
 	b.stats.Running++
 }
 
 func (b *Baseline) end(j *Job) {
-	b.used -= j.Context()
+	b.used -= j.ContextTokens()
 	b.held -= b.need(j)
 	if b.reserve == 0 {
 		b.held = b.used + b.stats.Running - 1
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -131,7 +131,7 @@
 func flat(j *Job) contribution {
 	c := contribution{at: j.emitted}
 	for k := range horizons {
-		c.mean[k] = float64(j.Context() + 1)
+		c.mean[k] = float64(j.ContextTokens() + 1)
 	}
 	return c
 }
@@ -194,8 +194,8 @@
 	j.started = p.now
 	j.contrib = p.contribution(j)
 	p.count(j, 1)
-	p.mem.used += j.Context()
-	j.team.mem.used += j.Context()
+	p.mem.used += j.ContextTokens()
+	j.team.mem.used += j.ContextTokens()
 	j.team.running++
 	j.team.seen = p.now
 	p.running = append(p.running, j)
@@ -205,15 +205,15 @@
 // leave ends the counting of j as running.
 func (p *Forecasting) leave(j *Job) {
 	p.count(j, -1)
-	p.mem.used -= j.Context()
-	j.team.mem.used -= j.Context()
+	p.mem.used -= j.ContextTokens()
+	j.team.mem.used -= j.ContextTokens()
 	j.team.running--
 	p.stats.Running--
 	i := slices.Index(p.running, j)
 	last := len(p.running) - 1
 	p.running[i] = p.running[last]
 	p.running = p.running[:last]
-	p.drain.add(p.now, float64(j.Context()))
+	p.drain.add(p.now, float64(j.ContextTokens()))
 	if p.stats.Running == 0 {
 		p.mem = memory{}
 	}
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -34,8 +34,8 @@
 	contrib  contribution
 }
 
-// Context is the number of tokens of memory that the job holds when it runs.
-func (j *Job) Context() int { return j.PromptTokens + j.emitted }
+// ContextTokens is the number of tokens of memory that the job holds when it runs.
+func (j *Job) ContextTokens() int { return j.PromptTokens + j.emitted }
 
 type state uint8
 
--- a/sched/victims.go
+++ b/sched/victims.go
@@ -50,7 +50,7 @@
 
 func (p *Forecasting) cost(j *Job) float64 {
 	cost := -costOver * min(3, p.over(j.team, 0))
-	cost += costRedo * float64(j.Context()) / (float64(p.cfg.Capacity) / 16)
+	cost += costRedo * float64(j.ContextTokens()) / (float64(p.cfg.Capacity) / 16)
 	left := p.lengths(j.team, j.Model).Remaining(float64(j.emitted))
 	cost += costEnding * float64(j.emitted+1) / (float64(j.emitted+1) + left)
 	return cost + costAgain*float64(j.pauses)
