--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -106,7 +106,7 @@
 	if !known {
 		return false
 	}
-	s.learn("tried", 0, func(b *quarantine.Tracker) (c quarantine.Change) {
+	s.learn("tried", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
 		c, tried = b.Try(id, now)
 		return c
 	})
@@ -137,7 +137,7 @@
 		s.log.WithField("server", server.ID).Warn("end of a server is not counted, the store's clock is not known")
 		return
 	}
-	s.learn("seen here", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Ended(lifeHash(server), now, ran) })
+	s.learn("seen here", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Ended(lifeHash(server), now, ran) })
 }
 
 // lifeHash identifies a life of a server among all gateways.
@@ -150,7 +150,7 @@
 
 func (s *suspects) absolve(id quarantine.ID, why string) {
 	if now, known := s.group.role.now(); known {
-		s.learn(why, 0, func(b *quarantine.Tracker) quarantine.Change { return b.Absolve(id, now) })
+		s.learn(why, 0, func(b *quarantine.Tracker) quarantine.Update { return b.Absolve(id, now) })
 	}
 }
 
@@ -160,7 +160,7 @@
 	for _, p := range list {
 		records = append(records, recordOf(p))
 	}
-	s.learn("told by "+peer, s.turn(), func(b *quarantine.Tracker) quarantine.Change { return b.Merge(records) })
+	s.learn("told by "+peer, s.turn(), func(b *quarantine.Tracker) quarantine.Update { return b.Merge(records) })
 }
 
 // turn is when this gateway writes a row that others may write as well.
@@ -170,7 +170,7 @@
 
 // learn changes the book, and tells peers, the relay and the store what follows from it;
 // the store after some time.
-func (s *suspects) learn(why string, after time.Duration, change func(*quarantine.Tracker) quarantine.Change) {
+func (s *suspects) learn(why string, after time.Duration, change func(*quarantine.Tracker) quarantine.Update) {
 	s.mu.Lock()
 	c := change(s.book)
 	s.any.Store(s.book.Len() > 0)
@@ -294,7 +294,7 @@
 	if !known {
 		return
 	}
-	s.learn("expired", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Expire(now) })
+	s.learn("expired", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Expire(now) })
 	for _, row := range s.expiredRows(now) {
 		if rand.IntN(max(1, s.group.Known())) > 0 {
 			continue
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -105,7 +105,7 @@
 	}
 	maps.Copy(s.rows, known)
 	s.mu.Unlock()
-	s.learn("row of the store", s.turn(), func(b *quarantine.Tracker) quarantine.Change { return b.Merge(records) })
+	s.learn("row of the store", s.turn(), func(b *quarantine.Tracker) quarantine.Update { return b.Merge(records) })
 	if whole {
 		s.scheduleMissing()
 	}
--- a/internal/gateway/suspectrows_test.go
+++ b/internal/gateway/suspectrows_test.go
@@ -37,7 +37,7 @@
 	s := quietGroup(memberRows(nil)).suspects
 	x, y := quarantine.Of("team", "POST", "h", "/x", nil), quarantine.Of("team", "POST", "h", "/y", nil)
 	end := func(server uint64, at time.Duration, ran ...quarantine.ID) {
-		s.learn("test", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Ended(server, at, ran) })
+		s.learn("test", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Ended(server, at, ran) })
 	}
 	for server := range uint64(3) {
 		end(server, time.Duration(1+server)*time.Second, x, y)
@@ -47,7 +47,7 @@
 	s.stored(t, y, 2)
 	require.Empty(t, s.dueNow(), "the store has them")
 	tried := false
-	s.learn("test", 0, func(b *quarantine.Tracker) (c quarantine.Change) {
+	s.learn("test", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
 		c, tried = b.Try(x, 10*time.Second)
 		return c
 	})
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -63,8 +63,8 @@
 // Holds counts the requests that are refused.
 func (b *Tracker) Holds() int { return len(b.held) }
 
-// Change is what a Book has learnt.
-type Change struct {
+// Update is what a Book has learnt.
+type Update struct {
 	// News are the records that have changed, as they are now.
 	News []Record
 	// Held are the requests that are refused from now on, Freed those that no longer are.
@@ -72,7 +72,7 @@
 }
 
 // Ended notes that a life of a server has ended while requests ran there.
-func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Change {
+func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Update {
 	list := make([]Record, 0, len(ran))
 	for _, id := range ran {
 		list = append(list, Record{ID: id, Crashes: []Crash{{Incarnation: server, At: at}}})
@@ -82,15 +82,15 @@
 
 // Absolve notes that a server has answered a request, or that an operator lifts its
 // verdict. It is no news where nothing is held against the request.
-func (b *Tracker) Absolve(id ID, at time.Duration) Change {
+func (b *Tracker) Absolve(id ID, at time.Duration) Update {
 	if r := b.records[id]; r == nil || len(r.together(b.policy.Window)) == 0 {
-		return Change{}
+		return Update{}
 	}
 	return b.Merge([]Record{{ID: id, ClearedAt: at}})
 }
 
 // Merge takes records of this process or of others.
-func (b *Tracker) Merge(list []Record) Change {
+func (b *Tracker) Merge(list []Record) Update {
 	var news []*Record
 	for _, o := range list {
 		if r := b.take(o); r != nil {
@@ -98,10 +98,10 @@
 		}
 	}
 	if len(news) == 0 {
-		return Change{}
+		return Update{}
 	}
 	b.bound()
-	var c Change
+	var c Update
 	for _, r := range news {
 		if b.records[r.ID] == r {
 			c.News = append(c.News, r.clone())
@@ -179,9 +179,9 @@
 
 // Expire forgets what does not count any more. What seems to lie far ahead is of a clock
 // that has begun anew.
-func (b *Tracker) Expire(now time.Duration) Change {
+func (b *Tracker) Expire(now time.Duration) Update {
 	maps.DeleteFunc(b.records, func(_ ID, r *Record) bool { return b.Expired(*r, now) })
-	var c Change
+	var c Update
 	c.Held, c.Freed = b.judge()
 	return c
 }
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -20,9 +20,9 @@
 // have the same ends, and the one that is refused without a reason could show by no answer
 // that it is harmless. A trial may be cut short by what has nothing to do with it; those
 // that servers end under are few, as each costs what runs beside.
-func (b *Tracker) Try(id ID, now time.Duration) (Change, bool) {
+func (b *Tracker) Try(id ID, now time.Duration) (Update, bool) {
 	if !b.Due(id, now) || !b.hasTurn(b.records[id], now) {
-		return Change{}, false
+		return Update{}, false
 	}
 	return b.Merge([]Record{{ID: id, Trials: []time.Duration{now}}}), true
 }
