--- a/backends/pace.go
+++ b/backends/pace.go
@@ -36,7 +36,7 @@
 
 // bears reports whether a server of a service of so many takes a request of this process now;
 // mu is held. What it takes is shared out within its cell, so others leave it alone.
-func (r *Registry) bears(s *server, l pacing.Limit, of int, at pacing.Clock, now time.Duration) bool {
+func (r *Registry) bears(s *server, l pacing.Limit, of int, at pacing.SharedTime, now time.Duration) bool {
 	if l.Rate > 0 && !r.inOwnCell(s, of) {
 		return false
 	}
@@ -46,7 +46,7 @@
 // TakeTurn counts a request that goes to a server for which no turn was taken when it was
 // chosen, as that was for a copy. It reports whether the server takes the request: it may have
 // named a limit since.
-func (r *Registry) TakeTurn(l *Reservation, at pacing.Clock, now time.Duration) bool {
+func (r *Registry) TakeTurn(l *Reservation, at pacing.SharedTime, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !l.s.limit.named {
@@ -78,7 +78,7 @@
 func (p Pace) Later() bool { return !p.Open && (p.Bounded || p.Resting) }
 
 // Pace tells at what rate servers of a service take requests that must stay in some regions.
-func (r *Registry) Pace(service string, within routing.Regions, at pacing.Clock, now time.Duration) (p Pace) {
+func (r *Registry) Pace(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Pace) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	traits, list := r.traits(service), r.listed(service)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -297,7 +297,7 @@
 	// Regions are where the request may run.
 	Regions routing.Regions
 	// Clock is what cold servers are shared out by.
-	Clock pacing.Clock
+	Clock pacing.SharedTime
 	// Turns bounds the choice to servers where it is this process's turn, nil for
 	// all.
 	Turns *flow.Turns
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -98,13 +98,13 @@
 }
 
 // SharedClock implements relay.Others: the store's clock.
-func (g *group) SharedClock() pacing.Clock {
+func (g *group) SharedClock() pacing.SharedTime {
 	f := g.followers[operator.Table]
 	if f == nil {
-		return pacing.Clock{}
+		return pacing.SharedTime{}
 	}
 	now, known := f.StoreTime()
-	return pacing.Clock{Now: now, Known: known}
+	return pacing.SharedTime{Now: now, Known: known}
 }
 
 // contenders lists the peers that have requests waiting for a service.
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -89,7 +89,7 @@
 	return o.usage
 }
 
-func (o *others) SharedClock() pacing.Clock { return pacing.Clock{} }
+func (o *others) SharedClock() pacing.SharedTime { return pacing.SharedTime{} }
 
 func (o *others) MoveTurns(string) *flow.Turns { return o.Turns("", 0) }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -99,7 +99,7 @@
 	// domain, nil while only this process has such runs.
 	MoveTurns(domain string) *flow.Turns
 	// SharedClock is a clock that all processes go by.
-	SharedClock() pacing.Clock
+	SharedClock() pacing.SharedTime
 }
 
 // Relay serves requests. It is safe for concurrent use; mu is taken before the lock
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Clock is a steady clock that all processes share, as one of them knows it.
-type Clock struct {
+// SharedTime is a steady clock that all processes share, as one of them knows it.
+type SharedTime struct {
 	Now   time.Duration
 	Known bool
 }
@@ -163,7 +163,7 @@
 // May reports whether a request may be sent to a server, by the hash of its name, now. A
 // process that does not know the clock that tickets go by sends nothing where there are
 // tickets: its part is another's.
-func (p *Pacer) May(s *Share, l Limit, server uint64, shared Clock, now time.Duration) bool {
+func (p *Pacer) May(s *Share, l Limit, server uint64, shared SharedTime, now time.Duration) bool {
 	if l.Rate <= 0 {
 		return true
 	}
@@ -178,7 +178,7 @@
 const lookAhead = 64
 
 // Next is how long it is until a request may be sent, at the least.
-func (p *Pacer) Next(s *Share, l Limit, server uint64, shared Clock, now time.Duration) time.Duration {
+func (p *Pacer) Next(s *Share, l Limit, server uint64, shared SharedTime, now time.Duration) time.Duration {
 	if l.Rate <= 0 {
 		return 0
 	}
@@ -204,7 +204,7 @@
 }
 
 // Sent notes that a request was sent.
-func (p *Pacer) Sent(s *Share, l Limit, shared Clock, now time.Duration) {
+func (p *Pacer) Sent(s *Share, l Limit, shared SharedTime, now time.Duration) {
 	if part, ok := s.equalPart(l); ok {
 		p.spent, p.at = p.left(part, now)+1, now
 		return
@@ -230,9 +230,9 @@
 }
 
 // ticket is the one that is valid now; a process that is alone needs no shared clock.
-func (s *Share) ticket(l Limit, shared Clock, now time.Duration) (ticket, bool) {
+func (s *Share) ticket(l Limit, shared SharedTime, now time.Duration) (ticket, bool) {
 	if s.count() == 1 {
-		shared = Clock{Now: now, Known: true}
+		shared = SharedTime{Now: now, Known: true}
 	}
 	span := time.Duration(float64(time.Second) / l.Rate)
 	n := int64(shared.Now / span)
--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -58,7 +58,7 @@
 }
 
 func (p *paced) may(shared, now time.Duration) bool {
-	clock := Clock{Now: shared, Known: true}
+	clock := SharedTime{Now: shared, Known: true}
 	if !p.May(p.share, p.limit, server, clock, now) {
 		return false
 	}
@@ -70,7 +70,7 @@
 type tickets struct{ paced }
 
 func (k *tickets) may(shared, now time.Duration) bool {
-	t, _ := k.share.ticket(k.limit, Clock{Now: shared, Known: true}, now)
+	t, _ := k.share.ticket(k.limit, SharedTime{Now: shared, Known: true}, now)
 	if k.hasUsed(t) || !k.share.mine(server, t.number) {
 		return false
 	}
@@ -209,9 +209,9 @@
 	for i := range 100 {
 		names = append(names, fmt.Sprint("vm-", i))
 	}
-	require.False(t, p.May(NewShare("self", names), limit(2), server, Clock{}, 0))
-	require.True(t, p.May(nil, limit(2), server, Clock{}, 0), "alone")
-	require.True(t, p.May(NewShare("self", names), Limit{}, server, Clock{}, 0), "no bound")
+	require.False(t, p.May(NewShare("self", names), limit(2), server, SharedTime{}, 0))
+	require.True(t, p.May(nil, limit(2), server, SharedTime{}, 0), "alone")
+	require.True(t, p.May(NewShare("self", names), Limit{}, server, SharedTime{}, 0), "no bound")
 }
 
 // Guards against tickets that are not given out for hours because the rate fell, or the shared
@@ -225,8 +225,8 @@
 	sent := func(p *Pacer, rate float64, from time.Duration) (n int) {
 		l := Named(rate)
 		for now := from; now < from+100*time.Second; now += wait {
-			if p.May(share, l, server, Clock{Now: now, Known: true}, now) {
-				p.Sent(share, l, Clock{Now: now, Known: true}, now)
+			if p.May(share, l, server, SharedTime{Now: now, Known: true}, now) {
+				p.Sent(share, l, SharedTime{Now: now, Known: true}, now)
 				n++
 			}
 		}
@@ -250,7 +250,7 @@
 			s := NewShare("self", names)
 			var p Pacer
 			for now := time.Duration(0); b.Loop(); now += time.Millisecond {
-				p.May(s, limit(32), server, Clock{Now: now, Known: true}, now)
+				p.May(s, limit(32), server, SharedTime{Now: now, Known: true}, now)
 			}
 		})
 	}
