--- a/flow/queue.go
+++ b/flow/queue.go
@@ -112,8 +112,8 @@
 
 func (w *Waiter) late(now time.Duration) bool { return now > w.OnTimeDeadline }
 
-// Wait estimates how long a request would wait behind those that go before it.
-func (q *Queue) Wait(w *Waiter, now time.Duration) time.Duration {
+// EstimateWait estimates how long a request would wait behind those that go before it.
+func (q *Queue) EstimateWait(w *Waiter, now time.Duration) time.Duration {
 	ahead := 0
 	for _, o := range q.waiting {
 		if o != w && before(o, w, now) {
@@ -130,7 +130,7 @@
 // that those leave. Sent away as long as others can be on time, more are refused for good,
 // and no more are on time.
 func (q *Queue) Refuse(w *Waiter, now time.Duration) bool {
-	return now+q.Wait(w, now) > w.DispatchDeadline
+	return now+q.EstimateWait(w, now) > w.DispatchDeadline
 }
 
 // rate measures the prompt tokens that go to engines in a second while requests
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -145,7 +145,7 @@
 // whileOthersAreOnTime sends a late request away as long as another can be on time.
 func whileOthersAreOnTime(q *Queue, w *Waiter, now time.Duration) bool {
 	others := slices.ContainsFunc(q.waiting, func(o *Waiter) bool { return o != w && now <= o.OnTimeDeadline })
-	return w.late(now) && others || now+q.Wait(w, now) > w.DispatchDeadline
+	return w.late(now) && others || now+q.EstimateWait(w, now) > w.DispatchDeadline
 }
 
 // Half as many requests again come for 4 s as the engines can read. Callers that cannot
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -84,7 +84,7 @@
 	}
 	l.mu.Lock()
 	l.queue.SetRate(p.PerSecond)
-	turn := p.Next + l.queue.Wait(w, now)
+	turn := p.Next + l.queue.EstimateWait(w, now)
 	l.mu.Unlock()
 	if p.Resting {
 		turn = min(turn, p.Rest)
