--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -55,10 +55,10 @@
 	g.job = &sched.Job{
 		ID: g.id, Team: r.GetTeam(), Model: r.GetModel(),
 		Weight: team.GetWeight(), Level: level,
-		PromptTokens: len(r.GetPrompt())/a.cfg.BytesPerToken + 1,
-		MaxTokens:    int(r.GetMaxTokens()),
-		Emitted:      len(start.GetPrefix()),
-		Urgent:       len(start.GetPrefix()) > 0,
+		PromptTokens:  len(r.GetPrompt())/a.cfg.BytesPerToken + 1,
+		MaxTokens:     int(r.GetMaxTokens()),
+		EmittedBefore: len(start.GetPrefix()),
+		Urgent:        len(start.GetPrefix()) > 0,
 	}
 	return g
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -233,7 +233,7 @@
 	g.buf.Begin(r.Attempt)
 	g.job = &sched.Job{
 		ID: r.ID, Team: r.Team, Model: r.Model, Weight: 1,
-		PromptTokens: int(r.PromptBytes)/a.cfg.BytesPerToken + 1, MaxTokens: int(r.MaxTokens), Emitted: int(r.Emitted),
+		PromptTokens: int(r.PromptBytes)/a.cfg.BytesPerToken + 1, MaxTokens: int(r.MaxTokens), EmittedBefore: int(r.Emitted),
 	}
 	a.mu.Lock()
 	a.enter(g)
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -101,7 +101,7 @@
 	s.arrivals++
 	j := &sched.Job{
 		ID: t.Name + string(rune(s.arrivals)), Team: t.Name, Model: "m", Weight: t.Weight, Level: t.Level,
-		PromptTokens: a.Prompt, MaxTokens: MaxTokens, Emitted: a.Emitted, Urgent: a.Emitted > 0,
+		PromptTokens: a.Prompt, MaxTokens: MaxTokens, EmittedBefore: a.Emitted, Urgent: a.Emitted > 0,
 	}
 	s.out.class(t).Offered++
 	if d := s.policy.Offer(s.now, j); d.Verdict == sched.Refuse {
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -55,7 +55,7 @@
 
 // Offer implements Policy.
 func (b *Baseline) Offer(now time.Duration, j *Job) Decision {
-	j.arrived, j.emitted, j.state = now, j.Emitted, stateQueued
+	j.arrived, j.emitted, j.state = now, j.EmittedBefore, stateQueued
 	b.queue = append(b.queue, j)
 	b.stats.Queued++
 	return Decision{Verdict: Queue}
@@ -63,7 +63,7 @@
 
 // Adopt implements Policy.
 func (b *Baseline) Adopt(now time.Duration, j *Job) {
-	j.arrived, j.emitted = now, j.Emitted
+	j.arrived, j.emitted = now, j.EmittedBefore
 	b.begin(j)
 }
 
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -108,7 +108,7 @@
 	p.now = now
 	t := p.team(j)
 	j.team = t
-	j.emitted = j.Emitted
+	j.emitted = j.EmittedBefore
 	j.arrived = now
 	j.contrib = p.contribution(j)
 	if wait := p.wait(t, j); !p.cfg.Off.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
@@ -223,7 +223,7 @@
 func (p *Forecasting) Adopt(now time.Duration, j *Job) {
 	p.now = now
 	j.team = p.team(j)
-	j.emitted = j.Emitted
+	j.emitted = j.EmittedBefore
 	j.arrived = now
 	p.begin(j)
 }
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -29,7 +29,7 @@
 		w.ended++
 		return
 	}
-	w.queued[j] = j.Emitted
+	w.queued[j] = j.EmittedBefore
 }
 
 // step lets time pass, every active job emit n tokens, and the policy act.
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -18,8 +18,8 @@
 	// PromptTokens and MaxTokens are in tokens; MaxTokens 0 is unbounded.
 	PromptTokens int
 	MaxTokens    int
-	// Emitted is the number of tokens of an earlier attempt.
-	Emitted int
+	// EmittedBefore is the number of tokens of an earlier attempt.
+	EmittedBefore int
 	// Urgent jobs continue a stream whose caller already got tokens.
 	Urgent bool
 
