--- a/pacing/named_test.go
+++ b/pacing/named_test.go
@@ -78,7 +78,7 @@
 		for _, n := range []int{1, 6, 23, 103, 330} {
 			for seed := range uint64(3) {
 				r := namedPlay{gateways: n, rate: rate, seed: seed}.play()
-				require.LessOrEqual(t, float64(r.most), Named(rate).Most, "%d gateways, %v a second", n, rate)
+				require.LessOrEqual(t, float64(r.most), Named(rate).MaxInWindow, "%d gateways, %v a second", n, rate)
 				takes := max(rate, leastNamed) * later.Seconds()
 				require.LessOrEqual(t, float64(r.later), 1.05*takes+1, "%d gateways, %v a second: for long", n, rate)
 				require.GreaterOrEqual(t, float64(r.later), 0.8*takes-1, "%d gateways, %v a second: requests wait", n, rate)
@@ -94,7 +94,7 @@
 		for _, n := range []int{6, 23, 103, 330} {
 			for seed := range uint64(3) {
 				r := namedPlay{gateways: n, rate: rate, seed: seed, restarting: 0.2, blind: n / 4}.play()
-				require.LessOrEqual(t, float64(r.most), Named(rate).Most, "%d gateways, %v a second", n, rate)
+				require.LessOrEqual(t, float64(r.most), Named(rate).MaxInWindow, "%d gateways, %v a second", n, rate)
 			}
 		}
 	}
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -18,9 +18,9 @@
 type Limit struct {
 	// Rate is the requests a second that it takes for long, 0 for no bound.
 	Rate float64
-	// Most is the most requests in any span of Window.
-	Most   float64
-	Window time.Duration
+	// MaxInWindow is the most requests in any span of Window.
+	MaxInWindow float64
+	Window      time.Duration
 	// Lasting keeps what is sent for long to Rate, where Most would allow more.
 	Lasting bool
 }
@@ -40,7 +40,7 @@
 func Named(perSecond float64) Limit {
 	return Limit{
 		Rate: max(perSecond, leastNamed), Lasting: true,
-		Most: namedOverage*perSecond*namedWindow.Seconds() + namedTolerance, Window: namedWindow,
+		MaxInWindow: namedOverage*perSecond*namedWindow.Seconds() + namedTolerance, Window: namedWindow,
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 	return Limit{
 		Rate: min(l.Rate, o.Rate), Lasting: l.Lasting || o.Lasting,
-		Most: min(l.Most, o.Most), Window: max(l.Window, o.Window),
+		MaxInWindow: min(l.MaxInWindow, o.MaxInWindow), Window: max(l.Window, o.Window),
 	}
 }
 
@@ -109,12 +109,12 @@
 // too many for that.
 func (s *Share) equalPart(l Limit) (part, bool) {
 	n, window := float64(s.count()), l.Window.Seconds()
-	together := (usable*l.Most - n) / window
+	together := (usable*l.MaxInWindow - n) / window
 	least := leastPart
 	burst := 1.0
 	if l.Lasting {
 		together, least = min(together, l.Rate), leastLasting
-		burst = max(1, min(together*burstTime.Seconds(), usable*l.Most-window*together)/n)
+		burst = max(1, min(together*burstTime.Seconds(), usable*l.MaxInWindow-window*together)/n)
 	}
 	return part{burst, together / n}, together >= least*l.Rate
 }
--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -20,7 +20,9 @@
 )
 
 // limit is what a server bears, and the platform's bound for one second.
-func limit(rate float64) Limit { return Limit{Rate: rate, Most: 1.5*rate + 5, Window: time.Second} }
+func limit(rate float64) Limit {
+	return Limit{Rate: rate, MaxInWindow: 1.5*rate + 5, Window: time.Second}
+}
 
 var server = xxhash.Sum64String("server")
 
@@ -152,7 +154,7 @@
 		for _, n := range []int{1, 4, 23, 31, 103, 330} {
 			for seed := range uint64(5) {
 				r := play(load{gateways: n, seed: seed}, newPaced(limit(rate)))
-				require.LessOrEqual(t, float64(r.most), limit(rate).Most, "%d gateways, %v a second", n, rate)
+				require.LessOrEqual(t, float64(r.most), limit(rate).MaxInWindow, "%d gateways, %v a second", n, rate)
 				require.Greater(t, r.mean, 0.45*rate, "%d gateways, %v a second: requests wait although the server takes more", n, rate)
 			}
 		}
@@ -177,9 +179,9 @@
 	parts := func(_ int, names []string) way {
 		return &bucket{perSecond: 32 / float64(len(names)), tokens: 1}
 	}
-	require.Greater(t, float64(play(load{gateways: 330, seed: 1}, parts).most), limit(32).Most)
+	require.Greater(t, float64(play(load{gateways: 330, seed: 1}, parts).most), limit(32).MaxInWindow)
 	none := func(int, []string) way { return unbounded{} }
-	require.Greater(t, float64(play(load{gateways: 23, seed: 1}, none).most), limit(32).Most)
+	require.Greater(t, float64(play(load{gateways: 23, seed: 1}, none).most), limit(32).MaxInWindow)
 }
 
 // Guards against all tickets changing hands, or being nobody's, when one gateway comes or
