--- a/flow/queue.go
+++ b/flow/queue.go
@@ -123,13 +123,13 @@
 	return time.Duration(float64(ahead) / q.rate.perSecond * float64(time.Second))
 }
 
-// Refuse reports whether a request is better told at once to come back later: its
+// ShouldReject reports whether a request is better told at once to come back later: its
 // caller will have left before its turn.
 //
 // One that cannot be on time any more waits on, behind all that can, and takes the room
 // that those leave. Sent away as long as others can be on time, more are refused for good,
 // and no more are on time.
-func (q *Queue) Refuse(w *Waiter, now time.Duration) bool {
+func (q *Queue) ShouldReject(w *Waiter, now time.Duration) bool {
 	return now+q.EstimateWait(w, now) > w.DispatchDeadline
 }
 
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -114,15 +114,15 @@
 	for range ahead {
 		q.Add(&Waiter{PromptTokens: 3000, OnTimeDeadline: seconds(5), DispatchDeadline: time.Minute})
 	}
-	require.True(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(5)}, 0))
-	require.False(t, q.Refuse(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(7)}, 0))
+	require.True(t, q.ShouldReject(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(5)}, 0))
+	require.False(t, q.ShouldReject(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(7)}, 0))
 	urgent := &Waiter{Priority: -1, OnTimeDeadline: seconds(1), DispatchDeadline: seconds(5)}
-	require.False(t, q.Refuse(urgent, 0))
+	require.False(t, q.ShouldReject(urgent, 0))
 
 	late := &Waiter{OnTimeDeadline: seconds(0.5), DispatchDeadline: seconds(7.5)}
 	q.Add(late)
-	require.False(t, q.Refuse(late, seconds(1)), "6 s of others' prompts go first, and it has 6.5")
-	require.True(t, q.Refuse(late, seconds(1.6)))
+	require.False(t, q.ShouldReject(late, seconds(1)), "6 s of others' prompts go first, and it has 6.5")
+	require.True(t, q.ShouldReject(late, seconds(1.6)))
 }
 
 // turnedAway plays a load whose late requests are sent away by a rule, and returns the
@@ -154,7 +154,7 @@
 func TestLateRequestsTakeTheRoomThatOthersLeave(t *testing.T) {
 	const capacity, demand = 26000, 15
 	before, onTimeBefore := turnedAway(load(demand, 4*time.Second), capacity, whileOthersAreOnTime)
-	served, onTime := turnedAway(load(demand, 4*time.Second), capacity, (*Queue).Refuse)
+	served, onTime := turnedAway(load(demand, 4*time.Second), capacity, (*Queue).ShouldReject)
 	t.Logf("served %.3f before, %.3f now; on time %.3f and %.3f", before, served, onTimeBefore, onTime)
 	require.Less(t, before, 0.95)
 	require.Equal(t, 1.0, served)
--- a/flow/shares_test.go
+++ b/flow/shares_test.go
@@ -58,7 +58,7 @@
 				w.Level = shares.Level(t.name, nil, now)
 			}
 			t.asked++
-			if !q.Refuse(w, now) {
+			if !q.ShouldReject(w, now) {
 				q.Add(w)
 				owner[w] = t
 			}
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -70,7 +70,7 @@
 func (l *lane) enter(w *flow.Waiter, now time.Duration) (wake chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.queue.Refuse(w, now) {
+	if l.queue.ShouldReject(w, now) {
 		return nil
 	}
 	wake = make(chan struct{}, 1)
@@ -83,7 +83,7 @@
 func (l *lane) refuses(w *flow.Waiter, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.queue.Refuse(w, now)
+	return l.queue.ShouldReject(w, now)
 }
 
 // leave takes a request out and wakes the next.
