--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -142,7 +142,7 @@
 		cfg.Capacity = int(load.MemoryCapacity)
 	}
 	// A paused stream can only go on where the engine takes a prefix.
-	cfg.Off.Victims = cfg.Off.Victims || !a.resumes
+	cfg.Disabled.Victims = cfg.Disabled.Victims || !a.resumes
 	a.policy = sched.NewForecasting(cfg)
 	return a.adopt(ctx)
 }
--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -36,7 +36,7 @@
 // Forecasting is the system's policy with some parts off.
 func Forecasting(name string, off sched.DisabledFeatures, change func(*sched.Config)) Contender {
 	return Contender{Name: name, New: func(e Engine) sched.Policy {
-		cfg := sched.Config{Capacity: e.Memory, MaxBatch: maxBatch, MaxWait: maxWait, Off: off}
+		cfg := sched.Config{Capacity: e.Memory, MaxBatch: maxBatch, MaxWait: maxWait, Disabled: off}
 		if change != nil {
 			change(&cfg)
 		}
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -57,7 +57,7 @@
 	if ja.Urgent != jb.Urgent {
 		return ja.Urgent
 	}
-	if p.cfg.Off.Shares {
+	if p.cfg.Disabled.Shares {
 		return ja.arrived < jb.arrived
 	}
 	oa := p.over(a, ja.contrib.mean[shareHorizon])
--- a/sched/config.go
+++ b/sched/config.go
@@ -17,8 +17,8 @@
 	// Reserve is the fraction of capacity that teams over their share leave
 	// free for teams under theirs.
 	Reserve float64
-	// Off switches parts off, for ablation.
-	Off DisabledFeatures
+	// Disabled switches parts off, for ablation.
+	Disabled DisabledFeatures
 }
 
 // DisabledFeatures are switches for the parts of the policy.
@@ -47,7 +47,7 @@
 	if c.Reserve == 0 {
 		c.Reserve = DefaultReserve
 	}
-	if c.Off.Reserve {
+	if c.Disabled.Reserve {
 		c.Reserve = 0
 	}
 	return c
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -97,7 +97,7 @@
 // over is how far a team's use exceeds its share, as a fraction of it; the
 // expected memory of extra is counted in.
 func (p *Forecasting) over(t *team, extra float64) float64 {
-	if p.cfg.Off.Shares {
+	if p.cfg.Disabled.Shares {
 		return 0
 	}
 	return (t.mem.mean[shareHorizon]+extra)/p.share(t) - 1
@@ -111,7 +111,7 @@
 	j.emitted = j.EmittedBefore
 	j.arrived = now
 	j.contrib = p.contribution(j)
-	if wait := p.wait(t, j); !p.cfg.Off.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
+	if wait := p.wait(t, j); !p.cfg.Disabled.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
 		j.state = stateDone
 		return Decision{Verdict: Refuse, RetryAfter: p.retryAfter(j, wait)}
 	}
@@ -121,7 +121,7 @@
 }
 
 func (p *Forecasting) contribution(j *Job) contribution {
-	if p.cfg.Off.Forecast {
+	if p.cfg.Disabled.Forecast {
 		return flat(j)
 	}
 	return contribute(p.lengths(j.team, j.Model), j.PromptTokens, j.emitted, j.MaxTokens)
--- a/sched/refuse.go
+++ b/sched/refuse.go
@@ -44,7 +44,7 @@
 
 // giveUp answers jobs that have waited too long, at once and never later.
 func (p *Forecasting) giveUp(acts []Action) []Action {
-	if p.cfg.Off.Refusal {
+	if p.cfg.Disabled.Refusal {
 		return acts
 	}
 	for i := len(p.waiting) - 1; i >= 0; i-- {
