--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -177,7 +177,7 @@
 	for _, id := range slices.Concat(c.Held, c.Freed) {
 		s.schedule(id, after)
 	}
-	for _, r := range c.News {
+	for _, r := range c.Changed {
 		if len(r.Trials) > 0 {
 			s.schedule(r.ID, after)
 		}
@@ -187,7 +187,7 @@
 		evidence = append(evidence, s.book.Record(id))
 	}
 	s.mu.Unlock()
-	s.tell(c.News)
+	s.tell(c.Changed)
 	for _, r := range evidence {
 		s.log.WithFields(logrus.Fields{"content": r.String(), "team": r.Team, "why": why, "ends": ends(r)}).Warn("request is held: servers end under it")
 		if held := s.held.Load(); held != nil {
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -65,8 +65,8 @@
 
 // Update is what a Book has learnt.
 type Update struct {
-	// News are the records that have changed, as they are now.
-	News []Record
+	// Changed are the records that have changed, as they are now.
+	Changed []Record
 	// Held are the requests that are refused from now on, Freed those that no longer are.
 	Held, Freed []ID
 }
@@ -104,7 +104,7 @@
 	var c Update
 	for _, r := range news {
 		if b.records[r.ID] == r {
-			c.News = append(c.News, r.clone())
+			c.Changed = append(c.Changed, r.clone())
 		}
 	}
 	c.Held, c.Freed = b.judge()
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -52,7 +52,7 @@
 	b.Ended(2, 2*time.Second, []ID{id})
 	b.Ended(3, 3*time.Second, []ID{id})
 	require.Equal(t, []ID{id}, b.Absolve(id, 4*time.Second).Freed)
-	require.Empty(t, b.Merge([]Record{old}).News, "older than the answer")
+	require.Empty(t, b.Merge([]Record{old}).Changed, "older than the answer")
 	b.Ended(4, 5*time.Second, []ID{id})
 	require.Empty(t, b.Ended(5, 6*time.Second, []ID{id}).Held)
 	require.Equal(t, []ID{id}, b.Ended(6, 7*time.Second, []ID{id}).Held)
@@ -166,12 +166,12 @@
 func (e event) happen(b *Tracker) []Record {
 	if e.try {
 		c, _ := b.Try(e.ran[0], e.at+time.Minute)
-		return c.News
+		return c.Changed
 	}
 	if e.answer {
-		return b.Absolve(e.ran[0], e.at).News
+		return b.Absolve(e.ran[0], e.at).Changed
 	}
-	return b.Ended(e.server, e.at, e.ran).News
+	return b.Ended(e.server, e.at, e.ran).Changed
 }
 
 // Processes see different ends and tell each other in any order, several times, and with
@@ -203,7 +203,7 @@
 			require.Equal(t, books[0].held, b.held)
 		}
 		for _, r := range told {
-			require.Empty(t, books[0].Merge([]Record{r}).News)
+			require.Empty(t, books[0].Merge([]Record{r}).Changed)
 		}
 	})
 }
--- a/quarantine/play_test.go
+++ b/quarantine/play_test.go
@@ -120,7 +120,7 @@
 			}
 			return
 		}
-		f.tell(g, c.News)
+		f.tell(g, c.Changed)
 	}
 	up := f.up()
 	if w.tries == tries || len(up) == 0 {
@@ -145,7 +145,7 @@
 	}
 	for gateway, ids := range ran {
 		g := f.gateways[gateway]
-		f.tell(g, g.book.Ended(h.life, f.now, ids).News)
+		f.tell(g, g.book.Ended(h.life, f.now, ids).Changed)
 	}
 	h.life, h.works, h.back = 0, nil, f.now+downFor
 	for _, w := range works {
@@ -160,7 +160,7 @@
 	f.now += tick
 	for _, g := range f.gateways {
 		for len(g.inbox) > 0 && g.inbox[0].at <= f.now {
-			f.tell(g, g.book.Merge(g.inbox[0].records).News)
+			f.tell(g, g.book.Merge(g.inbox[0].records).Changed)
 			g.inbox = g.inbox[1:]
 		}
 	}
@@ -192,7 +192,7 @@
 		default:
 			f.served++
 			g := f.gateways[w.gateway]
-			f.tell(g, g.book.Absolve(w.id, f.now).News)
+			f.tell(g, g.book.Absolve(w.id, f.now).Changed)
 		}
 	}
 	h.works = kept
