--- a/flow/shares.go
+++ b/flow/shares.go
@@ -35,8 +35,8 @@
 // NewShares returns an empty count.
 func NewShares() *Shares { return &Shares{amounts: make(map[string]float64)} }
 
-// Fade is what usage counts after some time.
-func Fade(amount float64, age time.Duration) float64 {
+// Decay is what usage counts after some time.
+func Decay(amount float64, age time.Duration) float64 {
 	return amount * math.Exp2(-float64(age)/float64(usageHalfLife))
 }
 
@@ -53,7 +53,7 @@
 	age := now - s.at
 	s.at = now
 	for team, amount := range s.amounts {
-		if amount = Fade(amount, age); amount < forgetBelow {
+		if amount = Decay(amount, age); amount < forgetBelow {
 			delete(s.amounts, team)
 		} else {
 			s.amounts[team] = amount
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -37,7 +37,7 @@
 func (u usages) now(now time.Duration) []flow.Usage {
 	out := make([]flow.Usage, len(u.top))
 	for i, t := range u.top {
-		out[i] = flow.Usage{Team: t.Team, Amount: flow.Fade(t.Amount, now-u.at)}
+		out[i] = flow.Usage{Team: t.Team, Amount: flow.Decay(t.Amount, now-u.at)}
 	}
 	return out
 }
