--- a/cmd/kingcup-bench/main.go
+++ b/cmd/kingcup-bench/main.go
@@ -67,7 +67,7 @@
 		whole,
 		bench.Forecasting("without forecast", sched.DisabledFeatures{Forecast: true}, nil),
 		bench.Forecasting("without shares", sched.DisabledFeatures{Shares: true}, nil),
-		bench.Forecasting("without victims", sched.DisabledFeatures{Victims: true}, nil),
+		bench.Forecasting("without victims", sched.DisabledFeatures{Preemption: true}, nil),
 		bench.Forecasting("without refusal", sched.DisabledFeatures{Refusal: true}, nil),
 		bench.Forecasting("without reserve", sched.DisabledFeatures{Reserve: true}, nil),
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -142,7 +142,7 @@
 		cfg.Capacity = int(load.MemoryCapacity)
 	}
 	// A paused stream can only go on where the engine takes a prefix.
-	cfg.Disabled.Victims = cfg.Disabled.Victims || !a.resumes
+	cfg.Disabled.Preemption = cfg.Disabled.Preemption || !a.resumes
 	a.policy = sched.NewForecasting(cfg)
 	return a.adopt(ctx)
 }
--- a/sched/config.go
+++ b/sched/config.go
@@ -23,7 +23,7 @@
 
 // DisabledFeatures are switches for the parts of the policy.
 type DisabledFeatures struct {
-	Forecast, Shares, Victims, Refusal, Reserve bool
+	Forecast, Shares, Preemption, Refusal, Reserve bool
 }
 
 // Defaults of Config.
--- a/sched/victims.go
+++ b/sched/victims.go
@@ -16,7 +16,7 @@
 // relieve pauses streams when the engine is about to run out of memory, before
 // the engine itself picks a victim without regard to shares.
 func (p *Forecasting) relieve(acts []Action) []Action {
-	if p.cfg.Disabled.Victims || float64(p.mem.used+len(p.running)) <= high*float64(p.cfg.Capacity) {
+	if p.cfg.Disabled.Preemption || float64(p.mem.used+len(p.running)) <= high*float64(p.cfg.Capacity) {
 		return acts
 	}
 	for float64(p.mem.used+len(p.running)) > low*float64(p.cfg.Capacity) && len(p.running) > 1 {
