--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -174,7 +174,7 @@
 	s.mu.Lock()
 	c := change(s.book)
 	s.any.Store(s.book.Len() > 0)
-	for _, id := range slices.Concat(c.Held, c.Freed) {
+	for _, id := range slices.Concat(c.Quarantined, c.Freed) {
 		s.schedule(id, after)
 	}
 	for _, r := range c.Changed {
@@ -182,8 +182,8 @@
 			s.schedule(r.ID, after)
 		}
 	}
-	evidence := make([]quarantine.Record, 0, len(c.Held))
-	for _, id := range c.Held {
+	evidence := make([]quarantine.Record, 0, len(c.Quarantined))
+	for _, id := range c.Quarantined {
 		evidence = append(evidence, s.book.Record(id))
 	}
 	s.mu.Unlock()
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -169,7 +169,7 @@
 	l.mu.Lock()
 	c := l.book.Ended(cells.Hash(s.ID), l.now(), ran)
 	l.mu.Unlock()
-	for _, id := range c.Held {
+	for _, id := range c.Quarantined {
 		l.relay.Quarantined(id)
 	}
 }
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -18,12 +18,12 @@
 func TestThirdEndConvicts(t *testing.T) {
 	p := Default()
 	b, id := NewTracker(p), request("a")
-	require.Empty(t, b.Ended(1, time.Second, []ID{id}).Held)
+	require.Empty(t, b.Ended(1, time.Second, []ID{id}).Quarantined)
 	require.False(t, b.Near(id))
-	require.Empty(t, b.Ended(1, 2*time.Second, []ID{id}).Held, "the same life counts once")
-	require.Empty(t, b.Ended(2, 3*time.Second, []ID{id}).Held)
+	require.Empty(t, b.Ended(1, 2*time.Second, []ID{id}).Quarantined, "the same life counts once")
+	require.Empty(t, b.Ended(2, 3*time.Second, []ID{id}).Quarantined)
 	require.True(t, b.Near(id))
-	require.Equal(t, []ID{id}, b.Ended(3, 4*time.Second, []ID{id}).Held)
+	require.Equal(t, []ID{id}, b.Ended(3, 4*time.Second, []ID{id}).Quarantined)
 	left, held := b.Held(id, 5*time.Second)
 	require.True(t, held)
 	require.Equal(t, p.Term-time.Second, left)
@@ -39,7 +39,7 @@
 	b, id := NewTracker(p), request("a")
 	for i := range 6 {
 		at := time.Duration(i) * (p.Window/2 + time.Minute)
-		require.Empty(t, b.Ended(uint64(i), at, []ID{id}).Held)
+		require.Empty(t, b.Ended(uint64(i), at, []ID{id}).Quarantined)
 	}
 }
 
@@ -54,8 +54,8 @@
 	require.Equal(t, []ID{id}, b.Absolve(id, 4*time.Second).Freed)
 	require.Empty(t, b.Merge([]Record{old}).Changed, "older than the answer")
 	b.Ended(4, 5*time.Second, []ID{id})
-	require.Empty(t, b.Ended(5, 6*time.Second, []ID{id}).Held)
-	require.Equal(t, []ID{id}, b.Ended(6, 7*time.Second, []ID{id}).Held)
+	require.Empty(t, b.Ended(5, 6*time.Second, []ID{id}).Quarantined)
+	require.Equal(t, []ID{id}, b.Ended(6, 7*time.Second, []ID{id}).Quarantined)
 }
 
 // A request that many make runs on each server that ends under either of two harmful ones,
@@ -67,7 +67,7 @@
 	var held []ID
 	for s := range uint64(6) {
 		at := time.Duration(1+s) * time.Second
-		held = append(held, b.Ended(s, at, []ID{popular, harmful[s%2]}).Held...)
+		held = append(held, b.Ended(s, at, []ID{popular, harmful[s%2]}).Quarantined...)
 	}
 	require.Equal(t, popular, held[0])
 	require.ElementsMatch(t, append(harmful, popular), held)
@@ -81,7 +81,7 @@
 	b.Ended(1, 1*time.Second, []ID{harmful, beside})
 	b.Ended(2, 2*time.Second, []ID{harmful, beside})
 	b.Ended(3, 3*time.Second, []ID{harmful})
-	require.Equal(t, []ID{beside}, b.Ended(4, 4*time.Second, []ID{beside}).Held)
+	require.Equal(t, []ID{beside}, b.Ended(4, 4*time.Second, []ID{beside}).Quarantined)
 	require.True(t, triedFrom(b, beside, 10*time.Second))
 	require.Equal(t, []ID{beside}, b.Absolve(beside, 12*time.Second).Freed)
 }
@@ -92,7 +92,7 @@
 	b, x, y := NewTracker(Default()), request("x"), request("y")
 	b.Ended(1, 1*time.Second, []ID{x, y})
 	b.Ended(2, 2*time.Second, []ID{x, y})
-	require.ElementsMatch(t, []ID{x, y}, b.Ended(3, 3*time.Second, []ID{x, y}).Held)
+	require.ElementsMatch(t, []ID{x, y}, b.Ended(3, 3*time.Second, []ID{x, y}).Quarantined)
 }
 
 // Attempts that were under way end further servers after the verdict. These are no ends under
@@ -328,7 +328,7 @@
 	b, popular, harmful := NewTracker(Default()), request("popular"), request("harmful")
 	b.Ended(1, time.Second, []ID{popular})
 	b.Ended(2, 2*time.Second, []ID{popular, harmful})
-	require.Equal(t, []ID{popular}, b.Ended(3, 3*time.Second, []ID{popular, harmful}).Held)
+	require.Equal(t, []ID{popular}, b.Ended(3, 3*time.Second, []ID{popular, harmful}).Quarantined)
 	require.True(t, triedFrom(b, popular, 10*time.Second))
 }
 
