--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -111,11 +111,11 @@
 		{Named: true, PerSecond: 3}, {Known: true, Named: true, PerSecond: -1}, {Known: true, Named: true, PerSecond: math.NaN()},
 		{Known: true, Named: true, PerSecond: math.Inf(1)}, {Known: true, Named: true, PerSecond: 3, Age: -time.Second},
 	} {
-		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: l, StartTime: s.StartTime}}, time.Minute))
-		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
+		require.Empty(t, r.SetLosses("vm-2", map[string]ServerStatus{s.ID: {Limit: l, StartTime: s.StartTime}}, time.Minute))
+		require.Empty(t, r.SetLosses("vm-2", map[string]ServerStatus{s.ID: {Limit: ToldLimit{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
 		require.Zero(t, r.Limited())
 	}
-	require.Len(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
+	require.Len(t, r.SetLosses("vm-2", map[string]ServerStatus{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
 	require.Equal(t, 1, r.Limited())
 }
 
@@ -232,9 +232,9 @@
 		}
 		return n
 	}
-	r.SetLosses("vm-2", map[string]Loss{"a": {Resting: true}}, time.Second)
+	r.SetLosses("vm-2", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
 	require.Greater(t, picked(), 20, "one alone")
-	r.SetLosses("vm-3", map[string]Loss{"a": {Resting: true}}, time.Second)
+	r.SetLosses("vm-3", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
 	require.Zero(t, picked())
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, time.Second)
 	require.NotNil(t, lease, "it wants nothing of the others only")
--- a/backends/load.go
+++ b/backends/load.go
@@ -98,9 +98,9 @@
 	believedLosses = 2
 )
 
-// Loss is what is wrong with a server: requests that it has lost in a row, its end, what it says
+// ServerStatus is what is wrong with a server: requests that it has lost in a row, its end, what it says
 // of itself.
-type Loss struct {
+type ServerStatus struct {
 	InARow int
 	// Ended says that it listens no more, Leaving that it has said itself that it will end.
 	Ended, Leaving bool
@@ -114,12 +114,12 @@
 
 // Losses tells what is wrong with servers: requests that were lost in a row of late, without an
 // answer or far too long without one, their ends, and what they say of themselves.
-func (r *Registry) Losses(now time.Duration) map[string]Loss {
+func (r *Registry) Losses(now time.Duration) map[string]ServerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[string]Loss)
+	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := Loss{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
+		l := ServerStatus{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
 		if l.InARow > 0 || l.Ended || l.Leaving || l.Resting || l.Limit.Known {
 			out[id] = l
 		}
@@ -140,7 +140,7 @@
 //
 // While the directory is away only those that run something on a server ask whether it is
 // leaving; the others would go on sending runs and copies there.
-func (r *Registry) SetLosses(process string, losses map[string]Loss, now time.Duration) (news []Told) {
+func (r *Registry) SetLosses(process string, losses map[string]ServerStatus, now time.Duration) (news []Told) {
 	r.mu.Lock()
 	if len(losses) == 0 {
 		delete(r.losses, process)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -70,7 +70,7 @@
 	// told are the sums of those, by the life of a server.
 	told map[life]Load
 	// losses are the lost requests that other processes have told of, likewise.
-	losses map[string]map[string]Loss
+	losses map[string]map[string]ServerStatus
 	// lists caches the servers of each service, scratch their descriptions.
 	lists   map[string][]*server
 	scratch []placement.Server
@@ -105,7 +105,7 @@
 func New(domain string, traits func(service string) Traits, leaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
 		domain: domain, traits: traits, leaving: leaving,
-		policy: placement.Direct(), copies: placement.Copies(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]Loss),
+		policy: placement.Direct(), copies: placement.Copies(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
 		lists: make(map[string][]*server),
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -120,7 +120,7 @@
 }
 
 // pass passes on what a peer has told of servers that is news here.
-func (g *group) pass(peer string, losses map[string]backends.Loss, news []backends.Told) {
+func (g *group) pass(peer string, losses map[string]backends.ServerStatus, news []backends.Told) {
 	for _, t := range news {
 		if !t.Limit {
 			continue
@@ -136,7 +136,7 @@
 	}
 }
 
-func lossOf(server string, l backends.Loss) *peerv1.Loss {
+func lossOf(server string, l backends.ServerStatus) *peerv1.Loss {
 	out := &peerv1.Loss{Server: server, InARow: uint32(l.InARow), Ended: l.Ended, Leaving: l.Leaving, Resting: l.Resting, Born: l.StartTime}
 	if l.Limit.Known {
 		out.Limit = &peerv1.Limit{Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, AgeMs: l.Limit.Age.Milliseconds()}
@@ -147,8 +147,8 @@
 // mostAge bounds the age of what a peer tells.
 const mostAge = 24 * time.Hour
 
-func lossFrom(l *peerv1.Loss) backends.Loss {
-	out := backends.Loss{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), StartTime: l.GetBorn()}
+func lossFrom(l *peerv1.Loss) backends.ServerStatus {
+	out := backends.ServerStatus{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
 		out.Limit = backends.ToldLimit{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
@@ -171,7 +171,7 @@
 		g.registry.SetLosses(peer, nil, clock.SinceBoot())
 		return
 	}
-	losses := make(map[string]backends.Loss, len(s.GetLosses()))
+	losses := make(map[string]backends.ServerStatus, len(s.GetLosses()))
 	for _, l := range s.GetLosses() {
 		losses[l.GetServer()] = lossFrom(l)
 	}
