--- a/flow/turns.go
+++ b/flow/turns.go
@@ -11,9 +11,9 @@
 type Contender struct {
 	Name    string
 	Waiting int
-	// Rank is that of the most urgent of them, and First the number of those that
+	// Rank is that of the most urgent of them, and WaitingAtRank the number of those that
 	// have it.
-	Rank, First int
+	Rank, WaitingAtRank int
 }
 
 // TurnsFor shares servers out for a request of some rank that waits at self, among
@@ -28,7 +28,7 @@
 			t.Contenders = append(t.Contenders, c)
 		}
 		if c.Rank < rank {
-			t.Yield += c.First
+			t.Yield += c.WaitingAtRank
 		}
 	}
 	if len(t.Contenders) == 0 {
--- a/flow/turns_test.go
+++ b/flow/turns_test.go
@@ -38,9 +38,9 @@
 	now := seconds(2)
 	self := Contender{Name: "self", Waiting: 1}
 	others := []Contender{
-		{Name: "a", Waiting: 3, First: 2, Rank: urgent.Rank(now)},
-		{Name: "b", Waiting: 1, First: 1, Rank: long.Rank(now)},
-		{Name: "c", Waiting: 1, First: 1, Rank: late.Rank(now)},
+		{Name: "a", Waiting: 3, WaitingAtRank: 2, Rank: urgent.Rank(now)},
+		{Name: "b", Waiting: 1, WaitingAtRank: 1, Rank: long.Rank(now)},
+		{Name: "c", Waiting: 1, WaitingAtRank: 1, Rank: late.Rank(now)},
 	}
 	t1 := TurnsFor(self, others, urgent.Rank(now), 1)
 	require.Len(t, t1.Contenders, 2)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -109,7 +109,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for service, q := range g.queues {
-		s.Queues = append(s.Queues, &peerv1.Queue{Service: service, Waiting: uint32(q.Waiting), Rank: uint32(q.Rank), First: uint32(q.First)})
+		s.Queues = append(s.Queues, &peerv1.Queue{Service: service, Waiting: uint32(q.Waiting), Rank: uint32(q.Rank), First: uint32(q.WaitingAtRank)})
 	}
 	for service, used := range g.used {
 		for _, u := range used.now(clock.SinceBoot()) {
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -112,7 +112,7 @@
 	for _, s := range g.links.Live() {
 		for _, q := range s.GetQueues() {
 			if q.GetService() == service {
-				out = append(out, flow.Contender{Name: s.GetFrom().GetName(), Waiting: int(q.GetWaiting()), Rank: int(q.GetRank()), First: int(q.GetFirst())})
+				out = append(out, flow.Contender{Name: s.GetFrom().GetName(), Waiting: int(q.GetWaiting()), Rank: int(q.GetRank()), WaitingAtRank: int(q.GetFirst())})
 			}
 		}
 	}
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -22,8 +22,8 @@
 	s.server(fleet.ModelService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0))
-	a.group.Queued(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, First: 3})
-	b.group.Queued(fleet.ModelService, flow.Contender{Waiting: 1, Rank: 1, First: 1})
+	a.group.Queued(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, WaitingAtRank: 3})
+	b.group.Queued(fleet.ModelService, flow.Contender{Waiting: 1, Rank: 1, WaitingAtRank: 1})
 	sees := func(n *node, other string) func() bool {
 		return func() bool {
 			list := n.group.contenders(fleet.ModelService)
