--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -126,7 +126,7 @@
 			a.startJob(g)
 		case sched.Pause:
 			a.pauseJob(g)
-		case sched.GiveUp:
+		case sched.Expire:
 			a.drop(g)
 			g.buf.Fail(failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, act.RetryAfter, "no room within the longest wait"))
 		}
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -121,7 +121,7 @@
 		case sched.Pause:
 			s.takeOff(r)
 			s.preempted(r)
-		case sched.GiveUp:
+		case sched.Expire:
 			s.out.class(r.team).Refused++
 			delete(s.jobs, act.Job)
 		}
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -140,7 +140,7 @@
 		if late {
 			j.state = stateDone
 			b.stats.Queued--
-			acts = append(acts, Action{Verb: GiveUp, Job: j, RetryAfter: b.maxQueue})
+			acts = append(acts, Action{Verb: Expire, Job: j, RetryAfter: b.maxQueue})
 		}
 		return late
 	})
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -57,7 +57,7 @@
 			require.True(t, ok, "paused a job that does not run")
 			delete(w.active, act.Job)
 			w.queued[act.Job] = emitted
-		case GiveUp:
+		case Expire:
 			_, ok := w.queued[act.Job]
 			require.True(t, ok, "gave up a job that does not wait")
 			require.Zero(t, act.Job.started, "gave up a job that has run")
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -80,8 +80,8 @@
 	Start Verb = iota
 	// Pause the job: take it off the engine and keep its tokens.
 	Pause
-	// GiveUp answers a job that never ran as not run.
-	GiveUp
+	// Expire answers a job that never ran as not run.
+	Expire
 )
 
 // Action is one thing for the caller to carry out.
