--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -174,7 +174,7 @@
 	s.mu.Lock()
 	c := change(s.book)
 	s.any.Store(s.book.Len() > 0)
-	for _, id := range slices.Concat(c.Quarantined, c.Freed) {
+	for _, id := range slices.Concat(c.Quarantined, c.Released) {
 		s.schedule(id, after)
 	}
 	for _, r := range c.Changed {
@@ -194,7 +194,7 @@
 			(*held)(r.ID)
 		}
 	}
-	for _, id := range c.Freed {
+	for _, id := range c.Released {
 		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team, "why": why}).Warn("request is not held any more")
 	}
 }
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -67,8 +67,8 @@
 type Update struct {
 	// Changed are the records that have changed, as they are now.
 	Changed []Record
-	// Quarantined are the requests that are refused from now on, Freed those that no longer are.
-	Quarantined, Freed []ID
+	// Quarantined are the requests that are refused from now on, Released those that no longer are.
+	Quarantined, Released []ID
 }
 
 // Ended notes that a life of a server has ended while requests ran there.
@@ -107,7 +107,7 @@
 			c.Changed = append(c.Changed, r.clone())
 		}
 	}
-	c.Quarantined, c.Freed = b.judge()
+	c.Quarantined, c.Released = b.judge()
 	return c
 }
 
@@ -182,7 +182,7 @@
 func (b *Tracker) Expire(now time.Duration) Update {
 	maps.DeleteFunc(b.records, func(_ ID, r *Record) bool { return b.Expired(*r, now) })
 	var c Update
-	c.Quarantined, c.Freed = b.judge()
+	c.Quarantined, c.Released = b.judge()
 	return c
 }
 
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -51,7 +51,7 @@
 	old := b.Record(id)
 	b.Ended(2, 2*time.Second, []ID{id})
 	b.Ended(3, 3*time.Second, []ID{id})
-	require.Equal(t, []ID{id}, b.Absolve(id, 4*time.Second).Freed)
+	require.Equal(t, []ID{id}, b.Absolve(id, 4*time.Second).Released)
 	require.Empty(t, b.Merge([]Record{old}).Changed, "older than the answer")
 	b.Ended(4, 5*time.Second, []ID{id})
 	require.Empty(t, b.Ended(5, 6*time.Second, []ID{id}).Quarantined)
@@ -83,7 +83,7 @@
 	b.Ended(3, 3*time.Second, []ID{harmful})
 	require.Equal(t, []ID{beside}, b.Ended(4, 4*time.Second, []ID{beside}).Quarantined)
 	require.True(t, triedFrom(b, beside, 10*time.Second))
-	require.Equal(t, []ID{beside}, b.Absolve(beside, 12*time.Second).Freed)
+	require.Equal(t, []ID{beside}, b.Absolve(beside, 12*time.Second).Released)
 }
 
 // Two requests that ran on the same three servers cannot be told apart; both are refused, or
@@ -230,7 +230,7 @@
 	require.True(t, triedFrom(b, harmful, at))
 	b.Ended(9, at+2*time.Second, []ID{harmful})
 	require.False(t, triedFrom(b, harmful, at+time.Minute), "servers end under its trials")
-	require.Equal(t, []ID{popular}, b.Absolve(popular, at+2*time.Second).Freed)
+	require.Equal(t, []ID{popular}, b.Absolve(popular, at+2*time.Second).Released)
 	_, held := b.Held(harmful, at+time.Minute)
 	require.True(t, held)
 	require.False(t, triedFrom(b, harmful, at+time.Minute))
@@ -280,7 +280,7 @@
 		_, tried := b.Try(second, later)
 		require.False(t, tried, "%v after the trial of the other", later-at)
 	}
-	require.Equal(t, []ID{first}, b.Absolve(first, at+p.TrialApart).Freed)
+	require.Equal(t, []ID{first}, b.Absolve(first, at+p.TrialApart).Released)
 	require.True(t, triedFrom(b, second, at+p.TrialApart))
 }
 
@@ -318,7 +318,7 @@
 		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
 	}
 	require.True(t, triedFrom(b, x, 10*time.Second))
-	require.Equal(t, []ID{x}, b.Absolve(x, 12*time.Second).Freed)
+	require.Equal(t, []ID{x}, b.Absolve(x, 12*time.Second).Released)
 	require.True(t, triedFrom(b, y, 12*time.Second))
 }
 
