--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -72,7 +72,7 @@
 		}
 		now := 10 * time.Second
 		tell := func(from, to int) {
-			regs[to].SetLosses(fmt.Sprint("vm-", from), regs[from].Losses(now), now+time.Millisecond)
+			regs[to].SetLosses(fmt.Sprint("vm-", from), regs[from].Statuses(now), now+time.Millisecond)
 		}
 		var newest Signals
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -142,7 +142,7 @@
 			c.put(0, s)
 			c.regs[0].Advised(s, Signals{Limited: true, Limit: named}, 0, 500*time.Millisecond)
 			for i, r := range c.regs[1:] {
-				r.SetLosses("vm-0", c.regs[i].Losses(600*time.Millisecond), 600*time.Millisecond)
+				r.SetLosses("vm-0", c.regs[i].Statuses(600*time.Millisecond), 600*time.Millisecond)
 			}
 			c.ask(from, to)
 			got := c.got[s.ID]
@@ -191,9 +191,9 @@
 	r, s := limitedRegistry()
 	s.Leaving = true
 	r.Put(s, time.Second)
-	require.Empty(t, r.Losses(time.Second))
+	require.Empty(t, r.Statuses(time.Second))
 	r.Advised(s, Signals{Leaving: true}, 0, time.Second)
-	require.True(t, r.Losses(time.Second)[s.ID].Leaving)
+	require.True(t, r.Statuses(time.Second)[s.ID].Leaving)
 }
 
 // Guards against a rest that is cut short by a later, shorter one or by the answer to an earlier
--- a/backends/load.go
+++ b/backends/load.go
@@ -112,9 +112,9 @@
 	StartTime int64
 }
 
-// Losses tells what is wrong with servers: requests that were lost in a row of late, without an
+// Statuses tells what is wrong with servers: requests that were lost in a row of late, without an
 // answer or far too long without one, their ends, and what they say of themselves.
-func (r *Registry) Losses(now time.Duration) map[string]ServerStatus {
+func (r *Registry) Statuses(now time.Duration) map[string]ServerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]ServerStatus)
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -187,9 +187,9 @@
 	require.Equal(t, "a", r.pick(t, lossesFor))
 	l := r.Acquire(Query{Service: svc}, lossesFor)
 	l.Done(Lost, lossesFor)
-	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Losses(lossesFor))
+	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(lossesFor))
 	require.Equal(t, "b", r.pick(t, lossesFor))
-	require.Empty(t, r.Losses(2*lossesFor))
+	require.Empty(t, r.Statuses(2*lossesFor))
 }
 
 // A server goes down and up by turns. Each time that it is tried while it is down
@@ -243,9 +243,9 @@
 	l.Silent(0)
 	l.Done(Unjudged, 0)
 	l.Silent(0)
-	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Losses(0), "a lease that is over says nothing more")
+	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(0), "a lease that is over says nothing more")
 	r.Acquire(Query{Service: svc}, 0).Done(Good, 0)
-	require.Empty(t, r.Losses(0))
+	require.Empty(t, r.Statuses(0))
 }
 
 // Guards against each of many gateways finding out by attempts of its own that a server has
@@ -275,9 +275,9 @@
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
 	lease.Done(Ended, 0)
 	require.Equal(t, []string{"b"}, picked(lostFor-1))
-	require.Equal(t, map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, r.Losses(lostFor-1))
+	require.Equal(t, map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, r.Statuses(lostFor-1))
 	require.Len(t, picked(lostFor), 2, "asked again")
-	require.Empty(t, r.Losses(lostFor))
+	require.Empty(t, r.Statuses(lostFor))
 	require.True(t, r.HasEnded(ended, lostFor))
 	require.False(t, r.HasEnded(ended, lostFor), "no news")
 	require.Equal(t, []string{"b"}, picked(3*lostFor-1), "for longer each time")
@@ -297,7 +297,7 @@
 	asked, told := reg(), reg()
 	require.True(t, asked.Reported(leaving))
 	require.False(t, asked.Reported(leaving), "no news")
-	losses := asked.Losses(0)
+	losses := asked.Statuses(0)
 	require.Equal(t, map[string]ServerStatus{"a": {Leaving: true, StartTime: 7}}, losses)
 	told.SetLosses("vm-1", map[string]ServerStatus{"a": {Leaving: true, StartTime: 6}}, 0)
 	require.Equal(t, 1, told.Ready(svc), "an earlier life")
@@ -306,5 +306,5 @@
 	require.Zero(t, told.Ready(svc))
 	require.Equal(t, []LeaveReason{NoticeReported, NoticeTold}, notices)
 	told.Remove("a", 0, 0)
-	require.Empty(t, told.Losses(0), "gone")
+	require.Empty(t, told.Statuses(0), "gone")
 }
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -35,9 +35,9 @@
 	lease := r.Acquire(Query{Service: svc, Tokens: 9000, Prompt: 3000, MostUsed: 0.9, MostPrompt: 100}, 0)
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
 	require.Equal(t, Load{}, lease.Load)
-	require.Empty(t, r.Losses(0))
+	require.Empty(t, r.Statuses(0))
 	held.Done(Lost, 0)
-	require.Empty(t, r.Losses(0), "a request of the earlier life that ends late says nothing of this one")
+	require.Empty(t, r.Statuses(0), "a request of the earlier life that ends late says nothing of this one")
 	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 9000, Prompt: 3000, StartTime: 200}}, r.Loads())
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -103,7 +103,7 @@
 			Prompt: uint64(max(0, l.Prompt)), Copying: uint64(max(0, l.Copying)), Born: l.StartTime,
 		})
 	}
-	for id, l := range g.registry.Losses(clock.SinceBoot()) {
+	for id, l := range g.registry.Statuses(clock.SinceBoot()) {
 		s.Losses = append(s.Losses, lossOf(id, l))
 	}
 	g.mu.Lock()
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -69,7 +69,7 @@
 		cover := w.up.sent[0].Backup
 		lease := w.registry.Acquire(backends.Query{Service: modelService, Draw: 1}, w.now())
 		require.Equal(t, cover, lease.Server.Address, "the engine that crashed is asked last")
-		require.Empty(t, w.registry.Losses(w.now()))
+		require.Empty(t, w.registry.Statuses(w.now()))
 	})
 }
 
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -43,7 +43,7 @@
 func (p *crashPlay) told(i int) {
 	time.Sleep(playTold)
 	w := p.worlds[i]
-	loads, losses := w.registry.Loads(), w.registry.Losses(w.now())
+	loads, losses := w.registry.Loads(), w.registry.Statuses(w.now())
 	for k, o := range p.worlds {
 		if k != i {
 			o.registry.SetRemote(fmt.Sprint("vm-", i), loads)
--- a/internal/relay/race_test.go
+++ b/internal/relay/race_test.go
@@ -67,7 +67,7 @@
 		w.serve(request("/safe/x")).whole(t, "first")
 		synctest.Wait()
 		require.Empty(t, w.registry.Loads())
-		require.Empty(t, w.registry.Losses(w.now()))
+		require.Empty(t, w.registry.Statuses(w.now()))
 	})
 }
 
