--- a/flow/turns.go
+++ b/flow/turns.go
@@ -16,12 +16,12 @@
 	Rank, WaitingAtRank int
 }
 
-// TurnsFor shares servers out for a request of some rank that waits at self, among
+// NewTurns shares servers out for a request of some rank that waits at self, among
 // the others that have requests waiting too. It shares with those that are at least
 // as urgent only, and leaves a server to each request elsewhere that is more urgent:
 // otherwise those would get no more than their part of the servers that get room,
 // and wait as long as all others.
-func TurnsFor(self Contender, others []Contender, rank int, period int64) *Turns {
+func NewTurns(self Contender, others []Contender, rank int, period int64) *Turns {
 	t := &Turns{Self: self.Name, Period: period}
 	for _, c := range others {
 		if c.Rank <= rank {
--- a/flow/turns_test.go
+++ b/flow/turns_test.go
@@ -42,14 +42,14 @@
 		{Name: "b", Waiting: 1, WaitingAtRank: 1, Rank: long.Rank(now)},
 		{Name: "c", Waiting: 1, WaitingAtRank: 1, Rank: late.Rank(now)},
 	}
-	t1 := TurnsFor(self, others, urgent.Rank(now), 1)
+	t1 := NewTurns(self, others, urgent.Rank(now), 1)
 	require.Len(t, t1.Contenders, 2)
 	require.Zero(t, t1.Yield)
-	t2 := TurnsFor(self, others, long.Rank(now), 1)
+	t2 := NewTurns(self, others, long.Rank(now), 1)
 	require.Len(t, t2.Contenders, 3)
 	require.Equal(t, 2, t2.Yield)
-	require.Equal(t, 3, TurnsFor(self, others, late.Rank(now), 1).Yield)
-	require.Nil(t, TurnsFor(self, others[1:], urgent.Rank(now), 1))
+	require.Equal(t, 3, NewTurns(self, others, late.Rank(now), 1).Yield)
+	require.Nil(t, NewTurns(self, others[1:], urgent.Rank(now), 1))
 }
 
 func TestTurnsWithoutOthersAreAlwaysMine(t *testing.T) {
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -73,7 +73,7 @@
 		return nil
 	}
 	self := flow.Contender{Name: g.self.Name, Waiting: g.waiting(service)}
-	return flow.TurnsFor(self, g.contenders(service), rank, period)
+	return flow.NewTurns(self, g.contenders(service), rank, period)
 }
 
 // MoveTurns implements relay.Others.
