--- a/client/client.go
+++ b/client/client.go
@@ -91,7 +91,7 @@
 		if err == nil {
 			return g.result, nil
 		}
-		f := failure.As(err)
+		f := failure.FromError(err)
 		if !failure.IsNotRun(f) || f.RetryAfter == 0 || refusals >= c.opts.Refusals {
 			return g.result, f
 		}
@@ -144,7 +144,7 @@
 // generation is known a repeat may run a second time, which only an idempotent
 // request allows.
 func (g *generation) resumable(err error) bool {
-	f := failure.As(err)
+	f := failure.FromError(err)
 	if g.result.GenerationID == "" {
 		return lostEntry(f) && !g.req.GetNonIdempotent()
 	}
@@ -242,7 +242,7 @@
 		if err == nil {
 			return resp, nil
 		}
-		f := failure.As(err)
+		f := failure.FromError(err)
 		after := f.RetryAfter
 		switch {
 		case failure.IsNotRun(f) && after > 0 && refusals < c.opts.Refusals:
--- a/cmd/kingcupctl/main.go
+++ b/cmd/kingcupctl/main.go
@@ -105,7 +105,7 @@
 		fmt.Fprintf(os.Stderr, "kingcupctl %s: %v\n", c.name, u)
 		return settings.ExitUsage
 	}
-	f := failure.As(err)
+	f := failure.FromError(err)
 	fmt.Fprintf(os.Stderr, "kingcupctl %s: %s, %s: %s\n", c.name, f.Outcome, f.Reason, f.Detail)
 	if f.RetryAfter > 0 {
 		fmt.Fprintf(os.Stderr, "come back in %v\n", f.RetryAfter)
--- a/failure/failure.go
+++ b/failure/failure.go
@@ -72,9 +72,9 @@
 	return withDetail
 }
 
-// As finds the Error in err. An error of another kind becomes an unknown
+// FromError finds the Error in err. An error of another kind becomes an unknown
 // outcome, because nothing is known of how far the request came.
-func As(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
@@ -94,7 +94,7 @@
 
 // IsNotRun reports whether err says that the request did not run.
 func IsNotRun(err error) bool {
-	return err != nil && As(err).Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN
+	return err != nil && FromError(err).Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN
 }
 
 func code(e *Error) codes.Code {
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -80,7 +80,7 @@
 		if err == nil {
 			return resp, nil
 		}
-		last = failure.As(err)
+		last = failure.FromError(err)
 		tried = append(tried, server)
 		if last.Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN {
 			continue
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -24,7 +24,7 @@
 	if err == nil {
 		return nil
 	}
-	f := failure.As(err)
+	f := failure.FromError(err)
 	e.log.WithField("team", team).WithField("request", requestID).WithField("reason", f.Reason.String()).Info(f.Detail)
 	return f
 }
@@ -75,7 +75,7 @@
 		if err == nil {
 			return nil
 		}
-		if failure.As(err).Reason != kingcupv1.Reason_REASON_UNKNOWN_GENERATION {
+		if failure.FromError(err).Reason != kingcupv1.Reason_REASON_UNKNOWN_GENERATION {
 			return err
 		}
 	}
@@ -125,7 +125,7 @@
 	end, err := e.begin()
 	if err != nil {
 		// The generation runs on; only this entry can't serve it.
-		f := failure.As(err)
+		f := failure.FromError(err)
 		return failure.Unknown(f.Reason, f.RetryAfter, "%s", f.Detail)
 	}
 	defer end()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -254,6 +254,6 @@
 		e.seen.Finished(team, kingcupv1.Outcome_OUTCOME_ANSWERED, kingcupv1.Reason_REASON_UNSPECIFIED)
 		return
 	}
-	f := failure.As(err)
+	f := failure.FromError(err)
 	e.seen.Finished(team, f.Outcome, f.Reason)
 }
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -93,7 +93,7 @@
 		}
 		return f.move(ctx, failure.Unknown(kingcupv1.Reason_REASON_BACKEND_LOST, time.Second, "backend server %s was lost", f.server))
 	}
-	fail := failure.As(err)
+	fail := failure.FromError(err)
 	switch {
 	case fail.Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN && f.kept.Next() == 0:
 		f.refused(f.server, fail)
@@ -154,7 +154,7 @@
 		if ctx.Err() != nil {
 			return nil, f.ended(ctx)
 		}
-		fail := failure.As(err)
+		fail := failure.FromError(err)
 		f.refused(server, fail)
 		if f.ran && f.req.GetNonIdempotent() {
 			return nil, fail
--- a/internal/proof/config_test.go
+++ b/internal/proof/config_test.go
@@ -54,7 +54,7 @@
 		ExpectedVersion: expected, ChangeId: id, Puts: []*kingcupv1.Row{teamRow(team, weight)},
 	})
 	if err != nil {
-		return casOut{outcome: failure.As(err).Outcome}
+		return casOut{outcome: failure.FromError(err).Outcome}
 	}
 	return casOut{kingcupv1.Outcome_OUTCOME_ANSWERED, resp.GetVersion()}
 }
@@ -257,7 +257,7 @@
 				s.killAgent(0)
 				s.startAgent(s.nodes[0])
 				err = s.order(0, paused.Term, "old")
-				require.Equal(t, kingcupv1.Reason_REASON_FENCED, failure.As(err).Reason)
+				require.Equal(t, kingcupv1.Reason_REASON_FENCED, failure.FromError(err).Reason)
 				requireRisingTerms(t, s.nodes[0].engine.get().Orders())
 			})
 		})
--- a/internal/proof/edges_test.go
+++ b/internal/proof/edges_test.go
@@ -26,7 +26,7 @@
 			req := request("bad", 5)
 			change(req)
 			_, err := s.client(once).Generate(context.Background(), req, client.Handler{})
-			require.Equal(t, reason, failure.As(err).Reason)
+			require.Equal(t, reason, failure.FromError(err).Reason)
 			require.True(t, failure.IsNotRun(err))
 		}
 		at, done := s.generate(s.client(once), request("good", 5))
@@ -53,7 +53,7 @@
 		for err == nil {
 			_, err = st.Recv()
 		}
-		require.Equal(t, kingcupv1.Reason_REASON_SLOW_READER, failure.As(err).Reason, "%v", err)
+		require.Equal(t, kingcupv1.Reason_REASON_SLOW_READER, failure.FromError(err).Reason, "%v", err)
 		time.Sleep(time.Minute)
 		running, err := s.nodes[0].engine.List(t.Context())
 		require.NoError(t, err)
--- a/internal/proof/outcome_test.go
+++ b/internal/proof/outcome_test.go
@@ -53,7 +53,7 @@
 		s.service.LoseAnswers(1)
 		for entry := range 2 {
 			_, err := s.book(entry, "slot")
-			require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.As(err).Outcome)
+			require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(err).Outcome)
 		}
 		require.Equal(t, 1, s.service.Ran(team, "slot"))
 	})
@@ -76,9 +76,9 @@
 		killed.Go(func() { s.killEntry(0) })
 		time.Sleep(time.Second)
 		_, err := s.book(1, "slot")
-		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.As(err).Outcome)
+		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(err).Outcome)
 		close(proceed)
-		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.As(<-done).Outcome)
+		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(<-done).Outcome)
 		killed.Wait()
 		time.Sleep(time.Second)
 		require.Equal(t, 1, s.service.Ran(team, "slot"))
@@ -95,7 +95,7 @@
 		began := time.Now()
 		_, err := s.book(0, "slot")
 		require.True(t, failure.IsNotRun(err))
-		require.NotZero(t, failure.As(err).RetryAfter)
+		require.NotZero(t, failure.FromError(err).RetryAfter)
 		require.Less(t, time.Since(began), 100*time.Millisecond)
 		require.Zero(t, s.service.Ran(team, "slot"))
 		s.table.SetOutage(false)
@@ -145,7 +145,7 @@
 		req.NonIdempotent = true
 		at, done := s.generate(s.client(once, 0), req)
 		<-done
-		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.As(at.err).Outcome, "%v", at.err)
+		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(at.err).Outcome, "%v", at.err)
 		require.EqualValues(t, 1, received.Load())
 	})
 }
@@ -204,7 +204,7 @@
 				continue
 			}
 			require.True(t, failure.IsNotRun(at.err), "%v", at.err)
-			require.NotZero(t, failure.As(at.err).RetryAfter)
+			require.NotZero(t, failure.FromError(at.err).RetryAfter)
 			require.Empty(t, s.runs(fmt.Sprintf("q%d", i)))
 			refused++
 		}
@@ -354,7 +354,7 @@
 func (s *system) bookOutcome(entry int, key string) callOut {
 	resp, err := s.book(entry, key)
 	if err != nil {
-		return callOut{outcome: failure.As(err).Outcome}
+		return callOut{outcome: failure.FromError(err).Outcome}
 	}
 	return callOut{kingcupv1.Outcome_OUTCOME_ANSWERED, resp.GetReplayed()}
 }
--- a/internal/proof/stream_test.go
+++ b/internal/proof/stream_test.go
@@ -232,7 +232,7 @@
 		s.killEngine(s.index(at.server()))
 		<-done
 		require.Error(t, at.err)
-		f := failure.As(at.err)
+		f := failure.FromError(at.err)
 		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, f.Outcome)
 		require.Less(t, len(at.tokens), 300)
 	})
@@ -453,8 +453,8 @@
 		}
 		<-done
 		require.Equal(t, 3, ends)
-		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.As(at.err).Outcome)
-		require.Equal(t, kingcupv1.Reason_REASON_HARMFUL, failure.As(at.err).Reason)
-		require.Zero(t, failure.As(at.err).RetryAfter)
+		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(at.err).Outcome)
+		require.Equal(t, kingcupv1.Reason_REASON_HARMFUL, failure.FromError(at.err).Reason)
+		require.Zero(t, failure.FromError(at.err).RetryAfter)
 	})
 }
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -173,7 +173,7 @@
 
 // Fail sends err as the stream's answer.
 func (s *Stream) Fail(err error) error {
-	return s.Send(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: failure.As(err).Proto()}})
+	return s.Send(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: failure.FromError(err).Proto()}})
 }
 
 // SetReadDeadline bounds reads; the zero time removes the bound. It does
