--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -137,7 +137,7 @@
 		s.log.WithField("server", server.ID).Warn("end of a server is not counted, the store's clock is not known")
 		return
 	}
-	s.learn("seen here", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Ended(lifeHash(server), now, ran) })
+	s.learn("seen here", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(lifeHash(server), now, ran) })
 }
 
 // lifeHash identifies a life of a server among all gateways.
--- a/internal/gateway/suspectrows_test.go
+++ b/internal/gateway/suspectrows_test.go
@@ -37,7 +37,7 @@
 	s := quietGroup(memberRows(nil)).suspects
 	x, y := quarantine.Of("team", "POST", "h", "/x", nil), quarantine.Of("team", "POST", "h", "/y", nil)
 	end := func(server uint64, at time.Duration, ran ...quarantine.ID) {
-		s.learn("test", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Ended(server, at, ran) })
+		s.learn("test", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(server, at, ran) })
 	}
 	for server := range uint64(3) {
 		end(server, time.Duration(1+server)*time.Second, x, y)
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -167,7 +167,7 @@
 
 func (l *ledger) Ended(s backends.Server, ran []quarantine.ID) {
 	l.mu.Lock()
-	c := l.book.Ended(cells.Hash(s.ID), l.now(), ran)
+	c := l.book.Crashed(cells.Hash(s.ID), l.now(), ran)
 	l.mu.Unlock()
 	for _, id := range c.Quarantined {
 		l.relay.Quarantined(id)
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -14,7 +14,7 @@
 	for i := range 1000 {
 		id := Of("team", "POST", "host", "/path", fmt.Append(nil, i))
 		for server := range uint64(3) {
-			book.Ended(server*1000+uint64(i), time.Second, []ID{id})
+			book.Crashed(server*1000+uint64(i), time.Second, []ID{id})
 		}
 	}
 	body := bytes.Repeat([]byte("x"), 12<<10)
@@ -35,6 +35,6 @@
 			n++
 			ran = append(ran, ID{Team: fmt.Sprint(n % 100), Content: uint64(n)})
 		}
-		book.Ended(uint64(n), time.Duration(n)*time.Millisecond, ran)
+		book.Crashed(uint64(n), time.Duration(n)*time.Millisecond, ran)
 	}
 }
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -71,8 +71,8 @@
 	Quarantined, Released []ID
 }
 
-// Ended notes that a life of a server has ended while requests ran there.
-func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Update {
+// Crashed notes that a life of a server has ended while requests ran there.
+func (b *Tracker) Crashed(server uint64, at time.Duration, ran []ID) Update {
 	list := make([]Record, 0, len(ran))
 	for _, id := range ran {
 		list = append(list, Record{ID: id, Crashes: []Crash{{Incarnation: server, At: at}}})
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -18,12 +18,12 @@
 func TestThirdEndConvicts(t *testing.T) {
 	p := Default()
 	b, id := NewTracker(p), request("a")
-	require.Empty(t, b.Ended(1, time.Second, []ID{id}).Quarantined)
+	require.Empty(t, b.Crashed(1, time.Second, []ID{id}).Quarantined)
 	require.False(t, b.Near(id))
-	require.Empty(t, b.Ended(1, 2*time.Second, []ID{id}).Quarantined, "the same life counts once")
-	require.Empty(t, b.Ended(2, 3*time.Second, []ID{id}).Quarantined)
+	require.Empty(t, b.Crashed(1, 2*time.Second, []ID{id}).Quarantined, "the same life counts once")
+	require.Empty(t, b.Crashed(2, 3*time.Second, []ID{id}).Quarantined)
 	require.True(t, b.Near(id))
-	require.Equal(t, []ID{id}, b.Ended(3, 4*time.Second, []ID{id}).Quarantined)
+	require.Equal(t, []ID{id}, b.Crashed(3, 4*time.Second, []ID{id}).Quarantined)
 	left, held := b.Held(id, 5*time.Second)
 	require.True(t, held)
 	require.Equal(t, p.Term-time.Second, left)
@@ -39,7 +39,7 @@
 	b, id := NewTracker(p), request("a")
 	for i := range 6 {
 		at := time.Duration(i) * (p.Window/2 + time.Minute)
-		require.Empty(t, b.Ended(uint64(i), at, []ID{id}).Quarantined)
+		require.Empty(t, b.Crashed(uint64(i), at, []ID{id}).Quarantined)
 	}
 }
 
@@ -47,15 +47,15 @@
 // seen before it does not count any more, also when a process tells of it later.
 func TestAnsweredRequestIsAbsolved(t *testing.T) {
 	b, id := NewTracker(Default()), request("a")
-	b.Ended(1, 1*time.Second, []ID{id})
+	b.Crashed(1, 1*time.Second, []ID{id})
 	old := b.Record(id)
-	b.Ended(2, 2*time.Second, []ID{id})
-	b.Ended(3, 3*time.Second, []ID{id})
+	b.Crashed(2, 2*time.Second, []ID{id})
+	b.Crashed(3, 3*time.Second, []ID{id})
 	require.Equal(t, []ID{id}, b.Absolve(id, 4*time.Second).Released)
 	require.Empty(t, b.Merge([]Record{old}).Changed, "older than the answer")
-	b.Ended(4, 5*time.Second, []ID{id})
-	require.Empty(t, b.Ended(5, 6*time.Second, []ID{id}).Quarantined)
-	require.Equal(t, []ID{id}, b.Ended(6, 7*time.Second, []ID{id}).Quarantined)
+	b.Crashed(4, 5*time.Second, []ID{id})
+	require.Empty(t, b.Crashed(5, 6*time.Second, []ID{id}).Quarantined)
+	require.Equal(t, []ID{id}, b.Crashed(6, 7*time.Second, []ID{id}).Quarantined)
 }
 
 // A request that many make runs on each server that ends under either of two harmful ones,
@@ -67,7 +67,7 @@
 	var held []ID
 	for s := range uint64(6) {
 		at := time.Duration(1+s) * time.Second
-		held = append(held, b.Ended(s, at, []ID{popular, harmful[s%2]}).Quarantined...)
+		held = append(held, b.Crashed(s, at, []ID{popular, harmful[s%2]}).Quarantined...)
 	}
 	require.Equal(t, popular, held[0])
 	require.ElementsMatch(t, append(harmful, popular), held)
@@ -78,10 +78,10 @@
 // chance. It is held, in doubt, and served again once it has shown that it is harmless.
 func TestRequestBesideAHarmfulOneIsTried(t *testing.T) {
 	b, harmful, beside := NewTracker(Default()), request("harmful"), request("beside")
-	b.Ended(1, 1*time.Second, []ID{harmful, beside})
-	b.Ended(2, 2*time.Second, []ID{harmful, beside})
-	b.Ended(3, 3*time.Second, []ID{harmful})
-	require.Equal(t, []ID{beside}, b.Ended(4, 4*time.Second, []ID{beside}).Quarantined)
+	b.Crashed(1, 1*time.Second, []ID{harmful, beside})
+	b.Crashed(2, 2*time.Second, []ID{harmful, beside})
+	b.Crashed(3, 3*time.Second, []ID{harmful})
+	require.Equal(t, []ID{beside}, b.Crashed(4, 4*time.Second, []ID{beside}).Quarantined)
 	require.True(t, triedFrom(b, beside, 10*time.Second))
 	require.Equal(t, []ID{beside}, b.Absolve(beside, 12*time.Second).Released)
 }
@@ -90,9 +90,9 @@
 // the harmful one might go on.
 func TestRequestsWithTheSameEndsAreAllHeld(t *testing.T) {
 	b, x, y := NewTracker(Default()), request("x"), request("y")
-	b.Ended(1, 1*time.Second, []ID{x, y})
-	b.Ended(2, 2*time.Second, []ID{x, y})
-	require.ElementsMatch(t, []ID{x, y}, b.Ended(3, 3*time.Second, []ID{x, y}).Quarantined)
+	b.Crashed(1, 1*time.Second, []ID{x, y})
+	b.Crashed(2, 2*time.Second, []ID{x, y})
+	require.ElementsMatch(t, []ID{x, y}, b.Crashed(3, 3*time.Second, []ID{x, y}).Quarantined)
 }
 
 // Attempts that were under way end further servers after the verdict. These are no ends under
@@ -100,7 +100,7 @@
 func TestEndsAfterTheVerdictAreNoTrials(t *testing.T) {
 	b, harmful, beside := NewTracker(Default()), request("harmful"), request("beside")
 	for i := uint64(1); i <= 2*keptEnds; i++ {
-		b.Ended(i, time.Duration(i)*time.Second, []ID{harmful, beside})
+		b.Crashed(i, time.Duration(i)*time.Second, []ID{harmful, beside})
 	}
 	for _, id := range []ID{harmful, beside} {
 		require.True(t, triedFrom(b, id, time.Minute))
@@ -113,16 +113,16 @@
 	p := Default()
 	b, other := NewTracker(p), request("other")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s), []ID{other})
+		b.Crashed(s, time.Duration(1+s), []ID{other})
 	}
 	for i := range 10000 {
-		b.Ended(uint64(100+i), time.Duration(100+i), []ID{Of("flood", "POST", "h", "/p", fmt.Append(nil, i))})
+		b.Crashed(uint64(100+i), time.Duration(100+i), []ID{Of("flood", "POST", "h", "/p", fmt.Append(nil, i))})
 	}
 	require.LessOrEqual(t, b.Len(), p.PerTeam+1)
 	_, held := b.Held(other, 20000)
 	require.True(t, held)
 	for i := range 3000 {
-		b.Ended(uint64(20000+i), time.Duration(20000+i), []ID{Of(fmt.Sprint("team", i), "POST", "h", "/p", nil)})
+		b.Crashed(uint64(20000+i), time.Duration(20000+i), []ID{Of(fmt.Sprint("team", i), "POST", "h", "/p", nil)})
 	}
 	require.LessOrEqual(t, b.Len(), p.Records)
 	_, held = b.Held(other, 30000)
@@ -133,9 +133,9 @@
 func TestRecordsExpire(t *testing.T) {
 	p := Default()
 	b := NewTracker(p)
-	b.Ended(1, time.Minute, []ID{request("old")})
-	b.Ended(2, 10*p.Window, []ID{request("ahead")})
-	b.Ended(3, p.Window, []ID{request("new")})
+	b.Crashed(1, time.Minute, []ID{request("old")})
+	b.Crashed(2, 10*p.Window, []ID{request("ahead")})
+	b.Crashed(3, p.Window, []ID{request("new")})
 	b.Expire(time.Minute + p.Window)
 	require.Equal(t, 1, b.Len())
 }
@@ -171,7 +171,7 @@
 	if e.answer {
 		return b.Absolve(e.ran[0], e.at).Changed
 	}
-	return b.Ended(e.server, e.at, e.ran).Changed
+	return b.Crashed(e.server, e.at, e.ran).Changed
 }
 
 // Processes see different ends and tell each other in any order, several times, and with
@@ -216,7 +216,7 @@
 	p := Default()
 	b, popular, harmful := NewTracker(p), request("popular"), request("harmful")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{popular, harmful})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{popular, harmful})
 	}
 	at := 3*time.Second + p.TrialAfter
 	_, tried := b.Try(popular, at-time.Millisecond)
@@ -224,11 +224,11 @@
 	require.True(t, triedFrom(b, popular, at))
 	require.False(t, triedWithin(b, popular, at+waitsMost, 2*p.TrialAfter-waitsMost), "a trial is on its way")
 	require.True(t, triedFrom(b, harmful, at))
-	b.Ended(8, at+2*time.Second, []ID{harmful})
+	b.Crashed(8, at+2*time.Second, []ID{harmful})
 	at += 5 * p.TrialAfter
 	require.True(t, triedFrom(b, popular, at))
 	require.True(t, triedFrom(b, harmful, at))
-	b.Ended(9, at+2*time.Second, []ID{harmful})
+	b.Crashed(9, at+2*time.Second, []ID{harmful})
 	require.False(t, triedFrom(b, harmful, at+time.Minute), "servers end under its trials")
 	require.Equal(t, []ID{popular}, b.Absolve(popular, at+2*time.Second).Released)
 	_, held := b.Held(harmful, at+time.Minute)
@@ -242,8 +242,8 @@
 	p := Default()
 	b, x, y, sole := NewTracker(p), request("x"), request("y"), request("sole")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
-		b.Ended(100+s, time.Duration(1+s)*time.Second, []ID{sole})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{x, y})
+		b.Crashed(100+s, time.Duration(1+s)*time.Second, []ID{sole})
 	}
 	left, held := b.Held(x, 3*time.Second)
 	require.True(t, held)
@@ -264,7 +264,7 @@
 	b := NewTracker(p)
 	x, y := request("x"), request("y")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{x, y})
 	}
 	at := 10 * time.Second
 	for !firstTried(b, x, y, at) {
@@ -315,7 +315,7 @@
 func TestAbsolvedRequestLeavesTheOthersDoubt(t *testing.T) {
 	b, x, y := NewTracker(Default()), request("x"), request("y")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{x, y})
 	}
 	require.True(t, triedFrom(b, x, 10*time.Second))
 	require.Equal(t, []ID{x}, b.Absolve(x, 12*time.Second).Released)
@@ -326,9 +326,9 @@
 // did not end alone, and is not held yet. The first must be tried.
 func TestDoubtByOneThatIsNotHeldYet(t *testing.T) {
 	b, popular, harmful := NewTracker(Default()), request("popular"), request("harmful")
-	b.Ended(1, time.Second, []ID{popular})
-	b.Ended(2, 2*time.Second, []ID{popular, harmful})
-	require.Equal(t, []ID{popular}, b.Ended(3, 3*time.Second, []ID{popular, harmful}).Quarantined)
+	b.Crashed(1, time.Second, []ID{popular})
+	b.Crashed(2, 2*time.Second, []ID{popular, harmful})
+	require.Equal(t, []ID{popular}, b.Crashed(3, 3*time.Second, []ID{popular, harmful}).Quarantined)
 	require.True(t, triedFrom(b, popular, 10*time.Second))
 }
 
@@ -336,7 +336,7 @@
 func TestVerdictsWithoutDoubtAreNotTried(t *testing.T) {
 	b, harmful := NewTracker(Default()), request("harmful")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{harmful, request(string('a' + rune(s)))})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{harmful, request(string('a' + rune(s)))})
 	}
 	require.False(t, triedFrom(b, harmful, time.Minute))
 }
--- a/quarantine/play_test.go
+++ b/quarantine/play_test.go
@@ -145,7 +145,7 @@
 	}
 	for gateway, ids := range ran {
 		g := f.gateways[gateway]
-		f.tell(g, g.book.Ended(h.life, f.now, ids).Changed)
+		f.tell(g, g.book.Crashed(h.life, f.now, ids).Changed)
 	}
 	h.life, h.works, h.back = 0, nil, f.now+downFor
 	for _, w := range works {
