--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -72,7 +72,7 @@
 		}
 		now := 10 * time.Second
 		tell := func(from, to int) {
-			regs[to].SetLosses(fmt.Sprint("vm-", from), regs[from].Statuses(now), now+time.Millisecond)
+			regs[to].SetRemoteStatuses(fmt.Sprint("vm-", from), regs[from].Statuses(now), now+time.Millisecond)
 		}
 		var newest Signals
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -111,11 +111,11 @@
 		{Named: true, PerSecond: 3}, {Known: true, Named: true, PerSecond: -1}, {Known: true, Named: true, PerSecond: math.NaN()},
 		{Known: true, Named: true, PerSecond: math.Inf(1)}, {Known: true, Named: true, PerSecond: 3, Age: -time.Second},
 	} {
-		require.Empty(t, r.SetLosses("vm-2", map[string]ServerStatus{s.ID: {Limit: l, StartTime: s.StartTime}}, time.Minute))
-		require.Empty(t, r.SetLosses("vm-2", map[string]ServerStatus{s.ID: {Limit: ToldLimit{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
+		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {Limit: l, StartTime: s.StartTime}}, time.Minute))
+		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {Limit: ToldLimit{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
 		require.Zero(t, r.Limited())
 	}
-	require.Len(t, r.SetLosses("vm-2", map[string]ServerStatus{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
+	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
 	require.Equal(t, 1, r.Limited())
 }
 
@@ -142,7 +142,7 @@
 			c.put(0, s)
 			c.regs[0].Advised(s, Signals{Limited: true, Limit: named}, 0, 500*time.Millisecond)
 			for i, r := range c.regs[1:] {
-				r.SetLosses("vm-0", c.regs[i].Statuses(600*time.Millisecond), 600*time.Millisecond)
+				r.SetRemoteStatuses("vm-0", c.regs[i].Statuses(600*time.Millisecond), 600*time.Millisecond)
 			}
 			c.ask(from, to)
 			got := c.got[s.ID]
@@ -232,14 +232,14 @@
 		}
 		return n
 	}
-	r.SetLosses("vm-2", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
 	require.Greater(t, picked(), 20, "one alone")
-	r.SetLosses("vm-3", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
+	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
 	require.Zero(t, picked())
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, time.Second)
 	require.NotNil(t, lease, "it wants nothing of the others only")
 	lease.Done(Unjudged, time.Second)
-	r.SetLosses("vm-3", nil, time.Second)
+	r.SetRemoteStatuses("vm-3", nil, time.Second)
 	require.Greater(t, picked(), 20)
 }
 
--- a/backends/load.go
+++ b/backends/load.go
@@ -134,13 +134,13 @@
 	Limit bool
 }
 
-// SetLosses replaces what another process has told of what is wrong with servers; nil forgets
+// SetRemoteStatuses replaces what another process has told of what is wrong with servers; nil forgets
 // it. It returns the servers of which is news that they name a limit, or none, or that they are
 // leaving: others have to be told at once, as who hears this process need not hear that one.
 //
 // While the directory is away only those that run something on a server ask whether it is
 // leaving; the others would go on sending runs and copies there.
-func (r *Registry) SetLosses(process string, losses map[string]ServerStatus, now time.Duration) (news []Told) {
+func (r *Registry) SetRemoteStatuses(process string, losses map[string]ServerStatus, now time.Duration) (news []Told) {
 	r.mu.Lock()
 	if len(losses) == 0 {
 		delete(r.losses, process)
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -178,11 +178,11 @@
 	for range 6 {
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
-	r.SetLosses("vm-2", map[string]ServerStatus{"a": {InARow: 9}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {InARow: 9}}, 0)
 	require.Equal(t, "a", r.pick(t, 0), "one process alone is not believed")
-	r.SetLosses("vm-3", map[string]ServerStatus{"a": {InARow: 1}}, 0)
+	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {InARow: 1}}, 0)
 	require.Equal(t, "b", r.pick(t, 0))
-	r.SetLosses("vm-3", nil, 0)
+	r.SetRemoteStatuses("vm-3", nil, 0)
 	require.Equal(t, "b", r.pick(t, lossesFor-1))
 	require.Equal(t, "a", r.pick(t, lossesFor))
 	l := r.Acquire(Query{Service: svc}, lossesFor)
@@ -202,11 +202,11 @@
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
 	lose := func(now time.Duration) {
-		r.SetLosses("vm-2", map[string]ServerStatus{"a": {InARow: 2}}, 0)
-		r.SetLosses("vm-3", map[string]ServerStatus{"a": {InARow: 2}}, 0)
+		r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {InARow: 2}}, 0)
+		r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {InARow: 2}}, 0)
 		require.Equal(t, "b", r.pick(t, now))
-		r.SetLosses("vm-2", nil, 0)
-		r.SetLosses("vm-3", nil, 0)
+		r.SetRemoteStatuses("vm-2", nil, 0)
+		r.SetRemoteStatuses("vm-3", nil, 0)
 	}
 	now := time.Second
 	for _, left := range []time.Duration{lossesFor, 2 * lossesFor, 4 * lossesFor, 4 * lossesFor} {
@@ -267,11 +267,11 @@
 		return ids
 	}
 	require.Len(t, picked(0), 2)
-	r.SetLosses("vm-2", map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, 0)
 	require.Equal(t, []string{"b"}, picked(0), "by what another gateway tells")
-	r.SetLosses("vm-2", map[string]ServerStatus{"a": {Ended: true, StartTime: 6}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Ended: true, StartTime: 6}}, 0)
 	require.Len(t, picked(0), 2, "an earlier life")
-	r.SetLosses("vm-2", nil, 0)
+	r.SetRemoteStatuses("vm-2", nil, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
 	lease.Done(Ended, 0)
 	require.Equal(t, []string{"b"}, picked(lostFor-1))
@@ -299,10 +299,10 @@
 	require.False(t, asked.Reported(leaving), "no news")
 	losses := asked.Statuses(0)
 	require.Equal(t, map[string]ServerStatus{"a": {Leaving: true, StartTime: 7}}, losses)
-	told.SetLosses("vm-1", map[string]ServerStatus{"a": {Leaving: true, StartTime: 6}}, 0)
+	told.SetRemoteStatuses("vm-1", map[string]ServerStatus{"a": {Leaving: true, StartTime: 6}}, 0)
 	require.Equal(t, 1, told.Ready(svc), "an earlier life")
-	told.SetLosses("vm-1", losses, 0)
-	told.SetLosses("vm-1", losses, 0)
+	told.SetRemoteStatuses("vm-1", losses, 0)
+	told.SetRemoteStatuses("vm-1", losses, 0)
 	require.Zero(t, told.Ready(svc))
 	require.Equal(t, []LeaveReason{NoticeReported, NoticeTold}, notices)
 	told.Remove("a", 0, 0)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -168,14 +168,14 @@
 func (g *group) State(peer string, s *peerv1.State) {
 	if s == nil {
 		g.registry.SetRemote(peer, nil)
-		g.registry.SetLosses(peer, nil, clock.SinceBoot())
+		g.registry.SetRemoteStatuses(peer, nil, clock.SinceBoot())
 		return
 	}
 	losses := make(map[string]backends.ServerStatus, len(s.GetLosses()))
 	for _, l := range s.GetLosses() {
 		losses[l.GetServer()] = lossFrom(l)
 	}
-	g.pass(peer, losses, g.registry.SetLosses(peer, losses, clock.SinceBoot()))
+	g.pass(peer, losses, g.registry.SetRemoteStatuses(peer, losses, clock.SinceBoot()))
 	loads := make(map[string]backends.Load, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads[l.GetServer()] = backends.Load{
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -47,7 +47,7 @@
 	for k, o := range p.worlds {
 		if k != i {
 			o.registry.SetRemote(fmt.Sprint("vm-", i), loads)
-			o.registry.SetLosses(fmt.Sprint("vm-", i), losses, o.now())
+			o.registry.SetRemoteStatuses(fmt.Sprint("vm-", i), losses, o.now())
 		}
 	}
 }
