--- a/flow/turns.go
+++ b/flow/turns.go
@@ -58,9 +58,9 @@
 	Yield int
 }
 
-// Mine reports whether it is this process's turn at a server. Without other
+// IsOwnTurn reports whether it is this process's turn at a server. Without other
 // contenders it always is.
-func (t *Turns) Mine(server string) bool {
+func (t *Turns) IsOwnTurn(server string) bool {
 	if t == nil || len(t.Contenders) < 2 {
 		return true
 	}
--- a/flow/turns_test.go
+++ b/flow/turns_test.go
@@ -18,7 +18,7 @@
 		owners := 0
 		for _, c := range contenders {
 			turns := &Turns{Self: c.Name, Period: period, Contenders: contenders}
-			if turns.Mine("s") {
+			if turns.IsOwnTurn("s") {
 				owners++
 				won[c.Name]++
 			}
@@ -53,8 +53,8 @@
 }
 
 func TestTurnsWithoutOthersAreAlwaysMine(t *testing.T) {
-	require.True(t, (*Turns)(nil).Mine("s"))
-	require.True(t, (&Turns{Self: "a", Contenders: []Contender{{Name: "a", Waiting: 3}}}).Mine("s"))
+	require.True(t, (*Turns)(nil).IsOwnTurn("s"))
+	require.True(t, (&Turns{Self: "a", Contenders: []Contender{{Name: "a", Waiting: 3}}}).IsOwnTurn("s"))
 }
 
 // crowd plays processes that each have a queue in front of the same engines and
@@ -95,7 +95,7 @@
 			}
 			turns := &Turns{Self: contenders[p].Name, Period: int64(now / period), Contenders: contenders}
 			for e := range c.engines {
-				if c.turns && !turns.Mine("e"+strconv.Itoa(e)) {
+				if c.turns && !turns.IsOwnTurn("e"+strconv.Itoa(e)) {
 					continue
 				}
 				if known(p, e, now) < 1 {
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -39,7 +39,7 @@
 	}, "the same period at both")
 	for i := range 500 {
 		server := fmt.Sprint("engine-", i)
-		require.NotEqual(t, turnA.Mine(server), turnB.Mine(server))
+		require.NotEqual(t, turnA.IsOwnTurn(server), turnB.IsOwnTurn(server))
 	}
 	require.Equal(t, 3, b.group.Turns(fleet.ModelService, 2).Yield)
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0), "what is more urgent needs no turn")
--- a/internal/relay/lane_test.go
+++ b/internal/relay/lane_test.go
@@ -79,10 +79,10 @@
 			return &flow.Turns{Self: "self", Period: period, Contenders: []flow.Contender{{Name: "self", Waiting: 1}, {Name: "other", Waiting: 1}}}
 		}
 		var mine, others int64
-		for !turns(mine).Mine("a") {
+		for !turns(mine).IsOwnTurn("a") {
 			mine++
 		}
-		for turns(others).Mine("a") {
+		for turns(others).IsOwnTurn("a") {
 			others++
 		}
 		w.others.set(turns(others))
