--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -51,7 +51,7 @@
 		asked: start.GetAttempt(),
 	}
 	g.buf.Preload(start.GetPrefix())
-	g.buf.Begin(start.GetAttempt())
+	g.buf.BeginAttempt(start.GetAttempt())
 	g.job = &sched.Job{
 		ID: g.id, Team: r.GetTeam(), Model: r.GetModel(),
 		Weight: team.GetWeight(), Level: level,
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -19,7 +19,7 @@
 	again := g.dispatched
 	g.dispatched = true
 	if again {
-		g.buf.Begin(g.buf.Attempt() + 1)
+		g.buf.BeginAttempt(g.buf.Attempt() + 1)
 		a.policy.Progress(g.job, int(g.buf.Next()))
 	}
 	attempt := g.buf.Attempt()
@@ -176,7 +176,7 @@
 		return attempt, nil, errors.Wrap(cause, "engine does not resume from a prefix")
 	}
 	next := attempt + 1
-	if err := g.buf.Begin(next); err != nil {
+	if err := g.buf.BeginAttempt(next); err != nil {
 		return attempt, nil, err
 	}
 	src, err := a.generate(ctx, g, next)
@@ -230,7 +230,7 @@
 		once:       true,
 		dispatched: true,
 	}
-	g.buf.Begin(r.Attempt)
+	g.buf.BeginAttempt(r.Attempt)
 	g.job = &sched.Job{
 		ID: r.ID, Team: r.Team, Model: r.Model, Weight: 1,
 		PromptTokens: int(r.PromptBytes)/a.cfg.BytesPerToken + 1, MaxTokens: int(r.MaxTokens), EmittedBefore: int(r.Emitted),
--- a/stream/buffer.go
+++ b/stream/buffer.go
@@ -58,9 +58,9 @@
 	return &Buffer{maxBytes: maxBytes, digest: engine.NewDigest()}
 }
 
-// Begin raises the current attempt; tokens of lower ones are refused from now
+// BeginAttempt raises the current attempt; tokens of lower ones are refused from now
 // on. It returns ErrStaleAttempt if attempt is not above the current one.
-func (b *Buffer) Begin(attempt uint32) error {
+func (b *Buffer) BeginAttempt(attempt uint32) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if attempt <= b.attempt {
--- a/stream/buffer_test.go
+++ b/stream/buffer_test.go
@@ -20,14 +20,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBuffer(1 << 20)
 		attempt := uint32(1)
-		require.NoError(t, b.Begin(attempt))
+		require.NoError(t, b.BeginAttempt(attempt))
 		want := []string{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				attempt++
-				require.NoError(t, b.Begin(attempt))
-				require.ErrorIs(t, b.Begin(attempt), ErrStaleAttempt)
+				require.NoError(t, b.BeginAttempt(attempt))
+				require.ErrorIs(t, b.BeginAttempt(attempt), ErrStaleAttempt)
 			case 1:
 				stale := rapid.Uint32Range(0, attempt-1).Draw(t, "stale")
 				require.ErrorIs(t, b.Append(stale, b.Next(), token(stale, b.Next())), ErrStaleAttempt)
@@ -71,7 +71,7 @@
 func TestBufferBoundsMemory(t *testing.T) {
 	const bound = 1 << 10
 	b := NewBuffer(bound)
-	require.NoError(t, b.Begin(1))
+	require.NoError(t, b.BeginAttempt(1))
 	for i := range uint64(10000) {
 		require.NoError(t, b.Append(1, i, token(1, i)))
 		require.LessOrEqual(t, len(b.data), bound)
@@ -97,7 +97,7 @@
 		{End{Tokens: 1, Digest: digest.Sum() + 1}, ErrDigest},
 	} {
 		b := NewBuffer(1 << 10)
-		require.NoError(t, b.Begin(1))
+		require.NoError(t, b.BeginAttempt(1))
 		require.NoError(t, b.Append(1, 0, token(1, 0)))
 		require.ErrorIs(t, b.Finish(1, c.end), c.want)
 	}
@@ -105,7 +105,7 @@
 
 func BenchmarkRelay(b *testing.B) {
 	buf := NewBuffer(64 << 10)
-	buf.Begin(1)
+	buf.BeginAttempt(1)
 	r := buf.NewReader(0)
 	defer r.Close()
 	text := []byte(" token")
