--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -150,7 +150,7 @@
 
 func (s *suspects) absolve(id quarantine.ID, why string) {
 	if now, known := s.group.role.now(); known {
-		s.learn(why, 0, func(b *quarantine.Tracker) quarantine.Update { return b.Absolve(id, now) })
+		s.learn(why, 0, func(b *quarantine.Tracker) quarantine.Update { return b.Clear(id, now) })
 	}
 }
 
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -177,7 +177,7 @@
 func (l *ledger) Answered(id quarantine.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.Absolve(id, l.now())
+	l.book.Clear(id, l.now())
 }
 
 // known counts the ends that are held against a request.
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -80,9 +80,9 @@
 	return b.Merge(list)
 }
 
-// Absolve notes that a server has answered a request, or that an operator lifts its
+// Clear notes that a server has answered a request, or that an operator lifts its
 // verdict. It is no news where nothing is held against the request.
-func (b *Tracker) Absolve(id ID, at time.Duration) Update {
+func (b *Tracker) Clear(id ID, at time.Duration) Update {
 	if r := b.records[id]; r == nil || len(r.together(b.policy.Window)) == 0 {
 		return Update{}
 	}
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -51,7 +51,7 @@
 	old := b.Record(id)
 	b.Crashed(2, 2*time.Second, []ID{id})
 	b.Crashed(3, 3*time.Second, []ID{id})
-	require.Equal(t, []ID{id}, b.Absolve(id, 4*time.Second).Released)
+	require.Equal(t, []ID{id}, b.Clear(id, 4*time.Second).Released)
 	require.Empty(t, b.Merge([]Record{old}).Changed, "older than the answer")
 	b.Crashed(4, 5*time.Second, []ID{id})
 	require.Empty(t, b.Crashed(5, 6*time.Second, []ID{id}).Quarantined)
@@ -83,7 +83,7 @@
 	b.Crashed(3, 3*time.Second, []ID{harmful})
 	require.Equal(t, []ID{beside}, b.Crashed(4, 4*time.Second, []ID{beside}).Quarantined)
 	require.True(t, triedFrom(b, beside, 10*time.Second))
-	require.Equal(t, []ID{beside}, b.Absolve(beside, 12*time.Second).Released)
+	require.Equal(t, []ID{beside}, b.Clear(beside, 12*time.Second).Released)
 }
 
 // Two requests that ran on the same three servers cannot be told apart; both are refused, or
@@ -169,7 +169,7 @@
 		return c.Changed
 	}
 	if e.answer {
-		return b.Absolve(e.ran[0], e.at).Changed
+		return b.Clear(e.ran[0], e.at).Changed
 	}
 	return b.Crashed(e.server, e.at, e.ran).Changed
 }
@@ -230,7 +230,7 @@
 	require.True(t, triedFrom(b, harmful, at))
 	b.Crashed(9, at+2*time.Second, []ID{harmful})
 	require.False(t, triedFrom(b, harmful, at+time.Minute), "servers end under its trials")
-	require.Equal(t, []ID{popular}, b.Absolve(popular, at+2*time.Second).Released)
+	require.Equal(t, []ID{popular}, b.Clear(popular, at+2*time.Second).Released)
 	_, held := b.Held(harmful, at+time.Minute)
 	require.True(t, held)
 	require.False(t, triedFrom(b, harmful, at+time.Minute))
@@ -280,7 +280,7 @@
 		_, tried := b.Try(second, later)
 		require.False(t, tried, "%v after the trial of the other", later-at)
 	}
-	require.Equal(t, []ID{first}, b.Absolve(first, at+p.TrialApart).Released)
+	require.Equal(t, []ID{first}, b.Clear(first, at+p.TrialApart).Released)
 	require.True(t, triedFrom(b, second, at+p.TrialApart))
 }
 
@@ -318,7 +318,7 @@
 		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{x, y})
 	}
 	require.True(t, triedFrom(b, x, 10*time.Second))
-	require.Equal(t, []ID{x}, b.Absolve(x, 12*time.Second).Released)
+	require.Equal(t, []ID{x}, b.Clear(x, 12*time.Second).Released)
 	require.True(t, triedFrom(b, y, 12*time.Second))
 }
 
--- a/quarantine/play_test.go
+++ b/quarantine/play_test.go
@@ -192,7 +192,7 @@
 		default:
 			f.served++
 			g := f.gateways[w.gateway]
-			f.tell(g, g.book.Absolve(w.id, f.now).Changed)
+			f.tell(g, g.book.Clear(w.id, f.now).Changed)
 		}
 	}
 	h.works = kept
