--- a/backends/advice.go
+++ b/backends/advice.go
@@ -139,12 +139,12 @@
 	return l.name(t.PerSecond, asOf, now)
 }
 
-// Advised notes what a server says of itself in an answer. sent is when the request was sent
+// ApplySignals notes what a server says of itself in an answer. sent is when the request was sent
 // that it answers, 0 if what it leaves out says nothing.
 //
 // Answers overtake each other. That a limit is missing says that it has ended only in an answer
 // to a request that was sent after the limit was last heard of.
-func (r *Registry) Advised(at Server, a Signals, sent, now time.Duration) (n News) {
+func (r *Registry) ApplySignals(at Server, a Signals, sent, now time.Duration) (n News) {
 	r.mu.Lock()
 	n, left := r.advised(at, a, sent, now)
 	r.mu.Unlock()
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -24,25 +24,25 @@
 // and arrives after.
 func TestAnswerThatWasOvertakenLiftsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	require.True(t, r.Advised(s, Signals{Limited: true, Limit: 3}, 1*time.Second, 2*time.Second).Limited)
-	require.Equal(t, News{}, r.Advised(s, Signals{Limited: true, Limit: 2}, 1*time.Second, 3*time.Second), "named before")
+	require.True(t, r.ApplySignals(s, Signals{Limited: true, Limit: 3}, 1*time.Second, 2*time.Second).Limited)
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{Limited: true, Limit: 2}, 1*time.Second, 3*time.Second), "named before")
 	for _, begun := range []time.Duration{0, time.Second, 3 * time.Second} {
-		require.Equal(t, News{}, r.Advised(s, Signals{}, begun, 4*time.Second), "asked at %v", begun)
+		require.Equal(t, News{}, r.ApplySignals(s, Signals{}, begun, 4*time.Second), "asked at %v", begun)
 		require.Equal(t, 1, r.Limited())
 	}
-	require.Equal(t, News{Lifted: true}, r.Advised(s, Signals{}, 3100*time.Millisecond, 4*time.Second))
+	require.Equal(t, News{Lifted: true}, r.ApplySignals(s, Signals{}, 3100*time.Millisecond, 4*time.Second))
 	require.Zero(t, r.Limited())
 }
 
 // Guards against a limit that outlives the server that named it.
 func TestNewLifeKnowsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	r.Advised(s, Signals{Limited: true, Limit: 3}, 0, time.Second)
+	r.ApplySignals(s, Signals{Limited: true, Limit: 3}, 0, time.Second)
 	again := s
 	again.StartTime = 2
 	r.Put(again, 2*time.Second)
 	require.Zero(t, r.Limited())
-	require.Equal(t, News{}, r.Advised(s, Signals{Limited: true}, 0, 3*time.Second), "an answer of the life before")
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{Limited: true}, 0, 3*time.Second), "an answer of the life before")
 	require.Zero(t, r.Limited())
 }
 
@@ -50,13 +50,13 @@
 // such an answer lifting a limit.
 func TestUnreadableAdviceIsToldOnceALife(t *testing.T) {
 	r, s := limitedRegistry()
-	r.Advised(s, Signals{Limited: true, Limit: 3}, 0, time.Second)
+	r.ApplySignals(s, Signals{Limited: true, Limit: 3}, 0, time.Second)
 	spoilt := Signals{LimitUnreadable: true, Unreadable: []string{"a header"}}
-	require.Equal(t, News{Unreadable: true}, r.Advised(s, spoilt, 2*time.Second, 3*time.Second))
-	require.Equal(t, News{}, r.Advised(s, spoilt, 4*time.Second, 5*time.Second))
+	require.Equal(t, News{Unreadable: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
 	require.Equal(t, 1, r.Limited())
 	other := Signals{Unreadable: []string{"another header"}}
-	require.Equal(t, News{Lifted: true}, r.Advised(s, other, 6*time.Second, 7*time.Second), "it names no limit")
+	require.Equal(t, News{Lifted: true}, r.ApplySignals(s, other, 6*time.Second, 7*time.Second), "it names no limit")
 }
 
 // Guards against gateways that disagree for ever on a limit because they hear of it in another
@@ -81,10 +81,10 @@
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				newest = Signals{Limited: true, Limit: float64(rapid.IntRange(0, 1).Draw(t, "limit"))}
-				regs[i].Advised(s, newest, now, now)
+				regs[i].ApplySignals(s, newest, now, now)
 			case 1:
 				newest = Signals{}
-				regs[i].Advised(s, newest, now, now)
+				regs[i].ApplySignals(s, newest, now, now)
 			case 2:
 				tell(i, rapid.IntRange(0, gateways-1).Draw(t, "to"))
 			}
@@ -140,7 +140,7 @@
 			c := newCrowd(gateways)
 			s := coldServer(0, "z0", cold)
 			c.put(0, s)
-			c.regs[0].Advised(s, Signals{Limited: true, Limit: named}, 0, 500*time.Millisecond)
+			c.regs[0].ApplySignals(s, Signals{Limited: true, Limit: named}, 0, 500*time.Millisecond)
 			for i, r := range c.regs[1:] {
 				r.SetRemoteStatuses("vm-0", c.regs[i].Statuses(600*time.Millisecond), 600*time.Millisecond)
 			}
@@ -160,7 +160,7 @@
 	q := Query{Service: svc, Copy: true}
 	lease := r.Acquire(q, time.Second)
 	require.NotNil(t, lease)
-	r.Advised(s, Signals{Limited: true, Limit: 5}, 0, time.Second)
+	r.ApplySignals(s, Signals{Limited: true, Limit: 5}, 0, time.Second)
 	require.Nil(t, r.Acquire(q, 2*time.Second))
 	require.True(t, r.TakeTurn(lease, pacing.SharedTime{}, 2*time.Second), "a copy of before")
 	require.False(t, r.TakeTurn(lease, pacing.SharedTime{}, 2*time.Second), "and no second one at once")
@@ -170,8 +170,8 @@
 // outage and comes back as it was before, and against another life being taken for that one.
 func TestLaggingEntryBringsBackNoLeavingServer(t *testing.T) {
 	r, s := limitedRegistry()
-	require.Equal(t, News{Leaving: true}, r.Advised(s, Signals{Leaving: true}, 0, time.Second))
-	require.Equal(t, News{}, r.Advised(s, Signals{Leaving: true}, 0, time.Second), "once")
+	require.Equal(t, News{Leaving: true}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second), "once")
 	r.Put(s, 2*time.Second)
 	require.Zero(t, r.Ready(svc))
 	r.Reset(nil, 10*time.Second, 12*time.Second)
@@ -181,7 +181,7 @@
 	again.StartTime = 2
 	r.Put(again, 14*time.Second)
 	require.Equal(t, 1, r.Ready(svc))
-	r.Advised(s, Signals{Leaving: true}, 0, 15*time.Second)
+	r.ApplySignals(s, Signals{Leaving: true}, 0, 15*time.Second)
 	require.Equal(t, 1, r.Ready(svc), "the word of the life before")
 }
 
@@ -192,7 +192,7 @@
 	s.Leaving = true
 	r.Put(s, time.Second)
 	require.Empty(t, r.Statuses(time.Second))
-	r.Advised(s, Signals{Leaving: true}, 0, time.Second)
+	r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second)
 	require.True(t, r.Statuses(time.Second)[s.ID].Leaving)
 }
 
@@ -200,15 +200,15 @@
 // request, and against the rest of a life that is over.
 func TestLongestRestCounts(t *testing.T) {
 	r, s := limitedRegistry()
-	require.Equal(t, News{Rests: true}, r.Advised(s, Signals{Rest: 3 * time.Second}, 0, time.Second))
-	require.Equal(t, News{}, r.Advised(s, Signals{Rest: time.Second}, 0, 2*time.Second))
-	require.Equal(t, News{}, r.Advised(s, Signals{}, 500*time.Millisecond, 3*time.Second), "an answer to an earlier request")
+	require.Equal(t, News{Rests: true}, r.ApplySignals(s, Signals{Rest: 3 * time.Second}, 0, time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{Rest: time.Second}, 0, 2*time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{}, 500*time.Millisecond, 3*time.Second), "an answer to an earlier request")
 	require.Nil(t, r.Acquire(Query{Service: svc}, 3900*time.Millisecond))
 	require.Nil(t, r.Acquire(Query{Service: svc, Copy: true}, 3900*time.Millisecond))
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
 	lease.Done(Good, 4*time.Second)
-	r.Advised(s, Signals{Rest: MostRest}, 0, 5*time.Second)
+	r.ApplySignals(s, Signals{Rest: MostRest}, 0, 5*time.Second)
 	again := s
 	again.StartTime = 2
 	r.Put(again, 6*time.Second)
@@ -250,7 +250,7 @@
 	news := 0
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
 		for _, a := range []Signals{{Limited: true, Limit: 5}, {}} {
-			n := r.Advised(s, a, now+time.Millisecond, now)
+			n := r.ApplySignals(s, a, now+time.Millisecond, now)
 			if n.Limited || n.Lifted {
 				news++
 			}
