--- a/flow/turns.go
+++ b/flow/turns.go
@@ -28,7 +28,7 @@
 			t.Contenders = append(t.Contenders, c)
 		}
 		if c.Rank < rank {
-			t.Yield += c.WaitingAtRank
+			t.Reserved += c.WaitingAtRank
 		}
 	}
 	if len(t.Contenders) == 0 {
@@ -54,8 +54,8 @@
 	// everywhere.
 	Period     int64
 	Contenders []Contender
-	// Yield is the number of servers with room that are left to others.
-	Yield int
+	// Reserved is the number of servers with room that are left to others.
+	Reserved int
 }
 
 // IsOwnTurn reports whether it is this process's turn at a server. Without other
--- a/flow/turns_test.go
+++ b/flow/turns_test.go
@@ -44,11 +44,11 @@
 	}
 	t1 := NewTurns(self, others, urgent.Rank(now), 1)
 	require.Len(t, t1.Contenders, 2)
-	require.Zero(t, t1.Yield)
+	require.Zero(t, t1.Reserved)
 	t2 := NewTurns(self, others, long.Rank(now), 1)
 	require.Len(t, t2.Contenders, 3)
-	require.Equal(t, 2, t2.Yield)
-	require.Equal(t, 3, NewTurns(self, others, late.Rank(now), 1).Yield)
+	require.Equal(t, 2, t2.Reserved)
+	require.Equal(t, 3, NewTurns(self, others, late.Rank(now), 1).Reserved)
 	require.Nil(t, NewTurns(self, others[1:], urgent.Rank(now), 1))
 }
 
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -41,7 +41,7 @@
 		server := fmt.Sprint("engine-", i)
 		require.NotEqual(t, turnA.IsOwnTurn(server), turnB.IsOwnTurn(server))
 	}
-	require.Equal(t, 3, b.group.Turns(fleet.ModelService, 2).Yield)
+	require.Equal(t, 3, b.group.Turns(fleet.ModelService, 2).Reserved)
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0), "what is more urgent needs no turn")
 	a.group.Queued(fleet.ModelService, flow.Contender{})
 	b.group.Queued(fleet.ModelService, flow.Contender{})
