--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -20,7 +20,7 @@
 	g.dispatched = true
 	if again {
 		g.buf.BeginAttempt(g.buf.Attempt() + 1)
-		a.policy.Progress(g.job, int(g.buf.Next()))
+		a.policy.Progress(g.job, int(g.buf.NextIndex()))
 	}
 	attempt := g.buf.Attempt()
 	a.wg.Add(1)
@@ -91,7 +91,7 @@
 func (a *Agent) generate(ctx context.Context, g *generation, attempt uint32) (engine.Stream, error) {
 	req := g.req
 	req.Attempt = attempt
-	if g.buf.Next() > 0 {
+	if g.buf.NextIndex() > 0 {
 		prefix, err := g.buf.Prefix()
 		if err != nil {
 			return nil, err
@@ -154,7 +154,7 @@
 func (a *Agent) recoverStream(ctx context.Context, g *generation, attempt uint32, cause error) (uint32, engine.Stream, error) {
 	deadline := time.Now().Add(a.cfg.EngineGrace)
 	for backoff := firstBackoff; time.Now().Before(deadline); backoff = min(2*backoff, maxBackoff) {
-		src, err := a.engine.Attach(ctx, g.id, g.buf.Next())
+		src, err := a.engine.Attach(ctx, g.id, g.buf.NextIndex())
 		if err == nil {
 			return attempt, src, nil
 		}
@@ -172,7 +172,7 @@
 	if g.once {
 		return attempt, nil, errors.Wrap(cause, "request must not run twice")
 	}
-	if g.buf.Next() > 0 && !a.resumes {
+	if g.buf.NextIndex() > 0 && !a.resumes {
 		return attempt, nil, errors.Wrap(cause, "engine does not resume from a prefix")
 	}
 	next := attempt + 1
@@ -193,7 +193,7 @@
 // outcome turns an engine's error. A rejection before any token is the one
 // case in which the engine itself says that the request did not run.
 func (a *Agent) outcome(g *generation, err error) *failure.Error {
-	if errors.Is(err, engine.ErrRejected) && g.buf.Next() == 0 {
+	if errors.Is(err, engine.ErrRejected) && g.buf.NextIndex() == 0 {
 		return failure.NotRun(kingcupv1.Reason_REASON_UNKNOWN_MODEL, 0, "%v", err)
 	}
 	if errors.Is(err, errHarmful) {
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -95,7 +95,7 @@
 	}
 	fail := failure.FromError(err)
 	switch {
-	case fail.Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN && f.kept.Next() == 0:
+	case fail.Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN && f.kept.NextIndex() == 0:
 		f.refused(f.server, fail)
 		// A request that has waited its longest in one queue is answered at
 		// once; another queue would keep its caller for as long again.
@@ -132,7 +132,7 @@
 	// The budget bounds repeats that add load. A stream that its caller has a
 	// part of is work in progress: when a failure domain goes, all its streams
 	// move at once, and a budget would cut most of them off.
-	if f.req.GetNonIdempotent() || f.kept.Next() == 0 && !f.e.retryAllowed(f.req.GetTeam()) {
+	if f.req.GetNonIdempotent() || f.kept.NextIndex() == 0 && !f.e.retryAllowed(f.req.GetTeam()) {
 		return nil, cause
 	}
 	f.tried = append(f.tried, f.server)
@@ -229,7 +229,7 @@
 // offer sends Start to an agent and waits until it is accepted or refused.
 func (f *inflight) offer(ctx context.Context, server string) (*agentStream, error) {
 	start := &innerv1.Start{GenerationId: f.id, Attempt: f.attempt, Request: f.req}
-	if f.kept.Next() > 0 {
+	if f.kept.NextIndex() > 0 {
 		prefix, err := f.kept.Prefix()
 		if err != nil {
 			return nil, failure.Unknown(kingcupv1.Reason_REASON_BACKEND_LOST, 0, "too long to be moved: %v", err)
@@ -262,7 +262,7 @@
 // gone. A non-idempotent one stays: its caller may come back for the answer, and
 // could never ask again once its key is claimed.
 func (f *inflight) withdrawOnDone(ctx context.Context, st *agentStream) {
-	if f.req.GetNonIdempotent() || f.kept.Next() > 0 {
+	if f.req.GetNonIdempotent() || f.kept.NextIndex() > 0 {
 		return
 	}
 	st.unhook()
@@ -348,7 +348,7 @@
 }
 
 func (f *inflight) attachment() *innerv1.Open {
-	attach := &innerv1.Attach{GenerationId: f.id, NextIndex: f.kept.Next(), Team: f.req.GetTeam()}
+	attach := &innerv1.Attach{GenerationId: f.id, NextIndex: f.kept.NextIndex(), Team: f.req.GetTeam()}
 	return &innerv1.Open{Kind: &innerv1.Open_Attach{Attach: attach}}
 }
 
@@ -376,7 +376,7 @@
 
 // forward sends the tokens that the caller does not have yet.
 func (f *inflight) forward(t *kingcupv1.Tokens) error {
-	next := f.kept.Next()
+	next := f.kept.NextIndex()
 	if t.GetFirstIndex() > next {
 		return errors.Wrapf(errBroken, "token %d came, %d was due", t.GetFirstIndex(), next)
 	}
--- a/stream/buffer.go
+++ b/stream/buffer.go
@@ -174,8 +174,8 @@
 	return b.end != nil || b.err != nil
 }
 
-// Next is the index of the next token to arrive.
-func (b *Buffer) Next() uint64 {
+// NextIndex is the index of the next token to arrive.
+func (b *Buffer) NextIndex() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.next()
--- a/stream/buffer_test.go
+++ b/stream/buffer_test.go
@@ -30,9 +30,9 @@
 				require.ErrorIs(t, b.BeginAttempt(attempt), ErrStaleAttempt)
 			case 1:
 				stale := rapid.Uint32Range(0, attempt-1).Draw(t, "stale")
-				require.ErrorIs(t, b.Append(stale, b.Next(), token(stale, b.Next())), ErrStaleAttempt)
+				require.ErrorIs(t, b.Append(stale, b.NextIndex(), token(stale, b.NextIndex())), ErrStaleAttempt)
 			default:
-				i := rapid.Uint64Range(0, b.Next()+1).Draw(t, "index")
+				i := rapid.Uint64Range(0, b.NextIndex()+1).Draw(t, "index")
 				err := b.Append(attempt, i, token(attempt, i))
 				if i > uint64(len(want)) {
 					require.ErrorIs(t, err, ErrGap)
@@ -44,7 +44,7 @@
 				}
 			}
 		}
-		from := rapid.Uint64Range(0, b.Next()).Draw(t, "from")
+		from := rapid.Uint64Range(0, b.NextIndex()).Draw(t, "from")
 		require.Equal(t, want[from:], readAll(t, b, from))
 	})
 }
