--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -86,7 +86,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Held(id, now)
+	return s.book.Quarantined(id, now)
 }
 
 // Due implements relay.Suspects.
@@ -317,7 +317,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range q.book.List(1) {
-		if left, held := q.book.Held(r.ID, now); held {
+		if left, held := q.book.Quarantined(r.ID, now); held {
 			out = append(out, admin.Held{Content: r.String(), Team: r.Team, Ends: ends(r), LeftSeconds: int(left.Seconds())})
 		}
 	}
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -143,7 +143,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.looked++
-	return l.book.Held(id, l.now())
+	return l.book.Quarantined(id, l.now())
 }
 
 func (l *ledger) Due(id quarantine.ID) bool {
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -20,7 +20,7 @@
 	body := bytes.Repeat([]byte("x"), 12<<10)
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Held(Of("team", "POST", "host", "/path", body), 2*time.Second)
+		book.Quarantined(Of("team", "POST", "host", "/path", body), 2*time.Second)
 	}
 }
 
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -124,9 +124,9 @@
 	return r
 }
 
-// Held reports whether a request is refused, and when to come back: after its term, or after
+// Quarantined reports whether a request is refused, and when to come back: after its term, or after
 // its next trial where it is held in doubt.
-func (b *Tracker) Held(id ID, now time.Duration) (left time.Duration, held bool) {
+func (b *Tracker) Quarantined(id ID, now time.Duration) (left time.Duration, held bool) {
 	v, held := b.held[id]
 	if !held {
 		return 0, false
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -24,12 +24,12 @@
 	require.Empty(t, b.Crashed(2, 3*time.Second, []ID{id}).Quarantined)
 	require.True(t, b.Near(id))
 	require.Equal(t, []ID{id}, b.Crashed(3, 4*time.Second, []ID{id}).Quarantined)
-	left, held := b.Held(id, 5*time.Second)
+	left, held := b.Quarantined(id, 5*time.Second)
 	require.True(t, held)
 	require.Equal(t, p.Term-time.Second, left)
-	_, held = b.Held(request("b"), 5*time.Second)
+	_, held = b.Quarantined(request("b"), 5*time.Second)
 	require.False(t, held, "another request")
-	_, held = b.Held(id, 4*time.Second+p.Term)
+	_, held = b.Quarantined(id, 4*time.Second+p.Term)
 	require.False(t, held, "the term is over")
 }
 
@@ -119,13 +119,13 @@
 		b.Crashed(uint64(100+i), time.Duration(100+i), []ID{Of("flood", "POST", "h", "/p", fmt.Append(nil, i))})
 	}
 	require.LessOrEqual(t, b.Len(), p.PerTeam+1)
-	_, held := b.Held(other, 20000)
+	_, held := b.Quarantined(other, 20000)
 	require.True(t, held)
 	for i := range 3000 {
 		b.Crashed(uint64(20000+i), time.Duration(20000+i), []ID{Of(fmt.Sprint("team", i), "POST", "h", "/p", nil)})
 	}
 	require.LessOrEqual(t, b.Len(), p.Records)
-	_, held = b.Held(other, 30000)
+	_, held = b.Quarantined(other, 30000)
 	require.True(t, held)
 }
 
@@ -231,7 +231,7 @@
 	b.Crashed(9, at+2*time.Second, []ID{harmful})
 	require.False(t, triedFrom(b, harmful, at+time.Minute), "servers end under its trials")
 	require.Equal(t, []ID{popular}, b.Clear(popular, at+2*time.Second).Released)
-	_, held := b.Held(harmful, at+time.Minute)
+	_, held := b.Quarantined(harmful, at+time.Minute)
 	require.True(t, held)
 	require.False(t, triedFrom(b, harmful, at+time.Minute))
 }
@@ -245,14 +245,14 @@
 		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{x, y})
 		b.Crashed(100+s, time.Duration(1+s)*time.Second, []ID{sole})
 	}
-	left, held := b.Held(x, 3*time.Second)
+	left, held := b.Quarantined(x, 3*time.Second)
 	require.True(t, held)
 	require.Equal(t, p.TrialAfter+p.TrialApart, left)
 	require.True(t, triedFrom(b, x, 3*time.Second+p.TrialAfter))
-	left, held = b.Held(x, 3*time.Second+p.TrialAfter)
+	left, held = b.Quarantined(x, 3*time.Second+p.TrialAfter)
 	require.True(t, held)
 	require.Less(t, left, 2*p.TrialAfter+2*p.TrialApart)
-	left, held = b.Held(sole, 3*time.Second)
+	left, held = b.Quarantined(sole, 3*time.Second)
 	require.True(t, held)
 	require.Equal(t, p.Term, left)
 }
--- a/quarantine/play_test.go
+++ b/quarantine/play_test.go
@@ -109,7 +109,7 @@
 // place sends a request to a server; it is refused if it is held.
 func (f *fleet) place(w *work) {
 	g := f.gateways[w.gateway]
-	if _, held := g.book.Held(w.id, f.now); held {
+	if _, held := g.book.Quarantined(w.id, f.now); held {
 		if len(f.up()) == 0 {
 			return
 		}
