--- a/backends/load.go
+++ b/backends/load.go
@@ -211,8 +211,8 @@
 	return s != nil && r.ended(s, now)
 }
 
-// HasEnded notes that a server listens no more, and reports whether that is news.
-func (r *Registry) HasEnded(gone Server, now time.Duration) bool {
+// MarkDown notes that a server listens no more, and reports whether that is news.
+func (r *Registry) MarkDown(gone Server, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current(gone)
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -278,8 +278,8 @@
 	require.Equal(t, map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, r.Statuses(lostFor-1))
 	require.Len(t, picked(lostFor), 2, "asked again")
 	require.Empty(t, r.Statuses(lostFor))
-	require.True(t, r.HasEnded(ended, lostFor))
-	require.False(t, r.HasEnded(ended, lostFor), "no news")
+	require.True(t, r.MarkDown(ended, lostFor))
+	require.False(t, r.MarkDown(ended, lostFor), "no news")
 	require.Equal(t, []string{"b"}, picked(3*lostFor-1), "for longer each time")
 	require.Len(t, picked(3*lostFor), 2)
 }
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -132,7 +132,7 @@
 // conclude judges the requests of a server that has ended, those that notice it later
 // too.
 func (r *Relay) conclude(q *inquest) {
-	if r.Registry.HasEnded(q.server, r.Now()) {
+	if r.Registry.MarkDown(q.server, r.Now()) {
 		r.Others.Nudge()
 	}
 	time.AfterFunc(gatherTime, func() {
