--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Said is what a caller says of a generation's output.
-type Said struct {
+// CallerHint is what a caller says of a generation's output.
+type CallerHint struct {
 	// Hint is the caller's estimate in tokens, 0 if none.
 	Hint int
 	// Most is the largest output that the caller takes, 0 for no bound.
@@ -43,7 +43,7 @@
 }
 
 // Observe notes a generation that ended by itself.
-func (o *Outputs) Observe(tokens int, said Said) {
+func (o *Outputs) Observe(tokens int, said CallerHint) {
 	if tokens <= 0 {
 		return
 	}
@@ -56,7 +56,7 @@
 
 // Expect is the mean output, in tokens, of a generation that has made some tokens
 // and goes on.
-func (o *Outputs) Expect(said Said, made int) int {
+func (o *Outputs) Expect(said CallerHint, made int) int {
 	mean, spread := o.lengths.mean, o.lengths.spread()
 	if said.Hint > 0 {
 		// The two are weighed by their certainty.
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -25,21 +25,21 @@
 	return f
 }
 
-func (o *outputs) expect(route string, said forecast.Said, made int) int {
+func (o *outputs) expect(route string, said forecast.CallerHint, made int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.of(route).Expect(said, made)
 }
 
-func (o *outputs) observe(route string, tokens int, said forecast.Said) {
+func (o *outputs) observe(route string, tokens int, said forecast.CallerHint) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.of(route).Observe(tokens, said)
 }
 
 // said is what the caller says of its generation's output.
-func (j *job) said() forecast.Said {
-	return forecast.Said{Hint: j.Generation.Hint, Most: j.Generation.MaxOutput}
+func (j *job) said() forecast.CallerHint {
+	return forecast.CallerHint{Hint: j.Generation.Hint, Most: j.Generation.MaxOutput}
 }
 
 // perEvent is the number of tokens in an event.
