--- a/claim/claim.go
+++ b/claim/claim.go
@@ -63,8 +63,8 @@
 	At time.Time
 }
 
-// Held is a claim that this process won.
-type Held struct {
+// Claim is a claim that this process won.
+type Claim struct {
 	Key      Key
 	Record   Record
 	revision uint64
@@ -126,14 +126,14 @@
 
 // Claim takes key for the caller. Exactly one of held and existing is set
 // without an error. With an error the caller must not dispatch.
-func (c *Claims) Claim(ctx context.Context, key Key, rec Record) (held *Held, existing *Record, err error) {
+func (c *Claims) Claim(ctx context.Context, key Key, rec Record) (held *Claim, existing *Record, err error) {
 	rec.State = Claimed
 	rec.At = time.Now()
 	revision := uint64(0)
 	for try := 0; try < settleTries; try++ {
 		rev, err := c.put(ctx, key, revision, rec)
 		if err == nil {
-			return &Held{Key: key, Record: rec, revision: rev}, nil, nil
+			return &Claim{Key: key, Record: rec, revision: rev}, nil, nil
 		}
 		if errors.Is(err, storage.ErrUnavailable) && try == 0 {
 			return nil, nil, err
@@ -149,7 +149,7 @@
 		}
 		switch {
 		case found.Nonce == rec.Nonce:
-			return &Held{Key: key, Record: rec, revision: row.Revision}, nil, nil
+			return &Claim{Key: key, Record: rec, revision: row.Revision}, nil, nil
 		case found.State == Released || row.Revision == 0:
 			revision = row.Revision
 		default:
@@ -170,7 +170,7 @@
 
 // Finish records the answer of a held claim. It may fail, in which case the key
 // stays claimed and never runs again.
-func (c *Claims) Finish(ctx context.Context, h *Held, answer []byte) error {
+func (c *Claims) Finish(ctx context.Context, h *Claim, answer []byte) error {
 	rec := h.Record
 	rec.State = Done
 	rec.Answer = answer
@@ -182,13 +182,13 @@
 
 // Release gives a held claim back. The caller must know that the request did
 // not run and never will under this claim.
-func (c *Claims) Release(ctx context.Context, h *Held) error {
+func (c *Claims) Release(ctx context.Context, h *Claim) error {
 	rec := h.Record
 	rec.State = Released
 	return c.settle(ctx, h, rec)
 }
 
-func (c *Claims) settle(ctx context.Context, h *Held, rec Record) error {
+func (c *Claims) settle(ctx context.Context, h *Claim, rec Record) error {
 	rec.At = time.Now()
 	var err error
 	for range settleTries {
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -84,7 +84,7 @@
 
 // claim takes the key of a non-idempotent request. With an error nothing was
 // dispatched, so the request did not run.
-func (e *Entry) claim(ctx context.Context, team, requestID string, rec claim.Record) (*claim.Held, *claim.Record, error) {
+func (e *Entry) claim(ctx context.Context, team, requestID string, rec claim.Record) (*claim.Claim, *claim.Record, error) {
 	rec.Nonce = newID()
 	held, existing, err := e.claims.Claim(ctx, claim.Key{Team: team, RequestID: requestID}, rec)
 	if err != nil {
@@ -97,7 +97,7 @@
 
 // settle records how a claimed request ended. A key is given back only if the
 // request certainly did not run.
-func (e *Entry) settle(ctx context.Context, held *claim.Held, answer []byte, err error) {
+func (e *Entry) settle(ctx context.Context, held *claim.Claim, answer []byte, err error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	var failed error
