--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -120,7 +120,7 @@
 func (s *suspects) holds() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Holds()
+	return s.book.QuarantinedCount()
 }
 
 // Near implements relay.Suspects.
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -294,7 +294,7 @@
 			c = w.serve(request("/plan/a"))
 		}
 		c.whole(t, events(1, 2))
-		require.Equal(t, 1, l.book.Holds(), "the harmful one")
+		require.Equal(t, 1, l.book.QuarantinedCount(), "the harmful one")
 	})
 }
 
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -60,8 +60,8 @@
 // Len counts the requests that are remembered.
 func (b *Tracker) Len() int { return len(b.records) }
 
-// Holds counts the requests that are refused.
-func (b *Tracker) Holds() int { return len(b.held) }
+// QuarantinedCount counts the requests that are refused.
+func (b *Tracker) QuarantinedCount() int { return len(b.held) }
 
 // Update is what a Book has learnt.
 type Update struct {
