--- a/backends/load.go
+++ b/backends/load.go
@@ -203,8 +203,8 @@
 	return false
 }
 
-// KnowsEnded reports whether a server is taken not to listen.
-func (r *Registry) KnowsEnded(id string, now time.Duration) bool {
+// IsDown reports whether a server is taken not to listen.
+func (r *Registry) IsDown(id string, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -110,7 +110,7 @@
 	for _, n := range nodes {
 		n.eventually(func() bool { return len(n.group.links.Live()) == 2 && n.registry.Ready(fleet.DeskService) == 2 }, "linked")
 	}
-	told := func(n *node) bool { return n.registry.KnowsEnded(ended.ID, clock.SinceBoot()) }
+	told := func(n *node) bool { return n.registry.IsDown(ended.ID, clock.SinceBoot()) }
 	ended.Kill()
 	nodes[0].eventually(func() bool {
 		require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.SafePath)).status)
