--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -4,8 +4,8 @@
 
 // CallerHint is what a caller says of a generation's output.
 type CallerHint struct {
-	// Hint is the caller's estimate in tokens, 0 if none.
-	Hint int
+	// EstimatedTokens is the caller's estimate in tokens, 0 if none.
+	EstimatedTokens int
 	// Most is the largest output that the caller takes, 0 for no bound.
 	Most int
 }
@@ -49,8 +49,8 @@
 	}
 	length := math.Log(float64(tokens))
 	o.lengths.add(length)
-	if said.Hint > 0 {
-		o.errors.add(math.Log(float64(said.Hint)) - length)
+	if said.EstimatedTokens > 0 {
+		o.errors.add(math.Log(float64(said.EstimatedTokens)) - length)
 	}
 }
 
@@ -58,11 +58,11 @@
 // and goes on.
 func (o *Outputs) Expect(said CallerHint, made int) int {
 	mean, spread := o.lengths.mean, o.lengths.spread()
-	if said.Hint > 0 {
+	if said.EstimatedTokens > 0 {
 		// The two are weighed by their certainty.
 		wrong := o.errors.spread()
 		weight := spread * spread / (spread*spread + wrong*wrong)
-		mean += weight * (math.Log(float64(said.Hint)) - o.errors.mean - mean)
+		mean += weight * (math.Log(float64(said.EstimatedTokens)) - o.errors.mean - mean)
 		spread *= math.Sqrt(1 - weight)
 	}
 	return longerThan(mean, spread, made, said.Most)
--- a/forecast/outputs_test.go
+++ b/forecast/outputs_test.go
@@ -24,7 +24,7 @@
 		const most = 1770
 		tokens := min(most, 1+int(450*math.Exp(0.85*rnd.NormFloat64())))
 		hint := min(most, 1+int(float64(tokens)*math.Exp(1.2*rnd.NormFloat64())))
-		out[i] = generation{CallerHint{Hint: hint, Most: most}, tokens}
+		out[i] = generation{CallerHint{EstimatedTokens: hint, Most: most}, tokens}
 	}
 	return out
 }
@@ -42,7 +42,7 @@
 	var byHint, byExpect, bias, sum float64
 	test := generations(5000, rnd)
 	for _, g := range test {
-		byHint += math.Abs(float64(g.Hint - g.tokens))
+		byHint += math.Abs(float64(g.EstimatedTokens - g.tokens))
 		miss := float64(o.Expect(g.CallerHint, 0) - g.tokens)
 		byExpect += math.Abs(miss)
 		bias += miss
@@ -61,10 +61,10 @@
 	for _, g := range generations(300, rnd) {
 		o.Observe(g.tokens, g.CallerHint)
 	}
-	said := CallerHint{Hint: 100, Most: 1770}
+	said := CallerHint{EstimatedTokens: 100, Most: 1770}
 	var sum, n float64
 	for _, g := range generations(200000, rnd) {
-		if g.Hint > 80 && g.Hint < 125 && g.tokens > 600 {
+		if g.EstimatedTokens > 80 && g.EstimatedTokens < 125 && g.tokens > 600 {
 			sum += float64(g.tokens)
 			n++
 		}
@@ -80,9 +80,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := NewOutputs()
 		for range rapid.IntRange(0, 40).Draw(t, "seen") {
-			o.Observe(rapid.IntRange(0, 100000).Draw(t, "tokens"), CallerHint{Hint: rapid.IntRange(0, 100000).Draw(t, "hint")})
+			o.Observe(rapid.IntRange(0, 100000).Draw(t, "tokens"), CallerHint{EstimatedTokens: rapid.IntRange(0, 100000).Draw(t, "hint")})
 		}
-		said := CallerHint{Hint: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), Most: rapid.IntRange(0, 1<<20).Draw(t, "most")}
+		said := CallerHint{EstimatedTokens: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), Most: rapid.IntRange(0, 1<<20).Draw(t, "most")}
 		made := rapid.IntRange(0, 1<<20).Draw(t, "made")
 		got := o.Expect(said, made)
 		require.GreaterOrEqual(t, got, min(made, max(said.Most, made)))
@@ -99,6 +99,6 @@
 	o := NewOutputs()
 	b.ReportAllocs()
 	for i := range b.N {
-		o.Expect(CallerHint{Hint: 100 + i%1000, Most: 2000}, i%500)
+		o.Expect(CallerHint{EstimatedTokens: 100 + i%1000, Most: 2000}, i%500)
 	}
 }
