--- a/claim/claim.go
+++ b/claim/claim.go
@@ -97,10 +97,10 @@
 	}
 }
 
-// Route sets who writes a key's row; nil is this process by itself. It is called
+// SetForwarder sets who writes a key's row; nil is this process by itself. It is called
 // before the first claim. Whoever writes, the row's condition decides, so two
 // processes may disagree on the route without harm.
-func (c *Claims) Route(route func(key string) Putter) {
+func (c *Claims) SetForwarder(route func(key string) Putter) {
 	c.route = route
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -123,7 +123,7 @@
 		budgets: make(map[string]*retry.Budget),
 	}
 	if e.claims != nil {
-		e.claims.Route(e.writer)
+		e.claims.SetForwarder(e.writer)
 	}
 	return e
 }
