--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -127,7 +127,7 @@
 func (s *suspects) Near(id quarantine.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Near(id)
+	return s.book.NearThreshold(id)
 }
 
 // Ended implements relay.Suspects.
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -162,7 +162,7 @@
 func (l *ledger) Near(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.Near(id)
+	return l.book.NearThreshold(id)
 }
 
 func (l *ledger) Ended(s backends.Server, ran []quarantine.ID) {
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -141,9 +141,9 @@
 	return left, true
 }
 
-// Near reports whether a request would be refused, or already is, if one more server ended
+// NearThreshold reports whether a request would be refused, or already is, if one more server ended
 // under it.
-func (b *Tracker) Near(id ID) bool {
+func (b *Tracker) NearThreshold(id ID) bool {
 	r := b.records[id]
 	return r != nil && len(r.together(b.policy.Window)) >= b.policy.Ends-1
 }
