--- a/backends/registry.go
+++ b/backends/registry.go
@@ -453,8 +453,8 @@
 	return !s.gone, s.Leaving || s.gone
 }
 
-// Ended reports whether a later life of the server is known.
-func (r *Registry) Ended(s Server) bool {
+// HasRestarted reports whether a later life of the server is known.
+func (r *Registry) HasRestarted(s Server) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.servers[s.ID] != nil && r.current(s) == nil
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -58,8 +58,8 @@
 	r.Replaced(old)
 	require.Nil(t, r.Rejoin(old, 100))
 	require.Equal(t, []told{{"a", NoticeRestarted}}, *notices)
-	require.True(t, r.Ended(old))
-	require.False(t, r.Ended(now))
+	require.True(t, r.HasRestarted(old))
+	require.False(t, r.HasRestarted(now))
 	require.Equal(t, "elsewhere:1", r.Acquire(Query{Service: svc}, 0).Server.Address)
 }
 
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -122,7 +122,7 @@
 		r.forget(q)
 		close(q.over)
 		time.AfterFunc(lateLook, func() {
-			if r.Registry.Ended(q.server) {
+			if r.Registry.HasRestarted(q.server) {
 				r.endedUnder(q)
 			}
 		})
@@ -152,7 +152,7 @@
 
 // hasEnded reports whether a server certainly has ended.
 func (r *Relay) hasEnded(s backends.Server) bool {
-	if r.Registry.Ended(s) {
+	if r.Registry.HasRestarted(s) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), endLookTimeout)
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -212,7 +212,7 @@
 }
 
 func (r *Relay) evacuateIfLeaving(s backends.Server) {
-	if r.Registry.Ended(s) {
+	if r.Registry.HasRestarted(s) {
 		r.Ended(s)
 		return
 	}
