--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -6,8 +6,8 @@
 type CallerHint struct {
 	// EstimatedTokens is the caller's estimate in tokens, 0 if none.
 	EstimatedTokens int
-	// Most is the largest output that the caller takes, 0 for no bound.
-	Most int
+	// MaxTokens is the largest output that the caller takes, 0 for no bound.
+	MaxTokens int
 }
 
 const (
@@ -65,7 +65,7 @@
 		mean += weight * (math.Log(float64(said.EstimatedTokens)) - o.errors.mean - mean)
 		spread *= math.Sqrt(1 - weight)
 	}
-	return longerThan(mean, spread, made, said.Most)
+	return longerThan(mean, spread, made, said.MaxTokens)
 }
 
 // longerThan is the mean of a lognormal length that is longer than made, where
--- a/forecast/outputs_test.go
+++ b/forecast/outputs_test.go
@@ -24,7 +24,7 @@
 		const most = 1770
 		tokens := min(most, 1+int(450*math.Exp(0.85*rnd.NormFloat64())))
 		hint := min(most, 1+int(float64(tokens)*math.Exp(1.2*rnd.NormFloat64())))
-		out[i] = generation{CallerHint{EstimatedTokens: hint, Most: most}, tokens}
+		out[i] = generation{CallerHint{EstimatedTokens: hint, MaxTokens: most}, tokens}
 	}
 	return out
 }
@@ -61,7 +61,7 @@
 	for _, g := range generations(300, rnd) {
 		o.Observe(g.tokens, g.CallerHint)
 	}
-	said := CallerHint{EstimatedTokens: 100, Most: 1770}
+	said := CallerHint{EstimatedTokens: 100, MaxTokens: 1770}
 	var sum, n float64
 	for _, g := range generations(200000, rnd) {
 		if g.EstimatedTokens > 80 && g.EstimatedTokens < 125 && g.tokens > 600 {
@@ -82,12 +82,12 @@
 		for range rapid.IntRange(0, 40).Draw(t, "seen") {
 			o.Observe(rapid.IntRange(0, 100000).Draw(t, "tokens"), CallerHint{EstimatedTokens: rapid.IntRange(0, 100000).Draw(t, "hint")})
 		}
-		said := CallerHint{EstimatedTokens: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), Most: rapid.IntRange(0, 1<<20).Draw(t, "most")}
+		said := CallerHint{EstimatedTokens: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), MaxTokens: rapid.IntRange(0, 1<<20).Draw(t, "most")}
 		made := rapid.IntRange(0, 1<<20).Draw(t, "made")
 		got := o.Expect(said, made)
-		require.GreaterOrEqual(t, got, min(made, max(said.Most, made)))
-		if said.Most > made {
-			require.LessOrEqual(t, got, said.Most)
+		require.GreaterOrEqual(t, got, min(made, max(said.MaxTokens, made)))
+		if said.MaxTokens > made {
+			require.LessOrEqual(t, got, said.MaxTokens)
 		}
 	})
 }
@@ -99,6 +99,6 @@
 	o := NewOutputs()
 	b.ReportAllocs()
 	for i := range b.N {
-		o.Expect(CallerHint{EstimatedTokens: 100 + i%1000, Most: 2000}, i%500)
+		o.Expect(CallerHint{EstimatedTokens: 100 + i%1000, MaxTokens: 2000}, i%500)
 	}
 }
