--- a/claim/claim.go
+++ b/claim/claim.go
@@ -104,8 +104,8 @@
 	c.route = route
 }
 
-// Routed writes rows that other processes send to this one.
-func (c *Claims) Routed() Putter {
+// Forwarded writes rows that other processes send to this one.
+func (c *Claims) Forwarded() Putter {
 	return c.routed
 }
 
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -61,7 +61,7 @@
 		}
 	}
 	if best == e.cfg.Identity.Name {
-		return e.claims.Routed()
+		return e.claims.Forwarded()
 	}
 	return &remoteWriter{e: e, name: best}
 }
@@ -80,7 +80,7 @@
 	done, err := w.ask(ctx, &innerv1.ClaimPut{Key: key, Revision: revision, Value: value})
 	switch {
 	case err != nil:
-		return w.e.claims.Routed().Put(ctx, key, revision, value)
+		return w.e.claims.Forwarded().Put(ctx, key, revision, value)
 	case done.GetConflict():
 		return 0, &storage.ConflictError{Keys: []string{key}}
 	case done.GetUnavailable():
@@ -111,7 +111,7 @@
 	if !claim.IsRow(put.GetKey()) {
 		return
 	}
-	revision, err := e.claims.Routed().Put(ctx, put.GetKey(), put.GetRevision(), put.GetValue())
+	revision, err := e.claims.Forwarded().Put(ctx, put.GetKey(), put.GetRevision(), put.GetValue())
 	done := &innerv1.ClaimDone{Revision: revision}
 	var conflict *storage.ConflictError
 	switch {
