--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -149,9 +149,9 @@
 	row, exists := s.rows[id]
 	r := s.book.Record(id)
 	switch {
-	case !s.book.Convicts(r):
+	case !s.book.ReachesThreshold(r):
 		return exists && r.ClearedAt > row.record.ClearedAt
-	case !exists || !s.book.Convicts(row.record):
+	case !exists || !s.book.ReachesThreshold(row.record):
 		return true
 	}
 	return len(r.Trials) > 0 && (len(r.Trials) > len(row.record.Trials) || len(r.Crashes) > len(row.record.Crashes))
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -156,8 +156,10 @@
 	return Record{ID: id}
 }
 
-// Convicts reports whether a record by itself has a request refused.
-func (b *Tracker) Convicts(r Record) bool { return len(r.together(b.policy.Window)) >= b.policy.Ends }
+// ReachesThreshold reports whether a record by itself has a request refused.
+func (b *Tracker) ReachesThreshold(r Record) bool {
+	return len(r.together(b.policy.Window)) >= b.policy.Ends
+}
 
 // Expired reports whether a record does not count any more.
 func (b *Tracker) Expired(r Record, now time.Duration) bool {
