--- a/backends/registry.go
+++ b/backends/registry.go
@@ -259,9 +259,9 @@
 	r.tell(left)
 }
 
-// Reported notes that a server itself says that it is leaving, and reports whether that is
+// MarkLeaving notes that a server itself says that it is leaving, and reports whether that is
 // news.
-func (r *Registry) Reported(leaving Server) bool {
+func (r *Registry) MarkLeaving(leaving Server) bool {
 	r.mu.Lock()
 	var left []leave
 	if s := r.current(leaving); s != nil {
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -43,7 +43,7 @@
 	r.Put(leaving, 0)
 	r.Remove("a", 0, 0)
 	r.Put(entry("b"), 0)
-	r.Reported(entry("b"))
+	r.MarkLeaving(entry("b"))
 	r.Put(entry("b"), 0)
 	r.Remove("b", 0, 0)
 	require.Equal(t, []told{{"a", NoticeDraining}, {"b", NoticeReported}}, *notices)
@@ -295,8 +295,8 @@
 		return r
 	}
 	asked, told := reg(), reg()
-	require.True(t, asked.Reported(leaving))
-	require.False(t, asked.Reported(leaving), "no news")
+	require.True(t, asked.MarkLeaving(leaving))
+	require.False(t, asked.MarkLeaving(leaving), "no news")
 	losses := asked.Statuses(0)
 	require.Equal(t, map[string]ServerStatus{"a": {Leaving: true, StartTime: 7}}, losses)
 	told.SetRemoteStatuses("vm-1", map[string]ServerStatus{"a": {Leaving: true, StartTime: 6}}, 0)
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -26,7 +26,7 @@
 	held := r.Acquire(Query{Service: svc, Tokens: 20000, Prompt: 9000}, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, StartTime: 100}})
 	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {InARow: 2, StartTime: 100}}, 0)
-	r.Reported(bornAt("a", 100))
+	r.MarkLeaving(bornAt("a", 100))
 	require.Zero(t, r.Ready(svc))
 
 	r.Put(bornAt("a", 200), 0)
@@ -54,7 +54,7 @@
 	late.Leaving = true
 	r.Put(late, 0)
 	r.Reset([]Server{late}, 0, 0)
-	r.Reported(old)
+	r.MarkLeaving(old)
 	r.Replaced(old)
 	require.Nil(t, r.Rejoin(old, 100))
 	require.Equal(t, []told{{"a", NoticeRestarted}}, *notices)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -47,7 +47,7 @@
 			old.write(events(1, 3))
 			w.server("b", modelService)
 			// The notice has the run copied; then its server dies.
-			w.registry.Reported(w.entryBorn("a", 100))
+			w.registry.MarkLeaving(w.entryBorn("a", 100))
 			time.Sleep(time.Second)
 			cutAt = w.now()
 			w.reborn("a", 200)
--- a/internal/relay/scout.go
+++ b/internal/relay/scout.go
@@ -51,7 +51,7 @@
 				r.Log.WithError(err).WithField("server", s.ID).Debug("server does not report")
 				return
 			}
-			if leaving && r.Registry.Reported(s) {
+			if leaving && r.Registry.MarkLeaving(s) {
 				r.Others.Nudge()
 			}
 		})
