--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// Expect is the mean output, in tokens, of a generation that has made some tokens
+// ExpectedTokens is the mean output, in tokens, of a generation that has made some tokens
 // and goes on.
-func (o *Outputs) Expect(said CallerHint, made int) int {
+func (o *Outputs) ExpectedTokens(said CallerHint, made int) int {
 	mean, spread := o.lengths.mean, o.lengths.spread()
 	if said.EstimatedTokens > 0 {
 		// The two are weighed by their certainty.
--- a/forecast/outputs_test.go
+++ b/forecast/outputs_test.go
@@ -43,7 +43,7 @@
 	test := generations(5000, rnd)
 	for _, g := range test {
 		byHint += math.Abs(float64(g.EstimatedTokens - g.tokens))
-		miss := float64(o.Expect(g.CallerHint, 0) - g.tokens)
+		miss := float64(o.ExpectedTokens(g.CallerHint, 0) - g.tokens)
 		byExpect += math.Abs(miss)
 		bias += miss
 		sum += float64(g.tokens)
@@ -69,9 +69,9 @@
 			n++
 		}
 	}
-	require.Less(t, o.Expect(said, 0), 600)
-	require.InEpsilon(t, sum/n, o.Expect(said, 600), 0.15)
-	require.Equal(t, 1770, o.Expect(said, 1770))
+	require.Less(t, o.ExpectedTokens(said, 0), 600)
+	require.InEpsilon(t, sum/n, o.ExpectedTokens(said, 600), 0.15)
+	require.Equal(t, 1770, o.ExpectedTokens(said, 1770))
 }
 
 // Whatever is said and seen, the expectation lies between what is made and what
@@ -84,7 +84,7 @@
 		}
 		said := CallerHint{EstimatedTokens: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), MaxTokens: rapid.IntRange(0, 1<<20).Draw(t, "most")}
 		made := rapid.IntRange(0, 1<<20).Draw(t, "made")
-		got := o.Expect(said, made)
+		got := o.ExpectedTokens(said, made)
 		require.GreaterOrEqual(t, got, min(made, max(said.MaxTokens, made)))
 		if said.MaxTokens > made {
 			require.LessOrEqual(t, got, said.MaxTokens)
@@ -99,6 +99,6 @@
 	o := NewOutputs()
 	b.ReportAllocs()
 	for i := range b.N {
-		o.Expect(CallerHint{EstimatedTokens: 100 + i%1000, MaxTokens: 2000}, i%500)
+		o.ExpectedTokens(CallerHint{EstimatedTokens: 100 + i%1000, MaxTokens: 2000}, i%500)
 	}
 }
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -28,7 +28,7 @@
 func (o *outputs) expect(route string, said forecast.CallerHint, made int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(route).Expect(said, made)
+	return o.of(route).ExpectedTokens(said, made)
 }
 
 func (o *outputs) observe(route string, tokens int, said forecast.CallerHint) {
