--- a/claim/claim.go
+++ b/claim/claim.go
@@ -85,14 +85,14 @@
 	route  func(key string) Putter
 }
 
-// RoutedWindow is the time over which writes of several processes are grouped.
+// ForwardedWindow is the time over which writes of several processes are grouped.
 // At the target size eight processes get about a hundred writes a second each.
-const RoutedWindow = 25 * time.Millisecond
+const ForwardedWindow = 25 * time.Millisecond
 
 // New keeps claims in table, grouped over window. Close ends it.
 func New(table storage.Table, window time.Duration) *Claims {
 	return &Claims{
-		table: table, group: newGrouper(table, window), routed: newGrouper(table, RoutedWindow),
+		table: table, group: newGrouper(table, window), routed: newGrouper(table, ForwardedWindow),
 		route: func(string) Putter { return nil },
 	}
 }
--- a/internal/slopes/report.go
+++ b/internal/slopes/report.go
@@ -146,7 +146,7 @@
 	fmt.Fprintf(w, "a failure domain's %.0f processes back at once: %.0f reads (head, deltas, list) and %.0f snapshots of %d bytes\n",
 		wave, wave*readsAtStart, wave, c.SnapshotBytes)
 	rows := 2 * t.Claimed * t.Requests
-	most := float64(t.ClaimWriters) / claim.RoutedWindow.Seconds()
+	most := float64(t.ClaimWriters) / claim.ForwardedWindow.Seconds()
 	fmt.Fprintf(w, "writes/s: changes %.4f; at %.0f %% non-idempotent %.0f rows of claims and outcomes in at most %.0f transactions\n",
 		t.ChangesPerDay/86400, 100*t.Claimed, rows, min(rows, most))
 }
