--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -107,7 +107,7 @@
 		return false
 	}
 	s.learn("tried", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
-		c, tried = b.Try(id, now)
+		c, tried = b.StartTrial(id, now)
 		return c
 	})
 	if tried {
--- a/internal/gateway/suspectrows_test.go
+++ b/internal/gateway/suspectrows_test.go
@@ -48,7 +48,7 @@
 	require.Empty(t, s.dueNow(), "the store has them")
 	tried := false
 	s.learn("test", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
-		c, tried = b.Try(x, 10*time.Second)
+		c, tried = b.StartTrial(x, 10*time.Second)
 		return c
 	})
 	require.True(t, tried)
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -155,7 +155,7 @@
 func (l *ledger) Try(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, tried := l.book.Try(id, l.now())
+	_, tried := l.book.StartTrial(id, l.now())
 	return tried
 }
 
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -165,7 +165,7 @@
 
 func (e event) happen(b *Tracker) []Record {
 	if e.try {
-		c, _ := b.Try(e.ran[0], e.at+time.Minute)
+		c, _ := b.StartTrial(e.ran[0], e.at+time.Minute)
 		return c.Changed
 	}
 	if e.answer {
@@ -219,7 +219,7 @@
 		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{popular, harmful})
 	}
 	at := 3*time.Second + p.TrialAfter
-	_, tried := b.Try(popular, at-time.Millisecond)
+	_, tried := b.StartTrial(popular, at-time.Millisecond)
 	require.False(t, tried, "ends may still come in")
 	require.True(t, triedFrom(b, popular, at))
 	require.False(t, triedWithin(b, popular, at+waitsMost, 2*p.TrialAfter-waitsMost), "a trial is on its way")
@@ -277,7 +277,7 @@
 	}
 	require.Empty(t, b.Record(second).Trials)
 	for later := at; later < at+p.TrialApart; later += time.Millisecond {
-		_, tried := b.Try(second, later)
+		_, tried := b.StartTrial(second, later)
 		require.False(t, tried, "%v after the trial of the other", later-at)
 	}
 	require.Equal(t, []ID{first}, b.Clear(first, at+p.TrialApart).Released)
@@ -285,9 +285,9 @@
 }
 
 func firstTried(b *Tracker, x, y ID, at time.Duration) bool {
-	_, tried := b.Try(x, at)
+	_, tried := b.StartTrial(x, at)
 	if !tried {
-		_, tried = b.Try(y, at)
+		_, tried = b.StartTrial(y, at)
 	}
 	return tried
 }
@@ -303,7 +303,7 @@
 
 func triedWithin(b *Tracker, id ID, from, lasts time.Duration) bool {
 	for at := from; at < from+lasts; at += trialTurn / 5 {
-		if _, tried := b.Try(id, at); tried {
+		if _, tried := b.StartTrial(id, at); tried {
 			return true
 		}
 	}
--- a/quarantine/play_test.go
+++ b/quarantine/play_test.go
@@ -113,7 +113,7 @@
 		if len(f.up()) == 0 {
 			return
 		}
-		c, tried := g.book.Try(w.id, f.now)
+		c, tried := g.book.StartTrial(w.id, f.now)
 		if w.tries > 0 || !tried {
 			if !w.harmful {
 				f.refused++
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -13,14 +13,14 @@
 	mostTurns = 4
 )
 
-// Try reports whether a request that is refused may be let through once, to see whether it
+// StartTrial reports whether a request that is refused may be let through once, to see whether it
 // is harmful, and notes that it is.
 //
 // A request that many make at once runs on every server that ends under a harmful one. Both
 // have the same ends, and the one that is refused without a reason could show by no answer
 // that it is harmless. A trial may be cut short by what has nothing to do with it; those
 // that servers end under are few, as each costs what runs beside.
-func (b *Tracker) Try(id ID, now time.Duration) (Update, bool) {
+func (b *Tracker) StartTrial(id ID, now time.Duration) (Update, bool) {
 	if !b.Due(id, now) || !b.hasTurn(b.records[id], now) {
 		return Update{}, false
 	}
