--- a/backends/registry.go
+++ b/backends/registry.go
@@ -244,8 +244,8 @@
 	r.tell(left)
 }
 
-// Replaced notes that another server answers at a server's address.
-func (r *Registry) Replaced(gone Server) {
+// MarkReplaced notes that another server answers at a server's address.
+func (r *Registry) MarkReplaced(gone Server) {
 	r.mu.Lock()
 	s := r.current(gone)
 	news := s != nil && !s.gone
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -55,7 +55,7 @@
 	r.Put(late, 0)
 	r.Reset([]Server{late}, 0, 0)
 	r.MarkLeaving(old)
-	r.Replaced(old)
+	r.MarkReplaced(old)
 	require.Nil(t, r.Rejoin(old, 100))
 	require.Equal(t, []told{{"a", NoticeRestarted}}, *notices)
 	require.True(t, r.HasRestarted(old))
@@ -78,7 +78,7 @@
 	require.Equal(t, "a", r.pick(t, 0))
 
 	held = r.Acquire(Query{Service: svc}, 0)
-	r.Replaced(entry("a"))
+	r.MarkReplaced(entry("a"))
 	r.Put(entry("a"), 0)
 	require.Zero(t, r.Ready(svc), "another server is at its address")
 	held.Done(Good, 0)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -88,7 +88,7 @@
 		lease.Done(resultOf(refused.Why), r.Now())
 		r.unreached(j, refused.Why)
 		if refused.Why == RefusedReplaced {
-			r.Registry.Replaced(lease.Server)
+			r.Registry.MarkReplaced(lease.Server)
 		}
 		if ctx.Err() != nil || j.left() < leastLeft {
 			return r.refuse(j, ReasonDeadline)
