--- a/backends/registry.go
+++ b/backends/registry.go
@@ -327,7 +327,7 @@
 	if divided {
 		req.Own = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
-	if q.MostOfAll > 0 && placement.UsedOfAll(req, views) > q.MostOfAll {
+	if q.MostOfAll > 0 && placement.MemoryUtilization(req, views) > q.MostOfAll {
 		return nil
 	}
 	draws := r.draws(len(views))
--- a/placement/scorers.go
+++ b/placement/scorers.go
@@ -76,10 +76,10 @@
 	return -float64(s.CopyPending) / r.CopySpeed
 }
 
-// UsedOfAll is the part of their memory that the servers which stay have in use
+// MemoryUtilization is the part of their memory that the servers which stay have in use
 // together, 0 where none has a known memory. Of servers that are not the request's own what
 // is known is too little to count.
-func UsedOfAll(r *Request, servers []Server) float64 {
+func MemoryUtilization(r *Request, servers []Server) float64 {
 	used, total := 0.0, 0.0
 	for i := range servers {
 		if s := &servers[i]; !s.Leaving && !s.Cordoned && (r.Own == nil || r.Own(i)) {
