--- a/lease/fence.go
+++ b/lease/fence.go
@@ -37,7 +37,7 @@
 	// back, a paused holder's old order would reach an engine that ignores
 	// terms and undo a newer one. The order waits in f.mu until it is known.
 	if !f.loaded {
-		known, err := Term(ctx, f.table, f.name)
+		known, err := ReadTerm(ctx, f.table, f.name)
 		if err != nil {
 			return err
 		}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -91,8 +91,8 @@
 	return m.write(ctx, name, revision, record{Term: rec.Term})
 }
 
-// Term reads the highest term that was given out for name.
-func Term(ctx context.Context, table storage.Table, name string) (uint64, error) {
+// ReadTerm reads the highest term that was given out for name.
+func ReadTerm(ctx context.Context, table storage.Table, name string) (uint64, error) {
 	m := Manager{table: table}
 	rec, _, err := m.read(ctx, name)
 	return rec.Term, err
