--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -97,7 +97,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Due(id, now)
+	return s.book.TrialDue(id, now)
 }
 
 // Try implements relay.Suspects.
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -149,7 +149,7 @@
 func (l *ledger) Due(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.Due(id, l.now())
+	return l.book.TrialDue(id, l.now())
 }
 
 func (l *ledger) Try(id quarantine.ID) bool {
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -21,14 +21,14 @@
 // that it is harmless. A trial may be cut short by what has nothing to do with it; those
 // that servers end under are few, as each costs what runs beside.
 func (b *Tracker) StartTrial(id ID, now time.Duration) (Update, bool) {
-	if !b.Due(id, now) || !b.hasTurn(b.records[id], now) {
+	if !b.TrialDue(id, now) || !b.hasTurn(b.records[id], now) {
 		return Update{}, false
 	}
 	return b.Merge([]Record{{ID: id, Trials: []time.Duration{now}}}), true
 }
 
-// Due reports whether a request is held in doubt and long enough without a trial.
-func (b *Tracker) Due(id ID, now time.Duration) bool {
+// TrialDue reports whether a request is held in doubt and long enough without a trial.
+func (b *Tracker) TrialDue(id ID, now time.Duration) bool {
 	at, tried := b.nextTrial(id)
 	return tried && now >= at
 }
