--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -198,9 +198,9 @@
 	require.Empty(t, picked(routing.Regions{"south"}))
 	ready, cordoned = r.Standing(svc, routing.Regions{"south"})
 	require.Equal(t, []int{0, 1}, []int{ready, cordoned})
-	require.True(t, r.Barred(coldServer(1, "z1", 0), nil))
-	require.True(t, r.Barred(coldServer(0, "z0", 0), routing.Regions{"south"}))
-	require.False(t, r.Barred(coldServer(0, "z0", 0), nil))
+	require.True(t, r.IsIneligible(coldServer(1, "z1", 0), nil))
+	require.True(t, r.IsIneligible(coldServer(0, "z0", 0), routing.Regions{"south"}))
+	require.False(t, r.IsIneligible(coldServer(0, "z0", 0), nil))
 }
 
 // BenchmarkAcquireCold: a choice among 40 cold servers takes 4.4 us, at 23 gateways and at
--- a/backends/cordon.go
+++ b/backends/cordon.go
@@ -38,9 +38,9 @@
 	return back
 }
 
-// Barred reports whether a server must get no request that must stay in some regions,
+// IsIneligible reports whether a server must get no request that must stay in some regions,
 // whatever the request has there.
-func (r *Registry) Barred(s Server, within routing.Regions) bool {
+func (r *Registry) IsIneligible(s Server, within routing.Regions) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cordoned[s.FailureDomain] || !within.Allow(r.regions[s.FailureDomain])
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -68,7 +68,7 @@
 // look is the last look before a request goes to a server: what was known when it was chosen, or
 // when the copy was made that the run goes on from, may be so no more.
 func (r *Relay) look(j *job, lease *backends.Reservation, a *Attempt) error {
-	if r.Registry.Barred(lease.Server, j.regions) {
+	if r.Registry.IsIneligible(lease.Server, j.regions) {
 		return &Refused{Why: RefusedBarred, Detail: lease.Server.FailureDomain}
 	}
 	if _, leaving := r.Registry.State(lease.Server); leaving && a.From == nil {
