--- a/placement/filters.go
+++ b/placement/filters.go
@@ -9,7 +9,7 @@
 func NotLeaving(_ *Request, s *Server) bool { return !s.Leaving }
 
 // NotEnded drops servers that do not listen.
-func NotEnded(_ *Request, s *Server) bool { return !s.Ended }
+func NotEnded(_ *Request, s *Server) bool { return !s.Down }
 
 // NotCordoned drops servers of cordoned failure domains.
 func NotCordoned(_ *Request, s *Server) bool { return !s.Cordoned }
