--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -23,7 +23,7 @@
 func TestReplicaNeverReverts(t *testing.T) {
 	states := []*State{Empty()}
 	for v := uint64(1); v <= 20; v++ {
-		next, err := states[v-1].Next(delta(v))
+		next, err := states[v-1].WithDelta(delta(v))
 		require.NoError(t, err)
 		states = append(states, next)
 	}
@@ -58,7 +58,7 @@
 		"adapter of no model":  {Row: &kingcupv1.Row_Adapter{Adapter: &kingcupv1.Adapter{Name: "a", Model: "none"}}},
 		"model of no kind":     {Row: &kingcupv1.Row_Model{Model: &kingcupv1.Model{Name: "m"}}},
 	} {
-		next, err := Empty().Next(&kingcupv1.Delta{Version: 1, Puts: []*kingcupv1.Row{row}})
+		next, err := Empty().WithDelta(&kingcupv1.Delta{Version: 1, Puts: []*kingcupv1.Row{row}})
 		require.NoError(t, err)
 		require.ErrorIs(t, next.Check(), ErrInvalid, name)
 	}
--- a/conf/replica.go
+++ b/conf/replica.go
@@ -56,7 +56,7 @@
 	if d.GetVersion() <= cur.Version() {
 		return nil
 	}
-	next, err := cur.Next(d)
+	next, err := cur.WithDelta(d)
 	if err != nil {
 		return err
 	}
--- a/conf/state.go
+++ b/conf/state.go
@@ -134,8 +134,8 @@
 	return k, nil
 }
 
-// Next is the state after d, which must follow s directly.
-func (s *State) Next(d *kingcupv1.Delta) (*State, error) {
+// WithDelta is the state after d, which must follow s directly.
+func (s *State) WithDelta(d *kingcupv1.Delta) (*State, error) {
 	if d.GetVersion() != s.version+1 {
 		return nil, errors.Wrapf(ErrGap, "delta %d after version %d", d.GetVersion(), s.version)
 	}
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -55,7 +55,7 @@
 	}
 	delta := &kingcupv1.Delta{Version: base + 1, ChangeId: changeID, Puts: req.GetPuts(), Deletes: req.GetDeletes()}
 	if base == state.Version() {
-		next, err := state.Next(delta)
+		next, err := state.WithDelta(delta)
 		if err == nil {
 			err = next.Check()
 		}
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -310,7 +310,7 @@
 		const rounds = 100
 		began := time.Now()
 		for range rounds {
-			if _, err := state.Next(delta); err != nil {
+			if _, err := state.WithDelta(delta); err != nil {
 				return out, err
 			}
 		}
