--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -105,7 +105,7 @@
 // written as, or not at all.
 func FuzzSuspect(f *testing.F) {
 	corpus := fuzzseed.New(f)
-	valid := quarantine.Record{ID: quarantine.Of("team", "POST", "h", "/p", nil), Crashes: []quarantine.Crash{{Incarnation: 7, At: time.Second}}, ClearedAt: time.Millisecond}
+	valid := quarantine.Record{ID: quarantine.NewID("team", "POST", "h", "/p", nil), Crashes: []quarantine.Crash{{Incarnation: 7, At: time.Second}}, ClearedAt: time.Millisecond}
 	data, err := encodeSuspect(valid)
 	require.NoError(f, err)
 	for _, seed := range []string{string(data), "", "null", "[]", "{}", `{"team":"t","content":-1}`, `{"ends":[{"at_ms":9e18}]}`} {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -169,7 +169,7 @@
 	for i := 0; len(ends.times()) < 3; i++ {
 		nodes[i%2].generate(fleet.PlanPath, harmful)
 	}
-	content := quarantine.Of(fleet.Team, "POST", fleet.Host, fleet.PlanPath, []byte(harmful)).String()
+	content := quarantine.NewID(fleet.Team, "POST", fleet.Host, fleet.PlanPath, []byte(harmful)).String()
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.generate(fleet.PlanPath, harmful) == http.StatusServiceUnavailable }, "held")
 		require.Equal(t, content, quarantined{n.group.suspects}.Held()[0].Content)
--- a/internal/gateway/suspectrows_test.go
+++ b/internal/gateway/suspectrows_test.go
@@ -35,7 +35,7 @@
 // under it.
 func TestTrialsAreInTheStore(t *testing.T) {
 	s := quietGroup(memberRows(nil)).suspects
-	x, y := quarantine.Of("team", "POST", "h", "/x", nil), quarantine.Of("team", "POST", "h", "/y", nil)
+	x, y := quarantine.NewID("team", "POST", "h", "/x", nil), quarantine.NewID("team", "POST", "h", "/y", nil)
 	end := func(server uint64, at time.Duration, ran ...quarantine.ID) {
 		s.learn("test", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(server, at, ran) })
 	}
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -61,7 +61,7 @@
 
 // id identifies what a request asks for, whatever its attempt.
 func (j *job) id() quarantine.ID {
-	return quarantine.Of(j.team, j.Method, j.Host, j.Target, j.Body)
+	return quarantine.NewID(j.team, j.Method, j.Host, j.Target, j.Body)
 }
 
 // broke notes that the answer of a server to a request broke off. Where the server turns
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -184,7 +184,7 @@
 func (l *ledger) known(r *Request) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	id := quarantine.Of("team-1", r.Method, r.Host, r.Target, r.Body)
+	id := quarantine.NewID("team-1", r.Method, r.Host, r.Target, r.Body)
 	n := 0
 	for slices.ContainsFunc(l.book.List(n+1), func(known quarantine.Record) bool { return known.ID == id }) {
 		n++
@@ -277,9 +277,9 @@
 		l := w.suspicious()
 		w.harmful("/plan/harmful")
 		r := request("/plan/a")
-		popular := quarantine.Of("team-1", r.Method, r.Host, r.Target, nil)
+		popular := quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)
 		for _, id := range []string{"x1", "x2", "x3"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{popular, quarantine.Of("team-1", r.Method, r.Host, "/plan/harmful", nil)})
+			l.Ended(w.entry(id, modelService), []quarantine.ID{popular, quarantine.NewID("team-1", r.Method, r.Host, "/plan/harmful", nil)})
 		}
 		time.Sleep(quarantine.Default().TrialAfter)
 		c := w.serve(request("/plan/a"))
@@ -325,7 +325,7 @@
 		answers.write(event(1))
 		begun := time.Now()
 		for _, id := range []string{"x1", "x2", "x3"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.Of("team-1", first.Method, first.Host, first.Target, nil)})
+			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", first.Method, first.Host, first.Target, nil)})
 		}
 		synctest.Wait()
 		require.NotNil(t, got[0])
@@ -351,7 +351,7 @@
 		w.harmful("/plan/a")
 		r := request("/plan/a")
 		for _, id := range []string{"x1", "x2"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.Of("team-1", r.Method, r.Host, r.Target, nil)})
+			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)})
 		}
 		c := w.serve(r)
 		require.NotEmpty(t, w.up.sent[0].Backup, "there is a copy")
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkLook(b *testing.B) {
 	book := NewTracker(Policy{Ends: 3, Window: time.Hour, Term: time.Hour, Records: 2000, PerTeam: 2000})
 	for i := range 1000 {
-		id := Of("team", "POST", "host", "/path", fmt.Append(nil, i))
+		id := NewID("team", "POST", "host", "/path", fmt.Append(nil, i))
 		for server := range uint64(3) {
 			book.Crashed(server*1000+uint64(i), time.Second, []ID{id})
 		}
@@ -20,7 +20,7 @@
 	body := bytes.Repeat([]byte("x"), 12<<10)
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Quarantined(Of("team", "POST", "host", "/path", body), 2*time.Second)
+		book.Quarantined(NewID("team", "POST", "host", "/path", body), 2*time.Second)
 	}
 }
 
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func request(name string) ID { return Of("team-"+name, "POST", "h", "/p", []byte(name)) }
+func request(name string) ID { return NewID("team-"+name, "POST", "h", "/p", []byte(name)) }
 
 // A request under which three servers have ended within the window is refused from the
 // third end on, for the term, and is tried again after it.
@@ -116,13 +116,13 @@
 		b.Crashed(s, time.Duration(1+s), []ID{other})
 	}
 	for i := range 10000 {
-		b.Crashed(uint64(100+i), time.Duration(100+i), []ID{Of("flood", "POST", "h", "/p", fmt.Append(nil, i))})
+		b.Crashed(uint64(100+i), time.Duration(100+i), []ID{NewID("flood", "POST", "h", "/p", fmt.Append(nil, i))})
 	}
 	require.LessOrEqual(t, b.Len(), p.PerTeam+1)
 	_, held := b.Quarantined(other, 20000)
 	require.True(t, held)
 	for i := range 3000 {
-		b.Crashed(uint64(20000+i), time.Duration(20000+i), []ID{Of(fmt.Sprint("team", i), "POST", "h", "/p", nil)})
+		b.Crashed(uint64(20000+i), time.Duration(20000+i), []ID{NewID(fmt.Sprint("team", i), "POST", "h", "/p", nil)})
 	}
 	require.LessOrEqual(t, b.Len(), p.Records)
 	_, held = b.Quarantined(other, 30000)
--- a/quarantine/id.go
+++ b/quarantine/id.go
@@ -35,8 +35,8 @@
 	return cmp.Or(cmp.Compare(x.Content, y.Content), strings.Compare(x.Team, y.Team))
 }
 
-// Of returns the ID of a request of a team.
-func Of(team, method, host, target string, body []byte) ID {
+// NewID returns the ID of a request of a team.
+func NewID(team, method, host, target string, body []byte) ID {
 	h := xxhash.New()
 	// Lengths keep the parts apart.
 	var sizes [12]byte
