--- a/backends/advice.go
+++ b/backends/advice.go
@@ -193,8 +193,8 @@
 	return n
 }
 
-// Rests reports whether a server wants nothing of this process for now.
-func (r *Registry) Rests(at Server, now time.Duration) bool {
+// IsBackingOff reports whether a server wants nothing of this process for now.
+func (r *Registry) IsBackingOff(at Server, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current(at)
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -74,7 +74,7 @@
 	if _, leaving := r.Registry.State(lease.Server); leaving && a.From == nil {
 		return &Refused{Why: RefusedBarred, Detail: lease.Server.ID + " is leaving"}
 	}
-	if r.Registry.Rests(lease.Server, r.Now()) {
+	if r.Registry.IsBackingOff(lease.Server, r.Now()) {
 		return &Refused{Why: RefusedBarred, Detail: lease.Server.ID + " rests"}
 	}
 	return nil
--- a/internal/relay/scout.go
+++ b/internal/relay/scout.go
@@ -41,7 +41,7 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, s := range r.hosts() {
-		if _, leaving := r.Registry.State(s); leaving || r.Registry.Rests(s, r.Now()) {
+		if _, leaving := r.Registry.State(s); leaving || r.Registry.IsBackingOff(s, r.Now()) {
 			continue
 		}
 		wg.Go(func() {
