--- a/placement/filters.go
+++ b/placement/filters.go
@@ -18,7 +18,7 @@
 func InRegions(r *Request, s *Server) bool { return r.Regions.Allow(s.Region) }
 
 // NotResting drops servers that want nothing of this process for now.
-func NotResting(_ *Request, s *Server) bool { return !s.Resting }
+func NotResting(_ *Request, s *Server) bool { return !s.BackingOff }
 
 // NotPaced drops cold servers that take no more of this process for now.
 func NotPaced(_ *Request, s *Server) bool { return !s.Paced }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -42,9 +42,9 @@
 	FailureRate float64
 	// Avoid marks a server that refused or could not be reached a moment ago.
 	Avoid bool
-	// Down marks a server that does not listen, Resting one that wants nothing of this process
+	// Down marks a server that does not listen, BackingOff one that wants nothing of this process
 	// for now.
-	Down, Resting bool
+	Down, BackingOff bool
 	// Cold marks a server that is still slow after its start, Paced one that takes no
 	// more of this process for now.
 	Cold, Paced bool
