--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -60,6 +60,6 @@
 	} {
 		next, err := Empty().WithDelta(&kingcupv1.Delta{Version: 1, Puts: []*kingcupv1.Row{row}})
 		require.NoError(t, err)
-		require.ErrorIs(t, next.Check(), ErrInvalid, name)
+		require.ErrorIs(t, next.Validate(), ErrInvalid, name)
 	}
 }
--- a/conf/state.go
+++ b/conf/state.go
@@ -153,9 +153,9 @@
 	return next, nil
 }
 
-// Check returns ErrInvalid if a row refers to a row that is not there or has a
+// Validate returns ErrInvalid if a row refers to a row that is not there or has a
 // value out of range.
-func (s *State) Check() error {
+func (s *State) Validate() error {
 	for _, r := range s.rows {
 		if err := s.checkRow(r); err != nil {
 			return err
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -57,7 +57,7 @@
 	if base == state.Version() {
 		next, err := state.WithDelta(delta)
 		if err == nil {
-			err = next.Check()
+			err = next.Validate()
 		}
 		if err != nil {
 			return nil, err
