--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -50,7 +50,7 @@
 	Now      clock.Source
 	Log      logrus.FieldLogger
 	Observer Observer
-	Others   Others
+	Others   Peers
 	Suspects Suspects
 }
 
@@ -74,8 +74,8 @@
 	Answered(id quarantine.ID)
 }
 
-// Others tells of the other processes that serve callers.
-type Others interface {
+// Peers tells of the other processes that serve callers.
+type Peers interface {
 	// Known counts the processes, this one included; 0 if not known.
 	Known() int
 	// Agreed reports whether they know no newer configuration than the one that this process
