--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -162,8 +162,8 @@
 	require.NotNil(t, lease)
 	r.ApplySignals(s, Signals{Limited: true, Limit: 5}, 0, time.Second)
 	require.Nil(t, r.Acquire(q, 2*time.Second))
-	require.True(t, r.TakeTurn(lease, pacing.SharedTime{}, 2*time.Second), "a copy of before")
-	require.False(t, r.TakeTurn(lease, pacing.SharedTime{}, 2*time.Second), "and no second one at once")
+	require.True(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "a copy of before")
+	require.False(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "and no second one at once")
 }
 
 // Guards against a server that said it is leaving being used again because its entry went in an
--- a/backends/pace.go
+++ b/backends/pace.go
@@ -43,10 +43,10 @@
 	return s.pacer.May(r.share(of), l, s.hash, at, now)
 }
 
-// TakeTurn counts a request that goes to a server for which no turn was taken when it was
+// TryUseRate counts a request that goes to a server for which no turn was taken when it was
 // chosen, as that was for a copy. It reports whether the server takes the request: it may have
 // named a limit since.
-func (r *Registry) TakeTurn(l *Reservation, at pacing.SharedTime, now time.Duration) bool {
+func (r *Registry) TryUseRate(l *Reservation, at pacing.SharedTime, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !l.s.limit.named {
