--- a/placement/filters.go
+++ b/placement/filters.go
@@ -50,8 +50,8 @@
 	if r.MostPrompt > 0 && s.PromptPending > r.MostPrompt {
 		return false
 	}
-	if r.MostUsed <= 0 || s.MemoryTotal == 0 {
+	if r.MaxMemoryUse <= 0 || s.MemoryTotal == 0 {
 		return true
 	}
-	return float64(s.MemoryForecast)+float64(r.Tokens) <= r.MostUsed*float64(s.MemoryTotal)
+	return float64(s.MemoryForecast)+float64(r.Tokens) <= r.MaxMemoryUse*float64(s.MemoryTotal)
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -64,10 +64,10 @@
 	Tokens int
 	// PromptSpeed is the prompt tokens a second that servers read.
 	PromptSpeed float64
-	// MostUsed bounds the part of memory in use with the request, MostPrompt the
+	// MaxMemoryUse bounds the part of memory in use with the request, MostPrompt the
 	// prompt tokens to be read before it; 0 is no bound.
-	MostUsed   float64
-	MostPrompt int
+	MaxMemoryUse float64
+	MostPrompt   int
 	// CopySpeed is the tokens of memory a second that a server's link takes.
 	CopySpeed float64
 	// Within drops servers of other failure domains.
