--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -261,7 +261,7 @@
 		require.NotNil(t, c.refusal)
 		require.Equal(t, ReasonHarmful, c.refusal.Reason)
 		require.False(t, c.refusal.Run)
-		require.Greater(t, c.refusal.RetryAfter, quarantine.Default().Term-10*time.Second)
+		require.Greater(t, c.refusal.RetryAfter, quarantine.Default().QuarantineTime-10*time.Second)
 		require.Zero(t, time.Since(begun))
 		require.Len(t, w.up.servers(), sent)
 		w.serve(request("/plan/b")).whole(t, events(1, 2))
@@ -281,7 +281,7 @@
 		for _, id := range []string{"x1", "x2", "x3"} {
 			l.Ended(w.entry(id, modelService), []quarantine.ID{popular, quarantine.NewID("team-1", r.Method, r.Host, "/plan/harmful", nil)})
 		}
-		time.Sleep(quarantine.Default().TrialAfter)
+		time.Sleep(quarantine.Default().TrialDelay)
 		c := w.serve(request("/plan/a"))
 		require.NotNil(t, c.refusal)
 		require.NotEqual(t, ReasonHarmful, c.refusal.Reason)
--- a/quarantine/id.go
+++ b/quarantine/id.go
@@ -1,12 +1,13 @@
-// Package quarantine decides which requests are not sent to backend servers any more,
-// because servers end under them.
+// Package quarantine decides which requests are sent to no backend server any more because
+// servers crash under them.
 //
-// A request is known by what it asks and for whom, not by the id of an attempt: a caller
-// that comes back has a new one each time, and may come to any process. What each process
-// has seen is a Record; records of one request merge to the same verdict in any order.
+// A request is identified by its content and its team, not by the id of an attempt: a caller
+// that retries uses a new attempt id each time and may reach any process. A Record holds what
+// is known of one request; the records of one request can be merged in any order and lead to
+// the same decision.
 //
-// The package is pure: time comes in as an argument, and a Book is for one goroutine at a
-// time.
+// The package reads no clock: callers pass the time as an argument. A Tracker is not safe for
+// concurrent use.
 package quarantine
 
 import (
@@ -18,15 +19,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID identifies what a caller asks for. Attempts with equal IDs ask the same for the same
-// team. The team is part of it as it is, so that no team can have another's requests
-// refused by finding equal hashes.
+// ID identifies the content of a request and its team. Attempts with equal IDs make the same
+// request for the same team. Team is not hashed, so that no team can have the requests of
+// another quarantined by finding a hash collision.
 type ID struct {
 	Team    string
 	Content uint64
 }
 
-// String names the ID in logs and on command lines.
+// String returns the form of the ID that appears in logs and on command lines.
 func (id ID) String() string {
 	return fmt.Sprintf("%016x-%016x", id.Content, xxhash.Sum64String(id.Team))
 }
@@ -35,10 +36,11 @@
 	return cmp.Or(cmp.Compare(x.Content, y.Content), strings.Compare(x.Team, y.Team))
 }
 
-// NewID returns the ID of a request of a team.
+// NewID returns the ID of a team's request.
 func NewID(team, method, host, target string, body []byte) ID {
 	h := xxhash.New()
-	// Lengths keep the parts apart.
+	// The lengths make the hash input unambiguous: no two different splits into parts
+	// give the same bytes.
 	var sizes [12]byte
 	binary.LittleEndian.PutUint32(sizes[:], uint32(len(method)))
 	binary.LittleEndian.PutUint32(sizes[4:], uint32(len(host)))
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,65 +6,66 @@
 	"time"
 )
 
-// keptEnds bounds the ends that a record keeps, the newest. More than the three that convict
-// a request are kept, so that it is seen which it shares with others.
-const keptEnds = 8
+// maxCrashes bounds the crashes of a record; the newest are kept. It is above the crash threshold
+// of three, so that crashes shared with other requests are recognized as shared.
+const maxCrashes = 8
 
-// keptTrials bounds the trials that a record keeps, the newest. The time between two doubles
-// with each of them, up to some six minutes.
-const keptTrials = 8
+// maxTrials bounds the trials of a record; the newest are kept. The delay doubles with each
+// trial, up to about six minutes.
+const maxTrials = 8
 
-// Crash is the end of one life of a server under a request.
+// Crash is the crash of one incarnation of a server under a request.
 type Crash struct {
-	// Incarnation identifies the life of the server, alike for all processes.
+	// Incarnation identifies the incarnation of the server; all processes compute the same
+	// number for it.
 	Incarnation uint64
-	// At is when it was noticed, on the steady clock that all processes share.
+	// At is when the crash was detected, on the monotonic clock that all processes share.
 	At time.Duration
 }
 
-// compareEnds orders ends from the newest to the oldest.
-func compareEnds(a, b Crash) int {
+// compareCrashes orders crashes from the newest to the oldest.
+func compareCrashes(a, b Crash) int {
 	return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// Record is what is known of a request. Records of one request merge: the result holds
-// what either knows, in whatever order and however often they are merged.
+// Record is what is known of a request. Merging records of one request is commutative,
+// associative and idempotent: the order and the number of merges do not matter.
 type Record struct {
 	ID
-	// Crashes are ends under the request, one a life, from the newest to the oldest. Those up
-	// to Absolved count no more against it; they tell what else ran on those servers.
+	// Crashes are the crashes under the request, one per incarnation, newest first. Those up to
+	// ClearedAt do not count against it, but still show which other requests ran on those
+	// servers.
 	Crashes []Crash
-	// ClearedAt is when the request was last answered by a server, or an operator lifted
-	// the verdict; ends up to then do not count. 0 if never.
+	// ClearedAt is when a server last answered the request, or an operator last released it;
+	// crashes up to then do not count. 0 if never.
 	ClearedAt time.Duration
-	// Trials are when the request was let through since then, to see whether it is harmful,
-	// from the newest to the oldest.
+	// Trials are the times after ClearedAt at which the request was sent to a server to find
+	// out whether it crashes servers, newest first.
 	Trials []time.Duration
 }
 
-// merge takes over what another record of the request knows, and reports whether that is
-// news.
+// merge adds the content of another record of the request, and reports whether r changed.
 func (r *Record) merge(o Record) bool {
-	old, trials, absolved := r.Crashes, r.Trials, r.ClearedAt
+	crashes, trials, clearedAt := r.Crashes, r.Trials, r.ClearedAt
 	r.ClearedAt = max(r.ClearedAt, o.ClearedAt)
 	r.Trials = newestTrials(slices.Concat(r.Trials, o.Trials), r.ClearedAt)
-	r.Crashes = newest(slices.Concat(r.Crashes, o.Crashes))
-	return r.ClearedAt != absolved || !slices.Equal(r.Trials, trials) || !slices.Equal(r.Crashes, old)
+	r.Crashes = newestCrashes(slices.Concat(r.Crashes, o.Crashes))
+	return r.ClearedAt != clearedAt || !slices.Equal(r.Trials, trials) || !slices.Equal(r.Crashes, crashes)
 }
 
-// newest returns the newest ends, one a life, that of the latest notice.
-func newest(ends []Crash) []Crash {
-	slices.SortFunc(ends, compareEnds)
-	seen := make(map[uint64]bool, len(ends))
-	ends = slices.DeleteFunc(ends, func(e Crash) bool {
-		drop := seen[e.Incarnation]
-		seen[e.Incarnation] = true
-		return drop
+// newestCrashes returns the newest crashes, one per incarnation: the one detected last.
+func newestCrashes(crashes []Crash) []Crash {
+	slices.SortFunc(crashes, compareCrashes)
+	seen := make(map[uint64]bool, len(crashes))
+	crashes = slices.DeleteFunc(crashes, func(c Crash) bool {
+		duplicate := seen[c.Incarnation]
+		seen[c.Incarnation] = true
+		return duplicate
 	})
-	if len(ends) == 0 {
+	if len(crashes) == 0 {
 		return nil
 	}
-	return slices.Clip(ends[:min(len(ends), keptEnds)])
+	return slices.Clip(crashes[:min(len(crashes), maxCrashes)])
 }
 
 // newestTrials returns the newest trials after a time.
@@ -76,40 +77,40 @@
 	slices.Sort(trials)
 	trials = slices.Compact(trials)
 	slices.Reverse(trials)
-	return slices.Clip(trials[:min(len(trials), keptTrials)])
+	return slices.Clip(trials[:min(len(trials), maxTrials)])
 }
 
-// last is when something was last learnt of the request.
-func (r *Record) last() time.Duration {
+// lastChange returns the time of the latest crash or clearing.
+func (r *Record) lastChange() time.Duration {
 	if len(r.Crashes) == 0 {
 		return r.ClearedAt
 	}
 	return max(r.Crashes[0].At, r.ClearedAt)
 }
 
-// together lists the ends that count together: those since the absolution, within a window
-// up to the newest.
-func (r *Record) together(window time.Duration) []Crash {
-	for i, e := range r.Crashes {
-		if e.At <= r.ClearedAt || e.At <= r.Crashes[0].At-window {
+// countedCrashes returns the crashes that count towards the threshold: those after ClearedAt and
+// within a window that ends at the newest crash.
+func (r *Record) countedCrashes(window time.Duration) []Crash {
+	for i, c := range r.Crashes {
+		if c.At <= r.ClearedAt || c.At <= r.Crashes[0].At-window {
 			return r.Crashes[:i]
 		}
 	}
 	return r.Crashes
 }
 
-// live counts the ends since the absolution.
-func (r *Record) live() (n int) {
+// unclearedCrashes returns the number of crashes after ClearedAt.
+func (r *Record) unclearedCrashes() (n int) {
 	for n < len(r.Crashes) && r.Crashes[n].At > r.ClearedAt {
 		n++
 	}
 	return n
 }
 
-// endsAmong counts those ends that count together and are of some kind.
-func (r *Record) endsAmong(window time.Duration, kind func(Crash) bool) (n int) {
-	for _, e := range r.together(window) {
-		if kind(e) {
+// countCrashes returns the number of counted crashes for which match is true.
+func (r *Record) countCrashes(window time.Duration, match func(Crash) bool) (n int) {
+	for _, c := range r.countedCrashes(window) {
+		if match(c) {
 			n++
 		}
 	}
--- /dev/null
+++ b/quarantine/simulation_test.go
@@ -0,0 +1,332 @@
+package quarantine
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+const (
+	tick = 10 * time.Millisecond
+	// peerDelay is how long records take to reach a peer; maxPeers is the number of peers that a
+	// gateway sends records to.
+	peerDelay, maxPeers = 2 * tick, 32
+	// crashDelay is the time from sending a crashing request to the crash of its server.
+	crashDelay = 500 * time.Millisecond
+	// restartDelay is the time from a crash until a new incarnation runs.
+	restartDelay = 3 * time.Second
+	// maxAttempts bounds the servers that a request without a response is sent to, retries by its
+	// caller included.
+	maxAttempts = 4
+)
+
+// fleet simulates gateways and servers. Harmless requests that run on a crashing server are sent
+// again; crashing requests crash their server.
+type fleet struct {
+	rng             *rand.Rand
+	now             time.Duration
+	gateways        []*gateway
+	servers         []*server
+	lastIncarnation uint64
+	// crashes are the crashes so far; replayed are crashes to repeat from another simulation.
+	crashes  []serverCrash
+	replayed []serverCrash
+	// meanTimeToCrash is the mean time between random crashes of a server, 0 for none.
+	meanTimeToCrash time.Duration
+
+	sent, served, refused int
+}
+
+type gateway struct {
+	tracker *Tracker
+	peers   []int
+	inbox   []message
+}
+
+type message struct {
+	at      time.Duration
+	records []Record
+}
+
+// server runs requests; its incarnation is 0 while it is down.
+type server struct {
+	incarnation uint64
+	restartAt   time.Duration
+	requests    []*simRequest
+}
+
+type simRequest struct {
+	id       ID
+	gateway  int
+	left     time.Duration
+	attempts int
+	crashing bool
+}
+
+// serverCrash is the crash of the server with an index.
+type serverCrash struct {
+	at    time.Duration
+	index int
+}
+
+func newFleet(seed uint64, gateways, servers int) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 7))}
+	for self := range gateways {
+		others := slices.DeleteFunc(f.rng.Perm(gateways), func(i int) bool { return i == self })
+		f.gateways = append(f.gateways, &gateway{tracker: NewTracker(Default()), peers: others[:min(maxPeers, len(others))]})
+	}
+	for range servers {
+		f.lastIncarnation++
+		f.servers = append(f.servers, &server{incarnation: f.lastIncarnation})
+	}
+	return f
+}
+
+// broadcast sends changed records to the peers of a gateway.
+func (f *fleet) broadcast(g *gateway, changed []Record) {
+	if len(changed) == 0 {
+		return
+	}
+	for _, p := range g.peers {
+		f.gateways[p].inbox = append(f.gateways[p].inbox, message{f.now + peerDelay, changed})
+	}
+}
+
+// up lists the servers that run.
+func (f *fleet) up() (out []*server) {
+	for _, s := range f.servers {
+		if s.incarnation > 0 {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+// place sends a request to a server, or refuses it if it is quarantined.
+func (f *fleet) place(r *simRequest) {
+	g := f.gateways[r.gateway]
+	if _, quarantined := g.tracker.Quarantined(r.id, f.now); quarantined {
+		if len(f.up()) == 0 {
+			return
+		}
+		u, started := g.tracker.StartTrial(r.id, f.now)
+		if r.attempts > 0 || !started {
+			if !r.crashing {
+				f.refused++
+			}
+			return
+		}
+		f.broadcast(g, u.Changed)
+	}
+	up := f.up()
+	if r.attempts == maxAttempts || len(up) == 0 {
+		return
+	}
+	r.attempts++
+	s := up[f.rng.IntN(len(up))]
+	s.requests = append(s.requests, r)
+}
+
+// crash crashes a server and sends its harmless requests again.
+func (f *fleet) crash(index int) {
+	s := f.servers[index]
+	if s.incarnation == 0 {
+		return
+	}
+	f.crashes = append(f.crashes, serverCrash{f.now, index})
+	running := make(map[int][]ID)
+	requests := s.requests
+	for _, r := range requests {
+		running[r.gateway] = append(running[r.gateway], r.id)
+	}
+	for gateway, ids := range running {
+		g := f.gateways[gateway]
+		f.broadcast(g, g.tracker.Crashed(s.incarnation, f.now, ids).Changed)
+	}
+	s.incarnation, s.requests, s.restartAt = 0, nil, f.now+restartDelay
+	for _, r := range requests {
+		if !r.crashing {
+			f.place(r)
+		}
+	}
+}
+
+// step simulates one tick.
+func (f *fleet) step() {
+	f.now += tick
+	for _, g := range f.gateways {
+		for len(g.inbox) > 0 && g.inbox[0].at <= f.now {
+			f.broadcast(g, g.tracker.Merge(g.inbox[0].records).Changed)
+			g.inbox = g.inbox[1:]
+		}
+	}
+	for index, s := range f.servers {
+		if s.incarnation == 0 && f.now >= s.restartAt {
+			f.lastIncarnation++
+			s.incarnation = f.lastIncarnation
+		}
+		f.run(index)
+	}
+	for len(f.replayed) > 0 && f.replayed[0].at <= f.now {
+		f.crash(f.replayed[0].index)
+		f.replayed = f.replayed[1:]
+	}
+}
+
+// run simulates one tick of a server.
+func (f *fleet) run(index int) {
+	s := f.servers[index]
+	crashes := f.meanTimeToCrash > 0 && f.rng.Float64() < float64(tick)/float64(f.meanTimeToCrash)
+	kept := s.requests[:0]
+	for _, r := range s.requests {
+		r.left -= tick
+		switch {
+		case r.left > 0:
+			kept = append(kept, r)
+		case r.crashing:
+			crashes = true
+			kept = append(kept, r)
+		default:
+			f.served++
+			g := f.gateways[r.gateway]
+			f.broadcast(g, g.tracker.Clear(r.id, f.now).Changed)
+		}
+	}
+	s.requests = kept
+	if crashes {
+		f.crash(index)
+	}
+}
+
+// sendHarmless sends n harmless requests, each of which runs for up to twice a mean time.
+func (f *fleet) sendHarmless(n int, mean time.Duration) {
+	for range n {
+		f.sent++
+		f.place(&simRequest{
+			id: ID{Team: fmt.Sprint("team-", f.sent%10), Content: uint64(f.sent)}, gateway: f.rng.IntN(len(f.gateways)),
+			left: time.Duration(f.rng.Float64() * 2 * float64(mean)),
+		})
+	}
+}
+
+func (f *fleet) sendCrashing(id ID) {
+	f.place(&simRequest{id: id, gateway: f.rng.IntN(len(f.gateways)), left: crashDelay, crashing: true})
+}
+
+const (
+	meanRun = 2 * time.Second
+	// meanRunning is the mean number of harmless requests that run on each server.
+	meanRunning   = 20
+	simulatedTime = 40 * time.Second
+)
+
+// simulate sends harmless requests and, if withCrashing, three different crashing requests, each twice
+// a second.
+func (f *fleet) simulate(withCrashing bool) {
+	perTick := float64(meanRunning*len(f.servers)) * float64(tick) / float64(meanRun)
+	due := 0.0
+	for i := 0; f.now < simulatedTime; i++ {
+		for due += perTick; due >= 1; due-- {
+			f.sendHarmless(1, meanRun)
+		}
+		if every := int(500 * time.Millisecond / tick); withCrashing && i%every < 3 {
+			f.sendCrashing(request(fmt.Sprint("harmful-", i%every)))
+		}
+		f.step()
+	}
+}
+
+// Three different requests crash the servers that run them. Each is sent twice a second to any
+// gateway, and twenty harmless requests run beside them on each server. Each crashing one is
+// quarantined after three crashes and those of its attempts in flight. The harmless ones are served
+// as often as if the same servers had crashed for other reasons.
+func TestCrashingRequestsAreDistinguishedFromHarmless(t *testing.T) {
+	for _, gateways := range []int{6, 24, 103} {
+		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
+			var served, servedReplay, sent, refused, crashes int
+			for seed := range uint64(5) {
+				f := newFleet(seed, gateways, 2*gateways)
+				f.simulate(true)
+				replay := newFleet(seed, gateways, 2*gateways)
+				replay.replayed = f.crashes
+				replay.simulate(false)
+				require.LessOrEqual(t, len(f.crashes), 3*(3+3), "crashes under three requests")
+				served, servedReplay, sent = served+f.served, servedReplay+replay.served, sent+f.sent
+				refused, crashes = refused+f.refused, crashes+len(f.crashes)
+			}
+			t.Logf("%d gateways: %d crashes in 5 simulations, harmless: sent %d, served %d, refused %d, served when the same crashes are replayed %d", gateways, crashes, sent, served, refused, servedReplay)
+			require.GreaterOrEqual(t, float64(served), 0.97*float64(servedReplay))
+		})
+	}
+}
+
+// Each server crashes at random every four minutes, forty times as often as on a day with
+// trouble. 100,000 harmless requests run, and those on a crashing server are sent again. None of
+// them is quarantined.
+func TestRandomCrashesQuarantineNothing(t *testing.T) {
+	f := newFleet(1, 24, 48)
+	f.meanTimeToCrash = 4 * time.Minute
+	due := 0.0
+	for f.sent < 100000 {
+		for due += float64(meanRunning*48) * float64(tick) / float64(meanRun); due >= 1; due-- {
+			f.sendHarmless(1, meanRun)
+		}
+		f.step()
+	}
+	t.Logf("%d crashes, %d served", len(f.crashes), f.served)
+	require.NotEmpty(t, f.crashes)
+	require.Zero(t, f.refused)
+}
+
+const (
+	// popularRun is how long a server takes to answer the popular request, popularInterval the mean
+	// time between two of them, crashingInterval that between two of one crashing request.
+	popularRun, popularInterval = 900 * time.Millisecond, 25 * time.Millisecond
+	crashingInterval            = 150 * time.Millisecond
+	// maxUnserved bounds the time without a response to the popular request while a server is up.
+	maxUnserved = 8 * time.Second
+)
+
+// occurs draws whether an event with a mean interval occurs in this tick.
+func (f *fleet) occurs(meanInterval time.Duration) bool {
+	return f.rng.Float64() < float64(tick)/float64(meanInterval)
+}
+
+// simulatePopular sends one popular harmless request and two crashing ones to a few servers. It
+// returns the longest time with a server up and without a response.
+func (f *fleet) simulatePopular() (longest time.Duration) {
+	var unserved time.Duration
+	for f.now < simulatedTime {
+		if f.occurs(popularInterval) {
+			f.place(&simRequest{id: request("popular"), gateway: f.rng.IntN(len(f.gateways)), left: popularRun})
+		}
+		for i, from := range []time.Duration{2 * time.Second, 3 * time.Second} {
+			if f.now > from && f.occurs(crashingInterval) {
+				f.place(&simRequest{id: request(fmt.Sprint("harmful-", i)), gateway: f.rng.IntN(len(f.gateways)), left: 6 * tick, crashing: true})
+			}
+		}
+		served := f.served
+		f.step()
+		if f.served > served {
+			unserved = 0
+		} else if len(f.up()) > 0 {
+			unserved += tick
+		}
+		longest = max(longest, unserved)
+	}
+	return longest
+}
+
+// Guards against a harmless request that stays quarantined for an hour because its trials run
+// beside those of the crashing requests it shares crashes with.
+func TestPopularRequestIsServedSoonBesideCrashingOnes(t *testing.T) {
+	for seed := range uint64(100) {
+		f := newFleet(seed, 3, 3)
+		require.LessOrEqual(t, f.simulatePopular(), maxUnserved, "seed %d", seed)
+		require.LessOrEqual(t, len(f.crashes), 2*(3+2)+2, "seed %d: crashes under two requests and their trials", seed)
+	}
+}
--- /dev/null
+++ b/quarantine/tracker.go
@@ -0,0 +1,272 @@
+package quarantine
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Policy sets when a request is quarantined and when it is tried again.
+type Policy struct {
+	// CrashThreshold is the number of server crashes at which a request is quarantined.
+	CrashThreshold int
+	// Window is the time within which these crashes must have happened.
+	Window time.Duration
+	// QuarantineTime is how long after the last of these crashes the request stays quarantined.
+	// After that it is served again, as servers may have been fixed in the meantime.
+	QuarantineTime time.Duration
+	// TrialDelay is the time from the last crash under an ambiguous request to its first
+	// trial. It doubles with each trial that had no result.
+	TrialDelay time.Duration
+	// TrialTimeout is how long a trial without a result blocks the trials of requests that
+	// share crashes with it.
+	TrialTimeout time.Duration
+	// MaxTrialCrashes is the number of crashes under trials after which a request is not
+	// tried any more.
+	MaxTrialCrashes int
+	// MaxRecords bounds the records of all teams, MaxRecordsPerTeam those of one team.
+	MaxRecords, MaxRecordsPerTeam int
+}
+
+// Default returns the policy of gateways. With a lower CrashThreshold, a request that ran
+// beside a crashing request twice would be quarantined; with a higher one, each crashing request
+// costs the requests that run beside it one more crash.
+func Default() Policy {
+	return Policy{CrashThreshold: 3, Window: time.Hour, QuarantineTime: time.Hour, TrialDelay: 1500 * time.Millisecond, TrialTimeout: time.Second, MaxTrialCrashes: 2,
+		MaxRecords: 1024, MaxRecordsPerTeam: 128}
+}
+
+// Tracker stores the records of requests under which servers crashed, and derives from them
+// which requests are quarantined.
+type Tracker struct {
+	policy  Policy
+	records map[ID]*Record
+	// quarantined are the requests that have reached the crash threshold.
+	quarantined map[ID]decision
+}
+
+// decision is why a request is quarantined.
+type decision struct {
+	// lastCrash is the time of the latest crash under the request.
+	lastCrash time.Duration
+	// ambiguous is set if fewer than CrashThreshold crashes are the request's alone: the others
+	// happened also under requests that several servers crashed under.
+	ambiguous bool
+}
+
+// NewTracker returns a Tracker without records.
+func NewTracker(p Policy) *Tracker {
+	return &Tracker{policy: p, records: make(map[ID]*Record), quarantined: make(map[ID]decision)}
+}
+
+// Len returns the number of records.
+func (t *Tracker) Len() int { return len(t.records) }
+
+// QuarantinedCount returns the number of quarantined requests.
+func (t *Tracker) QuarantinedCount() int { return len(t.quarantined) }
+
+// Update lists what a call to a Tracker has changed.
+type Update struct {
+	// Changed are the records that have changed, with their new content.
+	Changed []Record
+	// Quarantined are the requests that the call quarantined, Released those that it released.
+	Quarantined, Released []ID
+}
+
+// Crashed records that an incarnation of a server crashed while requests ran there.
+func (t *Tracker) Crashed(incarnation uint64, at time.Duration, running []ID) Update {
+	list := make([]Record, 0, len(running))
+	for _, id := range running {
+		list = append(list, Record{ID: id, Crashes: []Crash{{Incarnation: incarnation, At: at}}})
+	}
+	return t.Merge(list)
+}
+
+// Clear records that a server has answered a request, or that an operator has released it:
+// earlier crashes do not count any more. It changes nothing if no crash counts against the
+// request.
+func (t *Tracker) Clear(id ID, at time.Duration) Update {
+	if r := t.records[id]; r == nil || len(r.countedCrashes(t.policy.Window)) == 0 {
+		return Update{}
+	}
+	return t.Merge([]Record{{ID: id, ClearedAt: at}})
+}
+
+// Merge adds records of this process or of others.
+func (t *Tracker) Merge(list []Record) Update {
+	var changed []*Record
+	for _, o := range list {
+		if r := t.mergeRecord(o); r != nil {
+			changed = append(changed, r)
+		}
+	}
+	if len(changed) == 0 {
+		return Update{}
+	}
+	t.evict()
+	var u Update
+	for _, r := range changed {
+		if t.records[r.ID] == r {
+			u.Changed = append(u.Changed, r.clone())
+		}
+	}
+	u.Quarantined, u.Released = t.decide()
+	return u
+}
+
+// mergeRecord merges one record and returns the stored record, nil if it did not change.
+func (t *Tracker) mergeRecord(o Record) *Record {
+	r := t.records[o.ID]
+	if r == nil {
+		r = &Record{ID: o.ID}
+	}
+	if !r.merge(o) {
+		return nil
+	}
+	t.records[o.ID] = r
+	return r
+}
+
+// Quarantined reports whether a request is quarantined, and after what time its caller should
+// retry: at the end of the quarantine, or after the next trial if the decision is ambiguous.
+func (t *Tracker) Quarantined(id ID, now time.Duration) (retryAfter time.Duration, quarantined bool) {
+	d, quarantined := t.quarantined[id]
+	if !quarantined {
+		return 0, false
+	}
+	retryAfter = t.policy.QuarantineTime - (now - d.lastCrash)
+	if retryAfter <= 0 {
+		return retryAfter, false
+	}
+	if at, ok := t.nextTrial(id); ok {
+		retryAfter = min(retryAfter, max(0, at-now)+t.policy.TrialTimeout)
+	}
+	return retryAfter, true
+}
+
+// NearThreshold reports whether one more crash under a request would reach the crash threshold,
+// or whether it is reached already.
+func (t *Tracker) NearThreshold(id ID) bool {
+	r := t.records[id]
+	return r != nil && len(r.countedCrashes(t.policy.Window)) >= t.policy.CrashThreshold-1
+}
+
+// Record returns the record of a request, one without crashes if there is none.
+func (t *Tracker) Record(id ID) Record {
+	if r := t.records[id]; r != nil {
+		return r.clone()
+	}
+	return Record{ID: id}
+}
+
+// ReachesThreshold reports whether the crashes of a record suffice to quarantine its request.
+func (t *Tracker) ReachesThreshold(r Record) bool {
+	return len(r.countedCrashes(t.policy.Window)) >= t.policy.CrashThreshold
+}
+
+// Expired reports whether a record is too old to count. One that lies far in the future
+// comes from a clock that has started again.
+func (t *Tracker) Expired(r Record, now time.Duration) bool {
+	age, maxAge := now-r.lastChange(), max(t.policy.Window, t.policy.QuarantineTime)
+	return age >= maxAge || age <= -maxAge
+}
+
+// List returns the records of requests with at least minCrashes counted crashes, ordered by ID.
+func (t *Tracker) List(minCrashes int) (out []Record) {
+	for _, r := range t.records {
+		if len(r.countedCrashes(t.policy.Window)) >= minCrashes {
+			out = append(out, r.clone())
+		}
+	}
+	slices.SortFunc(out, func(x, y Record) int { return compareIDs(x.ID, y.ID) })
+	return out
+}
+
+// Expire deletes expired records.
+func (t *Tracker) Expire(now time.Duration) Update {
+	maps.DeleteFunc(t.records, func(_ ID, r *Record) bool { return t.Expired(*r, now) })
+	var u Update
+	u.Quarantined, u.Released = t.decide()
+	return u
+}
+
+// decide recomputes from the records which requests are quarantined, and returns those that it
+// has quarantined and released.
+//
+// A crash counts against every request that ran on the server, also if one of them is
+// quarantined already. Otherwise a request that many callers make would be quarantined first and
+// absorb the crashes that a crashing request causes, which would then never be quarantined. A
+// harmless request that is quarantined shares its crashes with others under which several
+// servers crashed; its decision is ambiguous, and a trial shows that it is harmless. Its
+// decision stays ambiguous when one of those others has been cleared by a trial.
+func (t *Tracker) decide() (quarantined, released []ID) {
+	previous := t.quarantined
+	t.quarantined = make(map[ID]decision, len(previous))
+	// requests counts for each crash the requests with more than one crash that ran there.
+	requests := make(map[uint64]int)
+	for id, r := range t.records {
+		if crashes := r.countedCrashes(t.policy.Window); len(crashes) >= t.policy.CrashThreshold {
+			t.quarantined[id] = decision{lastCrash: crashes[0].At}
+		}
+		if len(r.Crashes) > 1 {
+			for _, c := range r.Crashes {
+				requests[c.Incarnation]++
+			}
+		}
+	}
+	for id, d := range t.quarantined {
+		d.ambiguous = t.records[id].countCrashes(t.policy.Window, func(c Crash) bool { return requests[c.Incarnation] == 1 }) < t.policy.CrashThreshold
+		t.quarantined[id] = d
+	}
+	return missing(t.quarantined, previous), missing(previous, t.quarantined)
+}
+
+// missing returns the requests of one set that are not in another, ordered by ID.
+func missing(in, from map[ID]decision) (out []ID) {
+	for id := range in {
+		if _, ok := from[id]; !ok {
+			out = append(out, id)
+		}
+	}
+	slices.SortFunc(out, compareIDs)
+	return out
+}
+
+// evictionShare is the part of a bound that is freed when the bound is reached, so that not
+// every further record causes a scan of all records.
+const evictionShare = 1.0 / 8
+
+// evict deletes the records with the least evidence of each team above its bound, then of all
+// teams: a team may send ten thousand different crashing requests.
+func (t *Tracker) evict() {
+	if len(t.records) <= t.policy.MaxRecordsPerTeam {
+		return
+	}
+	teams := make(map[string][]*Record)
+	for id, r := range t.records {
+		teams[id.Team] = append(teams[id.Team], r)
+	}
+	for _, records := range teams {
+		t.evictFrom(records, t.policy.MaxRecordsPerTeam)
+	}
+	if len(t.records) > t.policy.MaxRecords {
+		t.evictFrom(slices.Collect(maps.Values(t.records)), t.policy.MaxRecords)
+	}
+}
+
+// evictFrom deletes records if there are more than maxRecords, those with the fewest crashes
+// first, and of these the oldest first.
+func (t *Tracker) evictFrom(records []*Record, maxRecords int) {
+	if len(records) <= maxRecords {
+		return
+	}
+	slices.SortFunc(records, compareEvidence)
+	for _, r := range records[:len(records)-int((1-evictionShare)*float64(maxRecords))] {
+		delete(t.records, r.ID)
+	}
+}
+
+func compareEvidence(x, y *Record) int {
+	return cmp.Or(cmp.Compare(x.unclearedCrashes(), y.unclearedCrashes()), cmp.Compare(x.lastChange(), y.lastChange()), compareIDs(x.ID, y.ID))
+}
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -6,62 +6,64 @@
 )
 
 const (
-	// trialTurn is a request's turn for a trial. News of a trial reaches all processes
-	// within it.
+	// trialTurn is the length of a turn, in which one of the requests with shared crashes may
+	// start a trial. Records reach all processes within it.
 	trialTurn = 250 * time.Millisecond
-	// mostTurns bounds the turns that a request waits for its own.
-	mostTurns = 4
+	// maxTurns bounds the number of turns in one rotation, and so the wait for a turn.
+	maxTurns = 4
 )
 
-// StartTrial reports whether a request that is refused may be let through once, to see whether it
-// is harmful, and notes that it is.
+// StartTrial reports whether a quarantined request may be sent to one server, to find out whether
+// it crashes servers, and records the trial if so.
 //
-// A request that many make at once runs on every server that ends under a harmful one. Both
-// have the same ends, and the one that is refused without a reason could show by no answer
-// that it is harmless. A trial may be cut short by what has nothing to do with it; those
-// that servers end under are few, as each costs what runs beside.
-func (b *Tracker) StartTrial(id ID, now time.Duration) (Update, bool) {
-	if !b.TrialDue(id, now) || !b.hasTurn(b.records[id], now) {
+// A request that many callers make at the same time runs on every server that crashes under
+// a crashing request. Both have the same crashes, and once quarantined, a harmless request gets
+// no response that could show that it is harmless. A trial may end without a result for unrelated
+// reasons, and is then repeated. The crashes under trials are limited, as each fails the
+// requests that run on the same server.
+func (t *Tracker) StartTrial(id ID, now time.Duration) (Update, bool) {
+	if !t.TrialDue(id, now) || !t.hasTurn(t.records[id], now) {
 		return Update{}, false
 	}
-	return b.Merge([]Record{{ID: id, Trials: []time.Duration{now}}}), true
+	return t.Merge([]Record{{ID: id, Trials: []time.Duration{now}}}), true
 }
 
-// TrialDue reports whether a request is held in doubt and long enough without a trial.
-func (b *Tracker) TrialDue(id ID, now time.Duration) bool {
-	at, tried := b.nextTrial(id)
-	return tried && now >= at
+// TrialDue reports whether a request is quarantined, its decision is ambiguous, and the delay
+// since its last crash and its last trial is over.
+func (t *Tracker) TrialDue(id ID, now time.Duration) bool {
+	at, ok := t.nextTrial(id)
+	return ok && now >= at
 }
 
-// nextTrial is from when on a request is tried, false for one that is not to be tried again.
-func (b *Tracker) nextTrial(id ID) (at time.Duration, tried bool) {
-	v, held := b.held[id]
-	if !held || !v.doubtful {
+// nextTrial returns from when on a request may be tried; ok is false if it gets no more trials.
+func (t *Tracker) nextTrial(id ID) (at time.Duration, ok bool) {
+	d, quarantined := t.quarantined[id]
+	if !quarantined || !d.ambiguous {
 		return 0, false
 	}
-	at = v.newest + b.policy.TrialAfter
-	r := b.records[id]
+	at = d.lastCrash + t.policy.TrialDelay
+	r := t.records[id]
 	n := len(r.Trials)
 	if n == 0 {
 		return at, true
 	}
-	first := r.Trials[n-1]
-	ended := r.endsAmong(b.policy.Window, func(e Crash) bool { return e.At > first })
-	return max(at, r.Trials[0]+b.policy.TrialAfter<<n), ended < b.policy.TrialEnds
+	firstTrial := r.Trials[n-1]
+	crashes := r.countCrashes(t.policy.Window, func(c Crash) bool { return c.At > firstTrial })
+	return max(at, r.Trials[0]+t.policy.TrialDelay<<n), crashes < t.policy.MaxTrialCrashes
 }
 
-// hasTurn reports whether a request may be tried beside those that share ends with it. They
-// come due together, and a harmful one at the same server would end the trial of another.
-// So one that is under trial keeps the others from theirs, and all take turns in an order
-// that is alike in all processes.
-func (b *Tracker) hasTurn(r *Record, now time.Duration) bool {
+// hasTurn reports whether no request that shares crashes with r blocks its trial. Such requests
+// become due at the same time, and a crashing one on the same server would end the trial of
+// another. A request under trial therefore blocks the trials of the others, and all take turns
+// in an order that is the same in all processes.
+func (t *Tracker) hasTurn(r *Record, now time.Duration) bool {
 	rank, turns := 0, 1
-	for id, v := range b.held {
-		o := b.records[id]
-		if o == r || !v.doubtful || !o.sharesEnd(r) {
+	for id, d := range t.quarantined {
+		o := t.records[id]
+		if o == r || !d.ambiguous || !o.sharesCrash(r) {
 			continue
 		}
-		if o.underTrial(now, b.policy.TrialApart) {
+		if o.underTrial(now, t.policy.TrialTimeout) {
 			return false
 		}
 		turns++
@@ -69,18 +71,19 @@
 			rank++
 		}
 	}
-	turns = min(turns, mostTurns)
+	turns = min(turns, maxTurns)
 	return int(now/trialTurn)%turns == rank%turns
 }
 
-// underTrial reports whether a trial of the last so much time has shown nothing yet.
-func (r *Record) underTrial(now, lasts time.Duration) bool {
-	return len(r.Trials) > 0 && now-r.Trials[0] < lasts && !slices.ContainsFunc(r.Crashes, func(e Crash) bool { return e.At > r.Trials[0] })
+// underTrial reports whether the latest trial began less than timeout ago and no server has
+// crashed under the request since.
+func (r *Record) underTrial(now, timeout time.Duration) bool {
+	return len(r.Trials) > 0 && now-r.Trials[0] < timeout && !slices.ContainsFunc(r.Crashes, func(c Crash) bool { return c.At > r.Trials[0] })
 }
 
-// sharesEnd reports whether a server has ended under both requests.
-func (r *Record) sharesEnd(o *Record) bool {
-	return slices.ContainsFunc(r.Crashes, func(e Crash) bool {
-		return slices.ContainsFunc(o.Crashes, func(f Crash) bool { return f.Incarnation == e.Incarnation })
+// sharesCrash reports whether the same server incarnation crashed under both requests.
+func (r *Record) sharesCrash(o *Record) bool {
+	return slices.ContainsFunc(r.Crashes, func(a Crash) bool {
+		return slices.ContainsFunc(o.Crashes, func(b Crash) bool { return b.Incarnation == a.Incarnation })
 	})
 }
