--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -42,7 +42,7 @@
 			if r.Version() > 0 {
 				require.EqualValues(t, r.Version(), r.State().Team("t").GetWeight())
 			}
-			if deltas, ok := r.Since(before); ok && len(deltas) > 0 {
+			if deltas, ok := r.DeltasSince(before); ok && len(deltas) > 0 {
 				require.Equal(t, before+1, deltas[0].GetVersion())
 				require.Equal(t, r.Version(), deltas[len(deltas)-1].GetVersion())
 			}
--- a/conf/replica.go
+++ b/conf/replica.go
@@ -85,9 +85,9 @@
 	r.changed = make(chan struct{})
 }
 
-// Since returns the deltas that lead from version have to the version in
+// DeltasSince returns the deltas that lead from version have to the version in
 // force; ok is false if they are no longer held and a snapshot is needed.
-func (r *Replica) Since(have uint64) (deltas []*kingcupv1.Delta, ok bool) {
+func (r *Replica) DeltasSince(have uint64) (deltas []*kingcupv1.Delta, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if have >= r.state.Load().Version() {
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -97,7 +97,7 @@
 func (s *Syncer) Missing(have uint64) *innerv1.ConfigState {
 	st := s.replica.State()
 	out := &innerv1.ConfigState{Version: st.Version()}
-	deltas, ok := s.replica.Since(have)
+	deltas, ok := s.replica.DeltasSince(have)
 	if ok {
 		out.Deltas = deltas
 	} else {
