--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -73,7 +73,7 @@
 	}
 }
 
-var _ relay.Suspects = (*suspects)(nil)
+var _ relay.Quarantine = (*suspects)(nil)
 
 // Any implements relay.Suspects.
 func (s *suspects) Any() bool { return s.any.Load() }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -51,12 +51,12 @@
 	Log      logrus.FieldLogger
 	Observer Observer
 	Others   Peers
-	Suspects Suspects
+	Suspects Quarantine
 }
 
-// Suspects remembers under which requests servers have ended, here and at all other
+// Quarantine remembers under which requests servers have ended, here and at all other
 // processes.
-type Suspects interface {
+type Quarantine interface {
 	// Any reports whether anything is known of any request.
 	Any() bool
 	// Held reports whether a request must not be sent to servers, and for how much longer.
