--- a/backends/pace.go
+++ b/backends/pace.go
@@ -77,8 +77,8 @@
 // Later reports whether servers take requests later only.
 func (p Pace) Later() bool { return !p.Open && (p.Bounded || p.Resting) }
 
-// Pace tells at what rate servers of a service take requests that must stay in some regions.
-func (r *Registry) Pace(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Pace) {
+// Availability tells at what rate servers of a service take requests that must stay in some regions.
+func (r *Registry) Availability(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Pace) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	traits, list := r.traits(service), r.listed(service)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -196,7 +196,7 @@
 
 // paceOf is at what rate servers take requests like this one.
 func (r *Relay) paceOf(j *job) backends.Pace {
-	return r.Registry.Pace(j.service, j.regions, r.Others.SharedClock(), r.Now())
+	return r.Registry.Availability(j.service, j.regions, r.Others.SharedClock(), r.Now())
 }
 
 // paceWait is how long a request may wait for cold servers from its arrival: half of the time
