--- a/placement/filters.go
+++ b/placement/filters.go
@@ -47,7 +47,7 @@
 	if s.Running == 0 {
 		return true
 	}
-	if r.MostPrompt > 0 && s.PromptPending > r.MostPrompt {
+	if r.MaxPromptPending > 0 && s.PromptPending > r.MaxPromptPending {
 		return false
 	}
 	if r.MaxMemoryUse <= 0 || s.MemoryTotal == 0 {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -66,8 +66,8 @@
 	PromptSpeed float64
 	// MaxMemoryUse bounds the part of memory in use with the request, MostPrompt the
 	// prompt tokens to be read before it; 0 is no bound.
-	MaxMemoryUse float64
-	MostPrompt   int
+	MaxMemoryUse     float64
+	MaxPromptPending int
 	// CopySpeed is the tokens of memory a second that a server's link takes.
 	CopySpeed float64
 	// Within drops servers of other failure domains.
