--- a/conf/store.go
+++ b/conf/store.go
@@ -24,9 +24,9 @@
 // SnapshotEvery is the number of versions between snapshots.
 const SnapshotEvery = 32
 
-// KeptDeltas is how many deltas stay in the table; a change can be recognized by
+// MaxTableDeltas is how many deltas stay in the table; a change can be recognized by
 // its id for as long. It is over a day of changes at the target size.
-const KeptDeltas = 512
+const MaxTableDeltas = 512
 
 const (
 	settleTries   = 5
@@ -212,10 +212,10 @@
 // Prune deletes the deltas that a snapshot has replaced, up to KeptDeltas before
 // version. Only one snapshot's worth is deleted at a time.
 func (s *Store) Prune(ctx context.Context, version uint64) error {
-	if version <= KeptDeltas {
+	if version <= MaxTableDeltas {
 		return nil
 	}
-	last := version - KeptDeltas
+	last := version - MaxTableDeltas
 	var txn storage.Txn
 	for v := last - min(last, SnapshotEvery); v <= last; v++ {
 		txn.Writes = append(txn.Writes, storage.Write{Key: deltaKey(v), Delete: true})
--- a/conf/store_test.go
+++ b/conf/store_test.go
@@ -18,7 +18,7 @@
 	table := tables.New()
 	store := NewStore(table, table)
 	writer, lagging := NewReplica(), NewReplica()
-	const changes = KeptDeltas + 5*SnapshotEvery + 7
+	const changes = MaxTableDeltas + 5*SnapshotEvery + 7
 	for v := uint64(1); v <= changes; v++ {
 		d := delta(v)
 		d.ChangeId = fmt.Sprint(v)
@@ -34,7 +34,7 @@
 	}
 	rows, err := table.Scan(ctx, deltaPrefix)
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(rows), KeptDeltas+SnapshotEvery)
+	require.LessOrEqual(t, len(rows), MaxTableDeltas+SnapshotEvery)
 	fresh := NewReplica()
 	for _, r := range []*Replica{fresh, lagging} {
 		require.NoError(t, store.CatchUp(ctx, r))
