--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -91,7 +91,7 @@
 // missed is what an attempt to go on from a copy says of its server. A refusal says
 // that the server has no such copy, as where it had no room for one; that is no failure.
 func missed(err error) backends.Result {
-	var refused *Refused
+	var refused *NotRunError
 	if errors.As(err, &refused) {
 		return backends.Unjudged
 	}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -82,7 +82,7 @@
 func (r *Relay) passOver(ctx context.Context, j *job, lease *backends.Reservation, err error) *Refusal {
 	id := lease.Server.ID
 	j.tried = append(j.tried, id)
-	var refused *Refused
+	var refused *NotRunError
 	if errors.As(err, &refused) {
 		r.Observer.Attempt(j.service, string(refused.Why))
 		lease.Done(resultOf(refused.Why), r.Now())
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -96,8 +96,8 @@
 	Body io.ReadCloser
 }
 
-// Refused says that a server certainly did not and will not run a request.
-type Refused struct {
+// NotRunError says that a server certainly did not and will not run a request.
+type NotRunError struct {
 	Why    RefusedWhy
 	Detail string
 }
@@ -122,7 +122,7 @@
 )
 
 // Error implements error.
-func (r *Refused) Error() string { return fmt.Sprintf("not run, %s: %s", r.Why, r.Detail) }
+func (r *NotRunError) Error() string { return fmt.Sprintf("not run, %s: %s", r.Why, r.Detail) }
 
 // Errors of an upstream; all others leave unknown whether a request has run.
 var (
