--- a/backends/pace.go
+++ b/backends/pace.go
@@ -60,8 +60,8 @@
 	return true
 }
 
-// Pace is at what rate the servers of a service take requests of this process.
-type Pace struct {
+// Availability is at what rate the servers of a service take requests of this process.
+type Availability struct {
 	// Open reports that there is a server that takes any number.
 	Open bool
 	// Bounded reports that there is one that takes a bounded rate: PerSecond is what all of
@@ -75,10 +75,10 @@
 }
 
 // Later reports whether servers take requests later only.
-func (p Pace) Later() bool { return !p.Open && (p.Bounded || p.Resting) }
+func (p Availability) Later() bool { return !p.Open && (p.Bounded || p.Resting) }
 
 // Availability tells at what rate servers of a service take requests that must stay in some regions.
-func (r *Registry) Availability(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Pace) {
+func (r *Registry) Availability(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Availability) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	traits, list := r.traits(service), r.listed(service)
@@ -100,14 +100,14 @@
 	return p
 }
 
-func (p *Pace) rests(rest time.Duration) {
+func (p *Availability) rests(rest time.Duration) {
 	if !p.Resting || rest < p.Rest {
 		p.Rest = rest
 	}
 	p.Resting = true
 }
 
-func (p *Pace) bounds(perSecond float64, next time.Duration) {
+func (p *Availability) bounds(perSecond float64, next time.Duration) {
 	if !p.Bounded || next < p.Next {
 		p.Next = next
 	}
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -37,7 +37,7 @@
 
 // standInLine has a request wait for its turn where no server takes any number, and refuses it
 // if that comes too late. It returns nil otherwise.
-func (r *Relay) standInLine(j *job, l *line, w *flow.Waiter, p backends.Pace) *Refusal {
+func (r *Relay) standInLine(j *job, l *line, w *flow.Waiter, p backends.Availability) *Refusal {
 	if !p.Later() {
 		return nil
 	}
@@ -78,7 +78,7 @@
 }
 
 // wait estimates how long a request waits for its turn.
-func (l *line) wait(w *flow.Waiter, p backends.Pace, now time.Duration) time.Duration {
+func (l *line) wait(w *flow.Waiter, p backends.Availability, now time.Duration) time.Duration {
 	if !p.Bounded {
 		return p.Rest
 	}
@@ -103,7 +103,7 @@
 const latestReturn = 10 * time.Second
 
 // refuseInLine refuses a request that would have its turn too late.
-func (r *Relay) refuseInLine(j *job, p backends.Pace, turn time.Duration) *Refusal {
+func (r *Relay) refuseInLine(j *job, p backends.Availability, turn time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoRoom)
 	if p.Bounded {
 		turn = min(turn, latestReturn)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -195,7 +195,7 @@
 }
 
 // paceOf is at what rate servers take requests like this one.
-func (r *Relay) paceOf(j *job) backends.Pace {
+func (r *Relay) paceOf(j *job) backends.Availability {
 	return r.Registry.Availability(j.service, j.regions, r.Others.SharedClock(), r.Now())
 }
 
