--- a/placement/placement.go
+++ b/placement/placement.go
@@ -76,8 +76,8 @@
 	Own func(i int) bool
 	// Mine tells whose turn it is at a server, nil where there are no turns. Yield is
 	// the number of servers that are left to others.
-	Mine  func(server string) bool
-	Yield int
+	Mine     func(server string) bool
+	Reserved int
 }
 
 // Filter reports whether a server can take a request.
@@ -141,7 +141,7 @@
 func (p Policy) BestOf(draws int, r *Request, servers []Server, random uint64) int {
 	var buf [onStack]int
 	able, mine := p.able(r, servers, buf[:0])
-	if able <= r.Yield || len(mine) == 0 {
+	if able <= r.Reserved || len(mine) == 0 {
 		return -1
 	}
 	rng := rand.New(rand.NewPCG(random, random))
