--- a/conf/store.go
+++ b/conf/store.go
@@ -21,8 +21,8 @@
 	snapshotKey = "config/snapshot"
 )
 
-// SnapshotEvery is the number of versions between snapshots.
-const SnapshotEvery = 32
+// VersionsPerSnapshot is the number of versions between snapshots.
+const VersionsPerSnapshot = 32
 
 // MaxTableDeltas is how many deltas stay in the table; a change can be recognized by
 // its id for as long. It is over a day of changes at the target size.
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	if head > r.Version()+SnapshotEvery {
+	if head > r.Version()+VersionsPerSnapshot {
 		s.loadSnapshot(ctx, r)
 	}
 	if head <= r.Version() {
@@ -217,7 +217,7 @@
 	}
 	last := version - MaxTableDeltas
 	var txn storage.Txn
-	for v := last - min(last, SnapshotEvery); v <= last; v++ {
+	for v := last - min(last, VersionsPerSnapshot); v <= last; v++ {
 		txn.Writes = append(txn.Writes, storage.Write{Key: deltaKey(v), Delete: true})
 	}
 	_, err := s.table.Commit(ctx, txn)
--- a/conf/store_test.go
+++ b/conf/store_test.go
@@ -18,13 +18,13 @@
 	table := tables.New()
 	store := NewStore(table, table)
 	writer, lagging := NewReplica(), NewReplica()
-	const changes = MaxTableDeltas + 5*SnapshotEvery + 7
+	const changes = MaxTableDeltas + 5*VersionsPerSnapshot + 7
 	for v := uint64(1); v <= changes; v++ {
 		d := delta(v)
 		d.ChangeId = fmt.Sprint(v)
 		require.NoError(t, store.Commit(ctx, d))
 		require.NoError(t, writer.Apply(d))
-		if v%SnapshotEvery == 0 {
+		if v%VersionsPerSnapshot == 0 {
 			require.NoError(t, store.SaveSnapshot(ctx, writer.State()))
 			require.NoError(t, store.Prune(ctx, v))
 		}
@@ -34,7 +34,7 @@
 	}
 	rows, err := table.Scan(ctx, deltaPrefix)
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(rows), MaxTableDeltas+SnapshotEvery)
+	require.LessOrEqual(t, len(rows), MaxTableDeltas+VersionsPerSnapshot)
 	fresh := NewReplica()
 	for _, r := range []*Replica{fresh, lagging} {
 		require.NoError(t, store.CatchUp(ctx, r))
--- a/internal/confsync/confsync_test.go
+++ b/internal/confsync/confsync_test.go
@@ -50,7 +50,7 @@
 	table := tables.New()
 	writer, replica := conf.NewReplica(), conf.NewReplica()
 	store := conf.NewStore(table, table)
-	const changes = conf.MaxTableDeltas + 2*conf.SnapshotEvery
+	const changes = conf.MaxTableDeltas + 2*conf.VersionsPerSnapshot
 	for v := uint64(1); v <= changes; v++ {
 		d := &kingcupv1.Delta{
 			Version: v, ChangeId: fmt.Sprint(v),
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -88,7 +88,7 @@
 // that starts reads one object and few deltas.
 func (e *Entry) snapshot(ctx context.Context) {
 	state := e.sync.Replica().State()
-	if state.Version()%conf.SnapshotEvery != 0 {
+	if state.Version()%conf.VersionsPerSnapshot != 0 {
 		return
 	}
 	if err := e.store.SaveSnapshot(ctx, state); err != nil {
