--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -18,18 +18,18 @@
 	}
 	if news.Leaving {
 		log.Info("server says in an answer that it is leaving")
-		r.Others.Nudge()
+		r.Peers.Nudge()
 	}
 	if news.Rests {
 		log.WithField("for_ms", a.Rest.Milliseconds()).Info("server asks for rest")
-		r.Others.Nudge()
+		r.Peers.Nudge()
 	}
 	switch {
 	case news.Limited:
 		log.WithField("per_second", a.Limit).Info("server names a limit")
-		r.Others.Nudge()
+		r.Peers.Nudge()
 	case news.Lifted:
 		log.Info("server names no limit any more")
-		r.Others.Nudge()
+		r.Peers.Nudge()
 	}
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -47,7 +47,7 @@
 	if err := a.Look(); err != nil {
 		return nil, err
 	}
-	if a.From != nil && !r.Registry.TryUseRate(lease, r.Others.SharedClock(), r.Now()) {
+	if a.From != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
 		return nil, &NotRunError{Why: RefusedBarred, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -65,7 +65,7 @@
 	for i := range playGateways {
 		w := newWorld(t, Config{RetryRatio: 0.2, RetryExtra: 86})
 		w.others.known = playGateways
-		w.relay.Others = &nudger{w.others, func() { p.told(i) }}
+		w.relay.Peers = &nudger{w.others, func() { p.told(i) }}
 		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) { return p.send(ctx, i, a) }
 		for k := range playEngines {
 			s := w.entry(fmt.Sprint("e-", k), modelService)
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -133,7 +133,7 @@
 // too.
 func (r *Relay) conclude(q *inquest) {
 	if r.Registry.MarkDown(q.server, r.Now()) {
-		r.Others.Nudge()
+		r.Peers.Nudge()
 	}
 	time.AfterFunc(gatherTime, func() {
 		r.endedUnder(q)
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -123,7 +123,7 @@
 		cfg.RetryExtra = 100
 	}
 	w.others = &others{known: 1, taking: true}
-	w.relay = New(cfg, Deps{Replica: w.replica, Registry: w.registry, Upstream: w.up, Now: w.now, Log: quietLog(), Observer: noObserver{}, Others: w.others})
+	w.relay = New(cfg, Deps{Replica: w.replica, Registry: w.registry, Upstream: w.up, Now: w.now, Log: quietLog(), Observer: noObserver{}, Peers: w.others})
 	w.apply(1)
 	return w
 }
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -130,7 +130,7 @@
 	l.unplaced += change
 	l.crowded = r.Now()
 	rank, first := l.queue.HeadRank(r.Now())
-	r.Others.Queued(service, flow.Contender{Waiting: l.unplaced, Rank: rank, WaitingAtRank: first})
+	r.Peers.Queued(service, flow.Contender{Waiting: l.unplaced, Rank: rank, WaitingAtRank: first})
 }
 
 // toldTeams is how many teams' usage is told to others. The surges that matter are of
@@ -147,12 +147,12 @@
 	l.shares.Charge(j.team, amount, now)
 	top := l.shares.Top(toldTeams, now)
 	l.mu.Unlock()
-	r.Others.Used(j.service, top)
+	r.Peers.Used(j.service, top)
 }
 
 // level is how far a request's team is above an equal share.
 func (r *Relay) level(j *job, l *lane) int {
-	elsewhere := r.Others.Usage(j.service)
+	elsewhere := r.Peers.Usage(j.service)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shares.Level(j.team, elsewhere, r.Now())
@@ -249,7 +249,7 @@
 		return nil
 	}
 	r.charge(j, l)
-	r.Others.Nudge()
+	r.Peers.Nudge()
 	return lease
 }
 
@@ -259,7 +259,7 @@
 	q := r.query(j)
 	q.Tokens, q.Prompt, q.PromptSpeed = j.memory(0), j.prompt(), speed
 	q.MostUsed, q.MostPrompt = mostUsed, int(speed*promptWait.Seconds())
-	q.Turns = r.Others.Turns(j.service, rank)
+	q.Turns = r.Peers.Turns(j.service, rank)
 	return q
 }
 
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -345,12 +345,12 @@
 	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
 	q.Near = m.from.FailureDomain
 	first := q
-	first.Turns, first.Within = r.Others.MoveTurns(m.from.FailureDomain), true
+	first.Turns, first.Within = r.Peers.MoveTurns(m.from.FailureDomain), true
 	anyRoom := q
 	anyRoom.MostUsed = 0
 	for _, q := range []backends.Query{first, q, anyRoom} {
 		if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
-			r.Others.Nudge()
+			r.Peers.Nudge()
 			return lease
 		}
 	}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -102,7 +102,7 @@
 	}
 	r.Observer.Attempt(j.service, "lost")
 	lease.Done(backends.Lost, r.Now())
-	r.Others.Nudge()
+	r.Peers.Nudge()
 	r.broke(ctx, j, lease.Server)
 	if !j.mayRepeat() {
 		return r.refuse(j, ReasonLost)
@@ -118,7 +118,7 @@
 		j.reached--
 	}
 	if why == RefusedEnded {
-		r.Others.Nudge()
+		r.Peers.Nudge()
 	}
 }
 
@@ -196,7 +196,7 @@
 
 // paceOf is at what rate servers take requests like this one.
 func (r *Relay) paceOf(j *job) backends.Availability {
-	return r.Registry.Availability(j.service, j.regions, r.Others.SharedClock(), r.Now())
+	return r.Registry.Availability(j.service, j.regions, r.Peers.SharedClock(), r.Now())
 }
 
 // paceWait is how long a request may wait for cold servers from its arrival: half of the time
@@ -207,7 +207,7 @@
 
 // query asks for a server for a request.
 func (r *Relay) query(j *job) backends.Query {
-	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, Clock: r.Others.SharedClock(), Draw: rand.Uint64()}
+	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, Clock: r.Peers.SharedClock(), Draw: rand.Uint64()}
 }
 
 // cordoned refuses a request whose servers are all in cordoned failure domains: waiting does
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -50,7 +50,7 @@
 	Now      clock.Source
 	Log      logrus.FieldLogger
 	Observer Observer
-	Others   Peers
+	Peers    Peers
 	Suspects Quarantine
 }
 
@@ -328,7 +328,7 @@
 func (r *Relay) authorize(j *job, cfg *routing.Config, age time.Duration) *Refusal {
 	// A key that was removed since the last confirmation would still be found, so
 	// beyond the bound no key is trusted; another VM may know better.
-	if r.KeysStale(age) || !r.Others.Agreed() {
+	if r.KeysStale(age) || !r.Peers.Agreed() {
 		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 	}
 	team := cfg.Team(j.Key)
@@ -355,7 +355,7 @@
 // Ready reports whether requests with keys can be served.
 func (r *Relay) Ready() bool {
 	cfg, confirmed := r.Replica.Current()
-	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Others.Agreed()
+	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Peers.Agreed()
 }
 
 // defaultWait bounds requests for which neither caller nor route says how long
