--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -207,7 +207,7 @@
 	require.Nil(t, r.Acquire(Query{Service: svc, Copy: true}, 3900*time.Millisecond))
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
-	lease.Done(Good, 4*time.Second)
+	lease.Release(Good, 4*time.Second)
 	r.ApplySignals(s, Signals{Rest: MostRest}, 0, 5*time.Second)
 	again := s
 	again.StartTime = 2
@@ -228,7 +228,7 @@
 			if lease.Server.ID == "a" {
 				n++
 			}
-			lease.Done(Unjudged, time.Second)
+			lease.Release(Unjudged, time.Second)
 		}
 		return n
 	}
@@ -238,7 +238,7 @@
 	require.Zero(t, picked())
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, time.Second)
 	require.NotNil(t, lease, "it wants nothing of the others only")
-	lease.Done(Unjudged, time.Second)
+	lease.Release(Unjudged, time.Second)
 	r.SetRemoteStatuses("vm-3", nil, time.Second)
 	require.Greater(t, picked(), 20)
 }
--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -172,7 +172,7 @@
 	e.used += g.memory
 	f.at(now+time.Second, l.Copied)
 	f.at(now+g.lasts, func() {
-		l.Done(Unjudged, now+g.lasts)
+		l.Release(Unjudged, now+g.lasts)
 		f.tell(g.gateway, now+g.lasts)
 		e.used -= g.memory
 		f.admit(e, now+g.lasts)
@@ -203,7 +203,7 @@
 			f.tell(g.gateway, first)
 		})
 		f.at(first+g.lasts, func() {
-			g.lease.Done(Good, first+g.lasts)
+			g.lease.Release(Good, first+g.lasts)
 			f.tell(g.gateway, first+g.lasts)
 			e.used -= g.memory
 			f.admit(e, first+g.lasts)
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -66,7 +66,7 @@
 			}
 			served++
 			c.got[lease.Server.ID] = append(c.got[lease.Server.ID], now)
-			lease.Done(Good, now)
+			lease.Release(Good, now)
 		}
 	}
 	return served
@@ -182,7 +182,7 @@
 		if lease == nil {
 			return ""
 		}
-		lease.Done(Unjudged, 0)
+		lease.Release(Unjudged, 0)
 		return lease.Server.FailureDomain
 	}
 	for range 20 {
@@ -217,7 +217,7 @@
 				for b.Loop() {
 					now += time.Millisecond
 					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), Clock: pacing.SharedTime{Now: now, Known: true}}, now); l != nil {
-						l.Done(Good, now)
+						l.Release(Good, now)
 					}
 				}
 			})
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Done ends the lease; further calls do nothing.
-func (l *Reservation) Done(result Result, now time.Duration) {
+// Release ends the lease; further calls do nothing.
+func (l *Reservation) Release(result Result, now time.Duration) {
 	l.once.Do(func() { l.reg.done(l, result, now) })
 }
 
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	l := r.Acquire(Query{Service: svc}, now)
 	require.NotNil(t, l)
-	l.Done(Unjudged, now)
+	l.Release(Unjudged, now)
 	return l.Server.ID
 }
 
@@ -81,14 +81,14 @@
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 5 {
 		l := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-		l.Done(Failed, 0)
+		l.Release(Failed, 0)
 	}
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
 	}
 	now := 10 * healthHalfLife
 	busy := r.Acquire(Query{Service: svc, Tried: []string{"a"}}, now)
-	defer busy.Done(Good, now)
+	defer busy.Release(Good, now)
 	require.Equal(t, "a", r.pick(t, now))
 }
 
@@ -97,9 +97,9 @@
 func TestLostConnectionsWeighMore(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Done(Lost, 0)
+	r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(Lost, 0)
 	for range 3 {
-		defer r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0).Done(Good, 0)
+		defer r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0).Release(Good, 0)
 	}
 	require.Equal(t, "b", r.pick(t, 0))
 }
@@ -116,7 +116,7 @@
 	r.SetRemote("other", nil)
 	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MostPrompt: 1000}, 0)
 	require.NotNil(t, l)
-	l.Done(Good, 0)
+	l.Release(Good, 0)
 }
 
 // A lease counts until it is done, its prompt until the answer begins, and every
@@ -129,8 +129,8 @@
 	l.Begun()
 	l.Begun()
 	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 5000}}, r.Loads())
-	l.Done(Good, 0)
-	l.Done(Good, 0)
+	l.Release(Good, 0)
+	l.Release(Good, 0)
 	require.Empty(t, r.Loads())
 }
 
@@ -147,7 +147,7 @@
 	r.Reset(list, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Acquire(Query{Service: svc, Tokens: 4000, Prompt: 3000, Draw: 7}, 0).Done(Good, 0)
+		r.Acquire(Query{Service: svc, Tokens: 4000, Prompt: 3000, Draw: 7}, 0).Release(Good, 0)
 	}
 }
 
@@ -159,7 +159,7 @@
 	far.FailureDomain = "zone-2"
 	r.Reset([]Server{entry("a"), entry("b"), far}, 0, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b", "far"}}, 0)
-	defer lease.Done(Unjudged, 0)
+	defer lease.Release(Unjudged, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
 	require.Empty(t, r.Movers("vm-1", "zone-1"))
 	leaving := entry("a")
@@ -186,7 +186,7 @@
 	require.Equal(t, "b", r.pick(t, lossesFor-1))
 	require.Equal(t, "a", r.pick(t, lossesFor))
 	l := r.Acquire(Query{Service: svc}, lossesFor)
-	l.Done(Lost, lossesFor)
+	l.Release(Lost, lossesFor)
 	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(lossesFor))
 	require.Equal(t, "b", r.pick(t, lossesFor))
 	require.Empty(t, r.Statuses(2*lossesFor))
@@ -228,7 +228,7 @@
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
 	for range 2 {
-		r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Done(Lost, 0)
+		r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(Lost, 0)
 	}
 	require.Equal(t, "b", r.pick(t, 0))
 	require.Equal(t, "a", r.pick(t, lossesFor+2*healthHalfLife))
@@ -241,10 +241,10 @@
 	r.Put(entry("a"), 0)
 	l := r.Acquire(Query{Service: svc}, 0)
 	l.Silent(0)
-	l.Done(Unjudged, 0)
+	l.Release(Unjudged, 0)
 	l.Silent(0)
 	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(0), "a lease that is over says nothing more")
-	r.Acquire(Query{Service: svc}, 0).Done(Good, 0)
+	r.Acquire(Query{Service: svc}, 0).Release(Good, 0)
 	require.Empty(t, r.Statuses(0))
 }
 
@@ -261,7 +261,7 @@
 			if lease == nil {
 				break
 			}
-			lease.Done(Unjudged, now)
+			lease.Release(Unjudged, now)
 			ids = append(ids, lease.Server.ID)
 		}
 		return ids
@@ -273,7 +273,7 @@
 	require.Len(t, picked(0), 2, "an earlier life")
 	r.SetRemoteStatuses("vm-2", nil, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-	lease.Done(Ended, 0)
+	lease.Release(Ended, 0)
 	require.Equal(t, []string{"b"}, picked(lostFor-1))
 	require.Equal(t, map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, r.Statuses(lostFor-1))
 	require.Len(t, picked(lostFor), 2, "asked again")
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -21,7 +21,7 @@
 	r, notices := newRegistry()
 	r.Reset([]Server{bornAt("a", 100)}, 0, 0)
 	for range 3 {
-		r.Acquire(Query{Service: svc}, 0).Done(Lost, 0)
+		r.Acquire(Query{Service: svc}, 0).Release(Lost, 0)
 	}
 	held := r.Acquire(Query{Service: svc, Tokens: 20000, Prompt: 9000}, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, StartTime: 100}})
@@ -36,7 +36,7 @@
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
 	require.Equal(t, Load{}, lease.Load)
 	require.Empty(t, r.Statuses(0))
-	held.Done(Lost, 0)
+	held.Release(Lost, 0)
 	require.Empty(t, r.Statuses(0), "a request of the earlier life that ends late says nothing of this one")
 	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 9000, Prompt: 3000, StartTime: 200}}, r.Loads())
 }
@@ -74,14 +74,14 @@
 	require.Zero(t, r.Ready(svc))
 	r.Put(entry("a"), 0)
 	require.Equal(t, 1, r.Ready(svc))
-	held.Done(Good, 0)
+	held.Release(Good, 0)
 	require.Equal(t, "a", r.pick(t, 0))
 
 	held = r.Acquire(Query{Service: svc}, 0)
 	r.MarkReplaced(entry("a"))
 	r.Put(entry("a"), 0)
 	require.Zero(t, r.Ready(svc), "another server is at its address")
-	held.Done(Good, 0)
+	held.Release(Good, 0)
 }
 
 // Another writer spoils the entry of a server in use: it gets no more requests until a
@@ -90,7 +90,7 @@
 	r, notices := newRegistry()
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
 	held := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-	defer held.Done(Good, 0)
+	defer held.Release(Good, 0)
 	r.Put(Server{ID: "a", Unreadable: true}, 0)
 	r.Put(Server{ID: "never heard of", Unreadable: true}, 0)
 	require.Equal(t, 1, r.Ready(svc))
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -84,7 +84,7 @@
 		time.Sleep(20 * time.Millisecond)
 		for draw := range uint64(20) {
 			l := third.registry.Acquire(backends.Query{Service: fleet.DeskService, Draw: draw}, clock.SinceBoot())
-			l.Done(backends.Unjudged, clock.SinceBoot())
+			l.Release(backends.Unjudged, clock.SinceBoot())
 			if l.Server.ID == bad {
 				return false
 			}
@@ -96,7 +96,7 @@
 // lose has the gateway lose a request at a server.
 func (n *node) lose(server string) {
 	l := n.registry.Rejoin(backends.Server{ID: server}, 0)
-	l.Done(backends.Lost, clock.SinceBoot())
+	l.Release(backends.Lost, clock.SinceBoot())
 	n.group.Nudge()
 }
 
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -58,7 +58,7 @@
 	o, err := r.send(ctx, j, lease, a)
 	if err != nil {
 		if cover != nil {
-			cover.Done(backends.Unjudged, r.Now())
+			cover.Release(backends.Unjudged, r.Now())
 		}
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 // uncover gives the room of the standing copy back.
 func (o *offer) uncover(now time.Duration) {
 	if o.cover != nil {
-		o.cover.Done(backends.Unjudged, now)
+		o.cover.Release(backends.Unjudged, now)
 		o.cover = nil
 	}
 }
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -75,7 +75,7 @@
 	<-h.over
 	if o := h.next; o != nil {
 		o.answer.Body.Close()
-		o.lease.Done(backends.Unjudged, h.session.Now())
+		o.lease.Release(backends.Unjudged, h.session.Now())
 	}
 }
 
@@ -137,7 +137,7 @@
 			next.answer.Body.Close()
 		}
 		giveUp()
-		c.lease.Done(missed(err), s.Now())
+		c.lease.Release(missed(err), s.Now())
 		return nil
 	}
 	s.job.log.WithFields(logrus.Fields{"server": s.run.host(), "to": c.lease.Server.ID}).Info("silent stream goes on from its standing copy")
@@ -187,6 +187,6 @@
 // adopt goes on with the answer from a copy in place of another.
 func (s *session) adopt(next, old *offer) {
 	s.job.ran--
-	old.lease.Done(backends.Unjudged, s.Now())
+	old.lease.Release(backends.Unjudged, s.Now())
 	s.relocate(s.run, next)
 }
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -59,11 +59,11 @@
 			return nil, refusal
 		}
 		if left, held := r.held(j); held {
-			lease.Done(backends.Unjudged, r.Now())
+			lease.Release(backends.Unjudged, r.Now())
 			return nil, j.refuseHeld(left)
 		}
 		if j.reached > 0 && !r.repeat(j.service) {
-			lease.Done(backends.Unjudged, r.Now())
+			lease.Release(backends.Unjudged, r.Now())
 			j.log.WithField("sent", j.sent).Warn("retry budget is used up")
 			return nil, r.refuse(j, ReasonNoRoom)
 		}
@@ -85,7 +85,7 @@
 	var refused *NotRunError
 	if errors.As(err, &refused) {
 		r.Observer.Attempt(j.service, string(refused.Why))
-		lease.Done(resultOf(refused.Why), r.Now())
+		lease.Release(resultOf(refused.Why), r.Now())
 		r.unreached(j, refused.Why)
 		if refused.Why == RefusedReplaced {
 			r.Registry.MarkReplaced(lease.Server)
@@ -97,11 +97,11 @@
 	}
 	j.ran++
 	if ctx.Err() != nil {
-		lease.Done(backends.Unjudged, r.Now())
+		lease.Release(backends.Unjudged, r.Now())
 		return r.refuse(j, ReasonDeadline)
 	}
 	r.Observer.Attempt(j.service, "lost")
-	lease.Done(backends.Lost, r.Now())
+	lease.Release(backends.Lost, r.Now())
 	r.Peers.Nudge()
 	r.broke(ctx, j, lease.Server)
 	if !j.mayRepeat() {
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -36,7 +36,7 @@
 		if err == nil && w.proper() {
 			r.Observer.FirstByte(j.team, j.service, j.route.Kind, r.Now()-j.arrived)
 			if w.failed() {
-				o.lease.Done(backends.Failed, r.Now())
+				o.lease.Release(backends.Failed, r.Now())
 				if j.mayRepeat() && !w.more {
 					r.Observer.Attempt(j.service, "server error")
 					j.tried = append(j.tried, o.lease.Server.ID)
@@ -44,20 +44,20 @@
 					continue
 				}
 			} else {
-				o.lease.Done(backends.Good, r.Now())
+				o.lease.Release(backends.Good, r.Now())
 				r.answered(j)
 			}
 			return r.deliver(w, out)
 		}
 		if ctx.Err() != nil {
-			o.lease.Done(backends.Unjudged, r.Now())
+			o.lease.Release(backends.Unjudged, r.Now())
 			return r.giveUp(ctx, j, *r.refuse(j, ReasonDeadline), out)
 		}
 		if err != nil {
 			r.broke(ctx, j, o.lease.Server)
 		}
 		r.Observer.Attempt(j.service, "spoilt")
-		o.lease.Done(backends.Failed, r.Now())
+		o.lease.Release(backends.Failed, r.Now())
 		j.tried = append(j.tried, o.lease.Server.ID)
 		j.log.WithError(err).WithField("server", o.lease.Server.ID).WithField("status", o.answer.Status).Warn("answer is spoilt")
 		if !j.mayRepeat() {
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -76,12 +76,12 @@
 		return nil
 	}
 	if _, held := r.convicted(j); held || !r.repeat(j.service) {
-		lease.Done(backends.Unjudged, r.Now())
+		lease.Release(backends.Unjudged, r.Now())
 		return nil
 	}
 	second, err := r.startAttempt(ctx, j, lease, &Attempt{})
 	if err != nil {
-		lease.Done(backends.Unjudged, r.Now())
+		lease.Release(backends.Unjudged, r.Now())
 		return nil
 	}
 	j.log.WithField("server", first.Server.ID).WithField("to", lease.Server.ID).Info("silent request goes to a second server as well")
@@ -97,7 +97,7 @@
 	if r.Now()-slow.Begun >= j.route.Target {
 		result = backends.Lost
 	}
-	slow.lease.Done(result, r.Now())
+	slow.lease.Release(result, r.Now())
 	go func() {
 		if p := <-replies; p.err == nil {
 			p.answer.Body.Close()
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -35,7 +35,7 @@
 			r.broke(ctx, j, o.lease.Server)
 		}
 		o.uncover(r.Now())
-		o.lease.Done(backends.Failed, r.Now())
+		o.lease.Release(backends.Failed, r.Now())
 		j.tried = append(j.tried, o.lease.Server.ID)
 		if !j.mayRepeat() {
 			if err == nil && w.proper() && w.Status >= 300 {
@@ -77,14 +77,14 @@
 		o.answer.Body.Close()
 		if err == nil {
 			h.discard()
-			o.lease.Done(backends.Good, s.Now())
+			o.lease.Release(backends.Good, s.Now())
 			s.answered(s.job)
 			s.learn()
 			return s.end(first)
 		}
 		if ctx.Err() != nil || errors.Is(err, errCaller) {
 			h.discard()
-			o.lease.Done(backends.Unjudged, s.Now())
+			o.lease.Release(backends.Unjudged, s.Now())
 			return s.cutOff(ctx, err)
 		}
 		if hedged := h.await(); hedged != nil {
@@ -195,7 +195,7 @@
 	log := j.log.WithField("server", o.lease.Server.ID).WithField("after", s.seq.after()).WithField("content", j.id().String())
 	s.broke(ctx, j, o.lease.Server)
 	if _, held := s.held(j); held {
-		o.lease.Done(backends.Unjudged, s.Now())
+		o.lease.Release(backends.Unjudged, s.Now())
 		log.WithError(cause).Warn("stream broke and must not go on: servers end under it")
 		s.Observer.Moved("lost")
 		return nil
@@ -205,7 +205,7 @@
 		s.Observer.Moved("resumed")
 		return next
 	}
-	o.lease.Done(backends.Failed, s.Now())
+	o.lease.Release(backends.Failed, s.Now())
 	if ctx.Err() != nil || !j.mayRepeat() {
 		log.WithError(cause).Warn("stream broke and cannot go on")
 		s.Observer.Moved("lost")
@@ -218,7 +218,7 @@
 		log.WithError(cause).Warn("stream broke and no server goes on")
 		if refusal == nil {
 			next.answer.Body.Close()
-			next.lease.Done(backends.Failed, s.Now())
+			next.lease.Release(backends.Failed, s.Now())
 		}
 		return nil
 	}
@@ -243,7 +243,7 @@
 		if err == nil {
 			next.answer.Body.Close()
 		}
-		c.lease.Done(missed(err), s.Now())
+		c.lease.Release(missed(err), s.Now())
 	}
 	return nil
 }
