--- a/backends/registry.go
+++ b/backends/registry.go
@@ -336,7 +336,7 @@
 	}
 	if q.Turns != nil {
 		// Nobody else takes these servers now.
-		req.Mine, req.Reserved, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
+		req.IsOwnTurn, req.Reserved, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
 	}
 	policy := r.policy
 	if q.Copy {
--- a/placement/direct_test.go
+++ b/placement/direct_test.go
@@ -48,7 +48,7 @@
 // with room to them, and takes one only where it is its turn.
 func TestServersAreLeftToOthers(t *testing.T) {
 	servers := []Server{{Name: "a", MemoryTotal: 100}, {Name: "b", MemoryTotal: 100}, {Name: "full", MemoryTotal: 100, MemoryForecast: 95, Running: 3}}
-	r := &Request{Tokens: 10, MaxMemoryUse: 1, Mine: func(server string) bool { return server == "b" }}
+	r := &Request{Tokens: 10, MaxMemoryUse: 1, IsOwnTurn: func(server string) bool { return server == "b" }}
 	require.Equal(t, 1, Direct().BestOf(3, r, servers, 1))
 	r.Reserved = 1
 	require.Equal(t, 1, Direct().BestOf(3, r, servers, 1))
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -74,10 +74,10 @@
 	Within bool
 	// Own bounds the choice to some servers, by their index; nil for all.
 	Own func(i int) bool
-	// Mine tells whose turn it is at a server, nil where there are no turns. Yield is
+	// IsOwnTurn tells whose turn it is at a server, nil where there are no turns. Yield is
 	// the number of servers that are left to others.
-	Mine     func(server string) bool
-	Reserved int
+	IsOwnTurn func(server string) bool
+	Reserved  int
 }
 
 // Filter reports whether a server can take a request.
@@ -181,7 +181,7 @@
 	return n, mine
 }
 
-func inTurn(r *Request, s *Server) bool { return r.Mine == nil || r.Mine(s.Name) }
+func inTurn(r *Request, s *Server) bool { return r.IsOwnTurn == nil || r.IsOwnTurn(s.Name) }
 
 // Pick returns the index in servers of the one to ask, or -1. Of two servers
 // drawn by random it takes the better one: with a view that lags, always taking
