--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -34,8 +34,8 @@
 	BytesPerToken int
 	// BufferBytes bounds the token text kept per generation.
 	BufferBytes int
-	// OrphanGrace is how long a generation runs on without a reader.
-	OrphanGrace time.Duration
+	// OrphanGracePeriod is how long a generation runs on without a reader.
+	OrphanGracePeriod time.Duration
 	// Retain is how long a finished generation can still be read.
 	Retain time.Duration
 	// EngineGrace is how long a lost engine is waited for.
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -152,7 +152,7 @@
 
 // expired reports whether nobody has read g for the orphan grace.
 func (a *Agent) expired(g *generation) bool {
-	return g.idle && a.now()-g.idleSince > a.cfg.OrphanGrace
+	return g.idle && a.now()-g.idleSince > a.cfg.OrphanGracePeriod
 }
 
 const drainPoll = 20 * time.Millisecond
--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -214,7 +214,7 @@
 		if closed && now-g.idleSince > a.cfg.Retain {
 			delete(a.gens, id)
 		}
-		if !closed && now-g.idleSince > a.cfg.OrphanGrace {
+		if !closed && now-g.idleSince > a.cfg.OrphanGracePeriod {
 			orphans = append(orphans, g)
 		}
 	}
