--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -77,7 +77,7 @@
 	j.broken, j.trial = true, false
 	id := j.id()
 	over := r.inquire(s, broken{id: id, attempt: j.ID, events: j.progress.events, try: j.sent})
-	if !r.Suspects.Near(id) {
+	if !r.Quarantine.Near(id) {
 		return
 	}
 	t := time.NewTimer(endPatience)
@@ -179,7 +179,7 @@
 	for _, b := range ran {
 		ids = append(ids, b.id)
 	}
-	r.Suspects.Ended(q.server, ids)
+	r.Quarantine.Ended(q.server, ids)
 }
 
 // named says which requests ran on a server.
@@ -209,10 +209,10 @@
 // convicted reports whether a request is held. Where nothing is known of any, its content
 // is not looked at.
 func (r *Relay) convicted(j *job) (left time.Duration, held bool) {
-	if !r.Suspects.Any() {
+	if !r.Quarantine.Any() {
 		return 0, false
 	}
-	return r.Suspects.Held(j.id())
+	return r.Quarantine.Held(j.id())
 }
 
 // barred reports whether a request is held and is not to be tried either. A trial begins
@@ -220,7 +220,7 @@
 // has shown nothing.
 func (r *Relay) barred(j *job) (left time.Duration, barred bool) {
 	left, held := r.convicted(j)
-	return left, held && !(j.sent == 0 && r.Suspects.Due(j.id()))
+	return left, held && !(j.sent == 0 && r.Quarantine.Due(j.id()))
 }
 
 // held reports whether a request must not be sent to a server next; only its own goroutine
@@ -230,7 +230,7 @@
 		return 0, false
 	}
 	left, held = r.convicted(j)
-	if held && j.sent == 0 && r.Suspects.Try(j.id()) {
+	if held && j.sent == 0 && r.Quarantine.Try(j.id()) {
 		j.trial = true
 		return 0, false
 	}
@@ -241,8 +241,8 @@
 // servers do not end under it. An answer that was put together from several servers says
 // nothing of the kind, as those before the last may have ended.
 func (r *Relay) answered(j *job) {
-	if r.Suspects.Any() && !j.broken && j.After == "" {
-		r.Suspects.Answered(j.id())
+	if r.Quarantine.Any() && !j.broken && j.After == "" {
+		r.Quarantine.Answered(j.id())
 	}
 }
 
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -195,7 +195,7 @@
 // suspicious has a world remember suspects.
 func (w *world) suspicious() *ledger {
 	l := &ledger{now: w.now, relay: w.relay, book: quarantine.NewTracker(quarantine.Default())}
-	w.relay.Suspects = l
+	w.relay.Quarantine = l
 	return l
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -44,14 +44,14 @@
 
 // Deps are the parts a Relay works with.
 type Deps struct {
-	Replica  *routing.Replica
-	Registry *backends.Registry
-	Upstream Upstream
-	Now      clock.Source
-	Log      logrus.FieldLogger
-	Observer Observer
-	Peers    Peers
-	Suspects Quarantine
+	Replica    *routing.Replica
+	Registry   *backends.Registry
+	Upstream   Upstream
+	Now        clock.Source
+	Log        logrus.FieldLogger
+	Observer   Observer
+	Peers      Peers
+	Quarantine Quarantine
 }
 
 // Quarantine remembers under which requests servers have ended, here and at all other
@@ -142,8 +142,8 @@
 		speed:    startSpeed,
 		outputs:  newOutputs(),
 	}
-	if r.Suspects == nil {
-		r.Suspects = noSuspects{}
+	if r.Quarantine == nil {
+		r.Quarantine = noSuspects{}
 	}
 	r.Configure(cfg)
 	return r
