--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -228,7 +228,7 @@
 			if lease.Server.ID == "a" {
 				n++
 			}
-			lease.Release(Unjudged, time.Second)
+			lease.Release(ResultInconclusive, time.Second)
 		}
 		return n
 	}
@@ -238,7 +238,7 @@
 	require.Zero(t, picked())
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, time.Second)
 	require.NotNil(t, lease, "it wants nothing of the others only")
-	lease.Release(Unjudged, time.Second)
+	lease.Release(ResultInconclusive, time.Second)
 	r.SetRemoteStatuses("vm-3", nil, time.Second)
 	require.Greater(t, picked(), 20)
 }
--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -172,7 +172,7 @@
 	e.used += g.memory
 	f.at(now+time.Second, l.Copied)
 	f.at(now+g.lasts, func() {
-		l.Release(Unjudged, now+g.lasts)
+		l.Release(ResultInconclusive, now+g.lasts)
 		f.tell(g.gateway, now+g.lasts)
 		e.used -= g.memory
 		f.admit(e, now+g.lasts)
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -182,7 +182,7 @@
 		if lease == nil {
 			return ""
 		}
-		lease.Release(Unjudged, 0)
+		lease.Release(ResultInconclusive, 0)
 		return lease.Server.FailureDomain
 	}
 	for range 20 {
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -11,8 +11,8 @@
 
 // The results.
 const (
-	// Unjudged says nothing: the caller left, or the deadline passed early.
-	Unjudged Result = iota
+	// ResultInconclusive says nothing: the caller left, or the deadline passed early.
+	ResultInconclusive Result = iota
 	// Good is a whole answer.
 	Good
 	// Full is a refusal for lack of room.
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -26,7 +26,7 @@
 	}
 	for b.Loop() {
 		if l := r.Acquire(Query{Service: svc, Tokens: 3000, Prompt: 2600, MostUsed: 0.97, MostPrompt: 3000, Draw: rng.Uint64()}, 0); l != nil {
-			l.Release(Unjudged, 0)
+			l.Release(ResultInconclusive, 0)
 		}
 	}
 }
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	l := r.Acquire(Query{Service: svc}, now)
 	require.NotNil(t, l)
-	l.Release(Unjudged, now)
+	l.Release(ResultInconclusive, now)
 	return l.Server.ID
 }
 
@@ -159,7 +159,7 @@
 	far.FailureDomain = "zone-2"
 	r.Reset([]Server{entry("a"), entry("b"), far}, 0, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b", "far"}}, 0)
-	defer lease.Release(Unjudged, 0)
+	defer lease.Release(ResultInconclusive, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
 	require.Empty(t, r.Movers("vm-1", "zone-1"))
 	leaving := entry("a")
@@ -241,7 +241,7 @@
 	r.Put(entry("a"), 0)
 	l := r.Acquire(Query{Service: svc}, 0)
 	l.Silent(0)
-	l.Release(Unjudged, 0)
+	l.Release(ResultInconclusive, 0)
 	l.Silent(0)
 	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(0), "a lease that is over says nothing more")
 	r.Acquire(Query{Service: svc}, 0).Release(Good, 0)
@@ -261,7 +261,7 @@
 			if lease == nil {
 				break
 			}
-			lease.Release(Unjudged, now)
+			lease.Release(ResultInconclusive, now)
 			ids = append(ids, lease.Server.ID)
 		}
 		return ids
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -84,7 +84,7 @@
 		time.Sleep(20 * time.Millisecond)
 		for draw := range uint64(20) {
 			l := third.registry.Acquire(backends.Query{Service: fleet.DeskService, Draw: draw}, clock.SinceBoot())
-			l.Release(backends.Unjudged, clock.SinceBoot())
+			l.Release(backends.ResultInconclusive, clock.SinceBoot())
 			if l.Server.ID == bad {
 				return false
 			}
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -58,7 +58,7 @@
 	o, err := r.send(ctx, j, lease, a)
 	if err != nil {
 		if cover != nil {
-			cover.Release(backends.Unjudged, r.Now())
+			cover.Release(backends.ResultInconclusive, r.Now())
 		}
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 // uncover gives the room of the standing copy back.
 func (o *offer) uncover(now time.Duration) {
 	if o.cover != nil {
-		o.cover.Release(backends.Unjudged, now)
+		o.cover.Release(backends.ResultInconclusive, now)
 		o.cover = nil
 	}
 }
@@ -93,7 +93,7 @@
 func missed(err error) backends.Result {
 	var refused *NotRunError
 	if errors.As(err, &refused) {
-		return backends.Unjudged
+		return backends.ResultInconclusive
 	}
 	return backends.Failed
 }
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -75,7 +75,7 @@
 	<-h.over
 	if o := h.next; o != nil {
 		o.answer.Body.Close()
-		o.lease.Release(backends.Unjudged, h.session.Now())
+		o.lease.Release(backends.ResultInconclusive, h.session.Now())
 	}
 }
 
@@ -187,6 +187,6 @@
 // adopt goes on with the answer from a copy in place of another.
 func (s *session) adopt(next, old *offer) {
 	s.job.ran--
-	old.lease.Release(backends.Unjudged, s.Now())
+	old.lease.Release(backends.ResultInconclusive, s.Now())
 	s.relocate(s.run, next)
 }
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -171,7 +171,7 @@
 			copied := w.entry(strings.TrimSuffix(sent.Backup, ":1"), modelService)
 			w.relay.Advised(copied, backends.Signals{Limited: true}, 0)
 			lease := w.registry.Acquire(backends.Query{Service: modelService, Tried: []string{sent.Server.ID}}, w.now())
-			lease.Release(backends.Unjudged, w.now())
+			lease.Release(backends.ResultInconclusive, w.now())
 		})
 	})
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -230,7 +230,7 @@
 	u.mu.Unlock()
 	if cover != nil {
 		// The engine frees it with the run.
-		cover.lease.Release(backends.Unjudged, r.Now())
+		cover.lease.Release(backends.ResultInconclusive, r.Now())
 	}
 	r.mu.Lock()
 	r.unlist(u, server)
@@ -247,7 +247,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
 	r.Upstream.Drop(ctx, c.Copy)
-	c.lease.Release(backends.Unjudged, r.Now())
+	c.lease.Release(backends.ResultInconclusive, r.Now())
 }
 
 // Evacuate moves the runs of a server that is leaving. It returns at once.
@@ -322,7 +322,7 @@
 			lease.Copied()
 			return true
 		}
-		lease.Release(backends.Unjudged, m.relay.Now())
+		lease.Release(backends.ResultInconclusive, m.relay.Now())
 		if !errors.Is(err, ErrNoRoom) {
 			return false
 		}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -59,11 +59,11 @@
 			return nil, refusal
 		}
 		if left, held := r.held(j); held {
-			lease.Release(backends.Unjudged, r.Now())
+			lease.Release(backends.ResultInconclusive, r.Now())
 			return nil, j.refuseHeld(left)
 		}
 		if j.reached > 0 && !r.repeat(j.service) {
-			lease.Release(backends.Unjudged, r.Now())
+			lease.Release(backends.ResultInconclusive, r.Now())
 			j.log.WithField("sent", j.sent).Warn("retry budget is used up")
 			return nil, r.refuse(j, ReasonNoRoom)
 		}
@@ -97,7 +97,7 @@
 	}
 	j.ran++
 	if ctx.Err() != nil {
-		lease.Release(backends.Unjudged, r.Now())
+		lease.Release(backends.ResultInconclusive, r.Now())
 		return r.refuse(j, ReasonDeadline)
 	}
 	r.Observer.Attempt(j.service, "lost")
@@ -131,7 +131,7 @@
 	case RefusedEnded:
 		return backends.Ended
 	}
-	return backends.Unjudged
+	return backends.ResultInconclusive
 }
 
 // mayRepeat reports whether the request may run once more.
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -50,7 +50,7 @@
 			return r.deliver(w, out)
 		}
 		if ctx.Err() != nil {
-			o.lease.Release(backends.Unjudged, r.Now())
+			o.lease.Release(backends.ResultInconclusive, r.Now())
 			return r.giveUp(ctx, j, *r.refuse(j, ReasonDeadline), out)
 		}
 		if err != nil {
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -76,12 +76,12 @@
 		return nil
 	}
 	if _, held := r.convicted(j); held || !r.repeat(j.service) {
-		lease.Release(backends.Unjudged, r.Now())
+		lease.Release(backends.ResultInconclusive, r.Now())
 		return nil
 	}
 	second, err := r.startAttempt(ctx, j, lease, &Attempt{})
 	if err != nil {
-		lease.Release(backends.Unjudged, r.Now())
+		lease.Release(backends.ResultInconclusive, r.Now())
 		return nil
 	}
 	j.log.WithField("server", first.Server.ID).WithField("to", lease.Server.ID).Info("silent request goes to a second server as well")
@@ -93,7 +93,7 @@
 	j.ran++
 	j.tried = append(j.tried, slow.Server.ID)
 	slow.cut()
-	result := backends.Unjudged
+	result := backends.ResultInconclusive
 	if r.Now()-slow.Begun >= j.route.Target {
 		result = backends.Lost
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -84,7 +84,7 @@
 		}
 		if ctx.Err() != nil || errors.Is(err, errCaller) {
 			h.discard()
-			o.lease.Release(backends.Unjudged, s.Now())
+			o.lease.Release(backends.ResultInconclusive, s.Now())
 			return s.cutOff(ctx, err)
 		}
 		if hedged := h.await(); hedged != nil {
@@ -195,7 +195,7 @@
 	log := j.log.WithField("server", o.lease.Server.ID).WithField("after", s.seq.after()).WithField("content", j.id().String())
 	s.broke(ctx, j, o.lease.Server)
 	if _, held := s.held(j); held {
-		o.lease.Release(backends.Unjudged, s.Now())
+		o.lease.Release(backends.ResultInconclusive, s.Now())
 		log.WithError(cause).Warn("stream broke and must not go on: servers end under it")
 		s.Observer.Moved("lost")
 		return nil
