--- a/backends/registry.go
+++ b/backends/registry.go
@@ -325,7 +325,7 @@
 	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MostUsed, MaxPromptPending: q.MostPrompt, Within: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
 	divided := cells.Divided(len(views), r.count)
 	if divided {
-		req.Own = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
+		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
 	if q.MostOfAll > 0 && placement.MemoryUtilization(req, views) > q.MostOfAll {
 		return nil
@@ -344,7 +344,7 @@
 	}
 	i := policy.BestOf(draws, req, views, q.Draw)
 	if i < 0 && divided && q.Spill {
-		req.Own = nil
+		req.IsCandidate = nil
 		i = policy.BestOf(draws, req, views, q.Draw)
 	}
 	if i < 0 {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -72,8 +72,8 @@
 	CopySpeed float64
 	// Within drops servers of other failure domains.
 	Within bool
-	// Own bounds the choice to some servers, by their index; nil for all.
-	Own func(i int) bool
+	// IsCandidate bounds the choice to some servers, by their index; nil for all.
+	IsCandidate func(i int) bool
 	// IsOwnTurn tells whose turn it is at a server, nil where there are no turns. Yield is
 	// the number of servers that are left to others.
 	IsOwnTurn func(server string) bool
@@ -170,7 +170,7 @@
 func (p Policy) able(r *Request, servers []Server, mine []int) (int, []int) {
 	n := 0
 	for i := range servers {
-		if r.Own != nil && !r.Own(i) || !p.passes(r, &servers[i]) {
+		if r.IsCandidate != nil && !r.IsCandidate(i) || !p.passes(r, &servers[i]) {
 			continue
 		}
 		n++
--- a/placement/scorers.go
+++ b/placement/scorers.go
@@ -82,7 +82,7 @@
 func MemoryUtilization(r *Request, servers []Server) float64 {
 	used, total := 0.0, 0.0
 	for i := range servers {
-		if s := &servers[i]; !s.Leaving && !s.Cordoned && (r.Own == nil || r.Own(i)) {
+		if s := &servers[i]; !s.Leaving && !s.Cordoned && (r.IsCandidate == nil || r.IsCandidate(i)) {
 			used += float64(s.MemoryForecast)
 			total += float64(s.MemoryTotal)
 		}
