--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -38,8 +38,8 @@
 	OrphanGracePeriod time.Duration
 	// Retain is how long a finished generation can still be read.
 	Retain time.Duration
-	// EngineGrace is how long a lost engine is waited for.
-	EngineGrace time.Duration
+	// EngineGracePeriod is how long a lost engine is waited for.
+	EngineGracePeriod time.Duration
 	// TickEvery is the period of scheduling decisions.
 	TickEvery time.Duration
 	Workers   int
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -152,7 +152,7 @@
 // arrived if the engine continues generations. It never starts over behind
 // tokens that a caller may have: that would splice two generations.
 func (a *Agent) recoverStream(ctx context.Context, g *generation, attempt uint32, cause error) (uint32, engine.Stream, error) {
-	deadline := time.Now().Add(a.cfg.EngineGrace)
+	deadline := time.Now().Add(a.cfg.EngineGracePeriod)
 	for backoff := firstBackoff; time.Now().Before(deadline); backoff = min(2*backoff, maxBackoff) {
 		src, err := a.engine.Attach(ctx, g.id, g.buf.NextIndex())
 		if err == nil {
