--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -130,8 +130,8 @@
 	return s.book.NearThreshold(id)
 }
 
-// Ended implements relay.Suspects.
-func (s *suspects) Ended(server backends.Server, ran []quarantine.ID) {
+// Crashed implements relay.Suspects.
+func (s *suspects) Crashed(server backends.Server, ran []quarantine.ID) {
 	now, known := s.group.role.now()
 	if !known {
 		s.log.WithField("server", server.ID).Warn("end of a server is not counted, the store's clock is not known")
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -179,7 +179,7 @@
 	for _, b := range ran {
 		ids = append(ids, b.id)
 	}
-	r.Quarantine.Ended(q.server, ids)
+	r.Quarantine.Crashed(q.server, ids)
 }
 
 // named says which requests ran on a server.
@@ -264,5 +264,5 @@
 func (noSuspects) Due(quarantine.ID) bool                   { return false }
 func (noSuspects) Try(quarantine.ID) bool                   { return false }
 func (noSuspects) Near(quarantine.ID) bool                  { return false }
-func (noSuspects) Ended(backends.Server, []quarantine.ID)   {}
+func (noSuspects) Crashed(backends.Server, []quarantine.ID) {}
 func (noSuspects) Answered(quarantine.ID)                   {}
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -165,7 +165,7 @@
 	return l.book.NearThreshold(id)
 }
 
-func (l *ledger) Ended(s backends.Server, ran []quarantine.ID) {
+func (l *ledger) Crashed(s backends.Server, ran []quarantine.ID) {
 	l.mu.Lock()
 	c := l.book.Crashed(cells.Hash(s.ID), l.now(), ran)
 	l.mu.Unlock()
@@ -279,7 +279,7 @@
 		r := request("/plan/a")
 		popular := quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)
 		for _, id := range []string{"x1", "x2", "x3"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{popular, quarantine.NewID("team-1", r.Method, r.Host, "/plan/harmful", nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{popular, quarantine.NewID("team-1", r.Method, r.Host, "/plan/harmful", nil)})
 		}
 		time.Sleep(quarantine.Default().TrialAfter)
 		c := w.serve(request("/plan/a"))
@@ -325,7 +325,7 @@
 		answers.write(event(1))
 		begun := time.Now()
 		for _, id := range []string{"x1", "x2", "x3"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", first.Method, first.Host, first.Target, nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", first.Method, first.Host, first.Target, nil)})
 		}
 		synctest.Wait()
 		require.NotNil(t, got[0])
@@ -351,7 +351,7 @@
 		w.harmful("/plan/a")
 		r := request("/plan/a")
 		for _, id := range []string{"x1", "x2"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)})
 		}
 		c := w.serve(r)
 		require.NotEmpty(t, w.up.sent[0].Backup, "there is a copy")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -68,8 +68,8 @@
 	Try(id quarantine.ID) bool
 	// Near reports whether a request would be held if one more server ended under it.
 	Near(id quarantine.ID) bool
-	// Ended is told of a server that has ended, and of the requests that ran there.
-	Ended(s backends.Server, ran []quarantine.ID)
+	// Crashed is told of a server that has ended, and of the requests that ran there.
+	Crashed(s backends.Server, ran []quarantine.ID)
 	// Answered is told of a request that a server has answered whole.
 	Answered(id quarantine.ID)
 }
