--- a/backends/lease.go
+++ b/backends/lease.go
@@ -23,8 +23,8 @@
 	Lost
 	// Unreachable is a server that could not be connected to.
 	Unreachable
-	// Ended is a server that listens no more.
-	Ended
+	// ResultDown is a server that listens no more.
+	ResultDown
 )
 
 // Reservation counts a request at a server. Done ends it.
@@ -129,7 +129,7 @@
 	case Unreachable:
 		s.judge(1, healthGain, now)
 		s.avoidUntil = max(s.avoidUntil, now+lostFor)
-	case Ended:
+	case ResultDown:
 		s.end(now)
 	}
 	if s.gone && s.own.Running == 0 {
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -273,7 +273,7 @@
 	require.Len(t, picked(0), 2, "an earlier life")
 	r.SetRemoteStatuses("vm-2", nil, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-	lease.Release(Ended, 0)
+	lease.Release(ResultDown, 0)
 	require.Equal(t, []string{"b"}, picked(lostFor-1))
 	require.Equal(t, map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, r.Statuses(lostFor-1))
 	require.Len(t, picked(lostFor), 2, "asked again")
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -129,7 +129,7 @@
 	case RefusedUnreachable:
 		return backends.Unreachable
 	case RefusedEnded:
-		return backends.Ended
+		return backends.ResultDown
 	}
 	return backends.ResultInconclusive
 }
