--- a/backends/registry.go
+++ b/backends/registry.go
@@ -322,7 +322,7 @@
 	if near == "" {
 		near = r.domain
 	}
-	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MostUsed, MaxPromptPending: q.MostPrompt, Within: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
+	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MostUsed, MaxPromptPending: q.MostPrompt, SameDomainOnly: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
 	divided := cells.Divided(len(views), r.count)
 	if divided {
 		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
--- a/placement/filters.go
+++ b/placement/filters.go
@@ -38,7 +38,7 @@
 
 // InDomain drops servers of other failure domains if the request asks for that.
 func InDomain(r *Request, s *Server) bool {
-	return !r.Within || s.FailureDomain == r.FailureDomain
+	return !r.SameDomainOnly || s.FailureDomain == r.FailureDomain
 }
 
 // WithinBounds drops servers that are too busy for the request. A server that has
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -70,8 +70,8 @@
 	MaxPromptPending int
 	// CopySpeed is the tokens of memory a second that a server's link takes.
 	CopySpeed float64
-	// Within drops servers of other failure domains.
-	Within bool
+	// SameDomainOnly drops servers of other failure domains.
+	SameDomainOnly bool
 	// IsCandidate bounds the choice to some servers, by their index; nil for all.
 	IsCandidate func(i int) bool
 	// IsOwnTurn tells whose turn it is at a server, nil where there are no turns. Yield is
