--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -36,8 +36,8 @@
 	BufferBytes int
 	// OrphanGracePeriod is how long a generation runs on without a reader.
 	OrphanGracePeriod time.Duration
-	// Retain is how long a finished generation can still be read.
-	Retain time.Duration
+	// RetentionPeriod is how long a finished generation can still be read.
+	RetentionPeriod time.Duration
 	// EngineGracePeriod is how long a lost engine is waited for.
 	EngineGracePeriod time.Duration
 	// TickEvery is the period of scheduling decisions.
--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -211,7 +211,7 @@
 			g.idle, g.idleSince = true, now
 		}
 		closed := g.buf.Closed()
-		if closed && now-g.idleSince > a.cfg.Retain {
+		if closed && now-g.idleSince > a.cfg.RetentionPeriod {
 			delete(a.gens, id)
 		}
 		if !closed && now-g.idleSince > a.cfg.OrphanGracePeriod {
