--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -78,8 +78,8 @@
 // Any implements relay.Suspects.
 func (s *suspects) Any() bool { return s.any.Load() }
 
-// Held implements relay.Suspects.
-func (s *suspects) Held(id quarantine.ID) (time.Duration, bool) {
+// Quarantined implements relay.Suspects.
+func (s *suspects) Quarantined(id quarantine.ID) (time.Duration, bool) {
 	now, known := s.group.role.now()
 	if !known {
 		return 0, false
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -212,7 +212,7 @@
 	if !r.Quarantine.Any() {
 		return 0, false
 	}
-	return r.Quarantine.Held(j.id())
+	return r.Quarantine.Quarantined(j.id())
 }
 
 // barred reports whether a request is held and is not to be tried either. A trial begins
@@ -259,10 +259,10 @@
 // noSuspects knows of none.
 type noSuspects struct{}
 
-func (noSuspects) Any() bool                                { return false }
-func (noSuspects) Held(quarantine.ID) (time.Duration, bool) { return 0, false }
-func (noSuspects) Due(quarantine.ID) bool                   { return false }
-func (noSuspects) Try(quarantine.ID) bool                   { return false }
-func (noSuspects) Near(quarantine.ID) bool                  { return false }
-func (noSuspects) Crashed(backends.Server, []quarantine.ID) {}
-func (noSuspects) Answered(quarantine.ID)                   {}
+func (noSuspects) Any() bool                                       { return false }
+func (noSuspects) Quarantined(quarantine.ID) (time.Duration, bool) { return 0, false }
+func (noSuspects) Due(quarantine.ID) bool                          { return false }
+func (noSuspects) Try(quarantine.ID) bool                          { return false }
+func (noSuspects) Near(quarantine.ID) bool                         { return false }
+func (noSuspects) Crashed(backends.Server, []quarantine.ID)        {}
+func (noSuspects) Answered(quarantine.ID)                          {}
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -139,7 +139,7 @@
 	return l.book.Len() > 0
 }
 
-func (l *ledger) Held(id quarantine.ID) (time.Duration, bool) {
+func (l *ledger) Quarantined(id quarantine.ID) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.looked++
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -59,8 +59,8 @@
 type Quarantine interface {
 	// Any reports whether anything is known of any request.
 	Any() bool
-	// Held reports whether a request must not be sent to servers, and for how much longer.
-	Held(id quarantine.ID) (left time.Duration, held bool)
+	// Quarantined reports whether a request must not be sent to servers, and for how much longer.
+	Quarantined(id quarantine.ID) (left time.Duration, held bool)
 	// Due reports whether a request that is held is to be tried.
 	Due(id quarantine.ID) bool
 	// Try reports whether a request that is held may be sent to one server all the same, to
