--- a/backends/lease.go
+++ b/backends/lease.go
@@ -19,8 +19,8 @@
 	Full
 	// Failed is an error or a spoilt answer.
 	Failed
-	// Lost is a connection that broke without an answer.
-	Lost
+	// ResultLost is a connection that broke without an answer.
+	ResultLost
 	// Unreachable is a server that could not be connected to.
 	Unreachable
 	// ResultDown is a server that listens no more.
@@ -122,7 +122,7 @@
 		s.judge(0, healthGain, now)
 	case Failed:
 		s.judge(1, healthGain, now)
-	case Lost:
+	case ResultLost:
 		s.lose(now)
 	case Full:
 		s.avoidUntil = max(s.avoidUntil, now+fullFor)
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -97,7 +97,7 @@
 func TestLostConnectionsWeighMore(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(Lost, 0)
+	r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(ResultLost, 0)
 	for range 3 {
 		defer r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0).Release(Good, 0)
 	}
@@ -186,7 +186,7 @@
 	require.Equal(t, "b", r.pick(t, lossesFor-1))
 	require.Equal(t, "a", r.pick(t, lossesFor))
 	l := r.Acquire(Query{Service: svc}, lossesFor)
-	l.Release(Lost, lossesFor)
+	l.Release(ResultLost, lossesFor)
 	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(lossesFor))
 	require.Equal(t, "b", r.pick(t, lossesFor))
 	require.Empty(t, r.Statuses(2*lossesFor))
@@ -228,7 +228,7 @@
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
 	for range 2 {
-		r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(Lost, 0)
+		r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(ResultLost, 0)
 	}
 	require.Equal(t, "b", r.pick(t, 0))
 	require.Equal(t, "a", r.pick(t, lossesFor+2*healthHalfLife))
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -21,7 +21,7 @@
 	r, notices := newRegistry()
 	r.Reset([]Server{bornAt("a", 100)}, 0, 0)
 	for range 3 {
-		r.Acquire(Query{Service: svc}, 0).Release(Lost, 0)
+		r.Acquire(Query{Service: svc}, 0).Release(ResultLost, 0)
 	}
 	held := r.Acquire(Query{Service: svc, Tokens: 20000, Prompt: 9000}, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, StartTime: 100}})
@@ -36,7 +36,7 @@
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
 	require.Equal(t, Load{}, lease.Load)
 	require.Empty(t, r.Statuses(0))
-	held.Release(Lost, 0)
+	held.Release(ResultLost, 0)
 	require.Empty(t, r.Statuses(0), "a request of the earlier life that ends late says nothing of this one")
 	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 9000, Prompt: 3000, StartTime: 200}}, r.Loads())
 }
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -101,7 +101,7 @@
 		return r.refuse(j, ReasonDeadline)
 	}
 	r.Observer.Attempt(j.service, "lost")
-	lease.Release(backends.Lost, r.Now())
+	lease.Release(backends.ResultLost, r.Now())
 	r.Peers.Nudge()
 	r.broke(ctx, j, lease.Server)
 	if !j.mayRepeat() {
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -95,7 +95,7 @@
 	slow.cut()
 	result := backends.ResultInconclusive
 	if r.Now()-slow.Begun >= j.route.Target {
-		result = backends.Lost
+		result = backends.ResultLost
 	}
 	slow.lease.Release(result, r.Now())
 	go func() {
