--- a/backends/registry.go
+++ b/backends/registry.go
@@ -105,7 +105,7 @@
 func New(domain string, traits func(service string) Traits, leaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
 		domain: domain, traits: traits, leaving: leaving,
-		policy: placement.Direct(), copies: placement.Copies(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
+		policy: placement.Direct(), copies: placement.CopyTarget(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
 		lists: make(map[string][]*server),
 	}
 }
--- a/placement/direct_test.go
+++ b/placement/direct_test.go
@@ -15,9 +15,9 @@
 	}
 	r := &Request{FailureDomain: "z1", Tokens: 10}
 	require.Equal(t, 0, Direct().BestOf(2, r, servers, 1))
-	require.Equal(t, 1, Copies().BestOf(2, r, servers, 1))
+	require.Equal(t, 1, CopyTarget().BestOf(2, r, servers, 1))
 	servers[1].MemoryForecast = 95
-	require.Equal(t, 0, Copies().BestOf(2, r, servers, 1))
+	require.Equal(t, 0, CopyTarget().BestOf(2, r, servers, 1))
 }
 
 // Every request must not go to the first of equal servers: each entry starts
@@ -65,6 +65,6 @@
 		{Name: "fuller", FailureDomain: "z2", MemoryTotal: 20000, MemoryForecast: 15000},
 	}
 	r := &Request{FailureDomain: "z1", Tokens: 3000, CopySpeed: 18000}
-	require.Equal(t, 1, Copies().BestOf(2, r, servers, 1))
+	require.Equal(t, 1, CopyTarget().BestOf(2, r, servers, 1))
 	require.Equal(t, 0, Direct().BestOf(2, r, servers, 1))
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -123,12 +123,12 @@
 	}
 }
 
-// Copies is the policy for the target of a copy of a run's memory. A copy across
+// CopyTarget is the policy for the target of a copy of a run's memory. A copy across
 // failure domains takes twice as long, and a server that leaves gives little
-// time: another domain is taken only where the own one has no room. Copies to one
+// time: another domain is taken only where the own one has no room. CopyTarget to one
 // server go one after the other, so one that others copy to already loses against a
 // fuller one.
-func Copies() Policy {
+func CopyTarget() Policy {
 	p := Direct()
 	p.Scorers = append(p.Scorers, Scorer{Weight: 0.6, Score: SameDomain}, Scorer{Weight: 1.5, Score: CopyWait})
 	return p
