--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,10 +40,10 @@
 	RetentionPeriod time.Duration
 	// EngineGracePeriod is how long a lost engine is waited for.
 	EngineGracePeriod time.Duration
-	// TickEvery is the period of scheduling decisions.
-	TickEvery time.Duration
-	Workers   int
-	Policy    sched.Config
+	// TickInterval is the period of scheduling decisions.
+	TickInterval time.Duration
+	Workers      int
+	Policy       sched.Config
 	// Services are the names of the plain services behind this agent.
 	Services []string
 }
@@ -172,7 +172,7 @@
 }
 
 func (a *Agent) tick() {
-	t := time.NewTicker(a.cfg.TickEvery)
+	t := time.NewTicker(a.cfg.TickInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -77,7 +77,7 @@
 			return agent.New(agent.Config{
 				Identity: o.Identity(), BytesPerToken: o.BytesPerToken, BufferBytes: o.BufferBytes,
 				OrphanGracePeriod: o.OrphanGrace, RetentionPeriod: o.Retain, EngineGracePeriod: o.EngineGrace,
-				TickEvery: agentTick, Workers: agentWorkers, Policy: o.Policy, Services: o.Services,
+				TickInterval: agentTick, Workers: agentWorkers, Policy: o.Policy, Services: o.Services,
 			}, agent.Deps{Engine: b.Engine, Service: b.Service, Sync: s, Fence: fence, Log: log, Observer: rec})
 		},
 	})
