--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -123,8 +123,8 @@
 	return s.book.QuarantinedCount()
 }
 
-// Near implements relay.Suspects.
-func (s *suspects) Near(id quarantine.ID) bool {
+// NearThreshold implements relay.Suspects.
+func (s *suspects) NearThreshold(id quarantine.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.NearThreshold(id)
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -77,7 +77,7 @@
 	j.broken, j.trial = true, false
 	id := j.id()
 	over := r.inquire(s, broken{id: id, attempt: j.ID, events: j.progress.events, try: j.sent})
-	if !r.Quarantine.Near(id) {
+	if !r.Quarantine.NearThreshold(id) {
 		return
 	}
 	t := time.NewTimer(endPatience)
@@ -263,6 +263,6 @@
 func (noSuspects) Quarantined(quarantine.ID) (time.Duration, bool) { return 0, false }
 func (noSuspects) Due(quarantine.ID) bool                          { return false }
 func (noSuspects) Try(quarantine.ID) bool                          { return false }
-func (noSuspects) Near(quarantine.ID) bool                         { return false }
+func (noSuspects) NearThreshold(quarantine.ID) bool                { return false }
 func (noSuspects) Crashed(backends.Server, []quarantine.ID)        {}
 func (noSuspects) Answered(quarantine.ID)                          {}
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -159,7 +159,7 @@
 	return tried
 }
 
-func (l *ledger) Near(id quarantine.ID) bool {
+func (l *ledger) NearThreshold(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.book.NearThreshold(id)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -66,8 +66,8 @@
 	// Try reports whether a request that is held may be sent to one server all the same, to
 	// see whether it is harmful. It says so once.
 	Try(id quarantine.ID) bool
-	// Near reports whether a request would be held if one more server ended under it.
-	Near(id quarantine.ID) bool
+	// NearThreshold reports whether a request would be held if one more server ended under it.
+	NearThreshold(id quarantine.ID) bool
 	// Crashed is told of a server that has ended, and of the requests that ran there.
 	Crashed(s backends.Server, ran []quarantine.ID)
 	// Answered is told of a request that a server has answered whole.
