--- a/backends/lease.go
+++ b/backends/lease.go
@@ -17,8 +17,8 @@
 	Good
 	// Full is a refusal for lack of room.
 	Full
-	// Failed is an error or a spoilt answer.
-	Failed
+	// ResultFailed is an error or a spoilt answer.
+	ResultFailed
 	// ResultLost is a connection that broke without an answer.
 	ResultLost
 	// Unreachable is a server that could not be connected to.
@@ -120,7 +120,7 @@
 	case Good:
 		s.lost = 0
 		s.judge(0, healthGain, now)
-	case Failed:
+	case ResultFailed:
 		s.judge(1, healthGain, now)
 	case ResultLost:
 		s.lose(now)
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -81,7 +81,7 @@
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 5 {
 		l := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-		l.Release(Failed, 0)
+		l.Release(ResultFailed, 0)
 	}
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -95,5 +95,5 @@
 	if errors.As(err, &refused) {
 		return backends.ResultInconclusive
 	}
-	return backends.Failed
+	return backends.ResultFailed
 }
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -36,7 +36,7 @@
 		if err == nil && w.proper() {
 			r.Observer.FirstByte(j.team, j.service, j.route.Kind, r.Now()-j.arrived)
 			if w.failed() {
-				o.lease.Release(backends.Failed, r.Now())
+				o.lease.Release(backends.ResultFailed, r.Now())
 				if j.mayRepeat() && !w.more {
 					r.Observer.Attempt(j.service, "server error")
 					j.tried = append(j.tried, o.lease.Server.ID)
@@ -57,7 +57,7 @@
 			r.broke(ctx, j, o.lease.Server)
 		}
 		r.Observer.Attempt(j.service, "spoilt")
-		o.lease.Release(backends.Failed, r.Now())
+		o.lease.Release(backends.ResultFailed, r.Now())
 		j.tried = append(j.tried, o.lease.Server.ID)
 		j.log.WithError(err).WithField("server", o.lease.Server.ID).WithField("status", o.answer.Status).Warn("answer is spoilt")
 		if !j.mayRepeat() {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -35,7 +35,7 @@
 			r.broke(ctx, j, o.lease.Server)
 		}
 		o.uncover(r.Now())
-		o.lease.Release(backends.Failed, r.Now())
+		o.lease.Release(backends.ResultFailed, r.Now())
 		j.tried = append(j.tried, o.lease.Server.ID)
 		if !j.mayRepeat() {
 			if err == nil && w.proper() && w.Status >= 300 {
@@ -205,7 +205,7 @@
 		s.Observer.Moved("resumed")
 		return next
 	}
-	o.lease.Release(backends.Failed, s.Now())
+	o.lease.Release(backends.ResultFailed, s.Now())
 	if ctx.Err() != nil || !j.mayRepeat() {
 		log.WithError(cause).Warn("stream broke and cannot go on")
 		s.Observer.Moved("lost")
@@ -218,7 +218,7 @@
 		log.WithError(cause).Warn("stream broke and no server goes on")
 		if refusal == nil {
 			next.answer.Body.Close()
-			next.lease.Release(backends.Failed, s.Now())
+			next.lease.Release(backends.ResultFailed, s.Now())
 		}
 		return nil
 	}
