--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -28,7 +28,7 @@
 		// bounds the lines.
 		log.WithField("failures", f.failures).Info("store is still lost")
 	}
-	pause := backoff.After(f.failures, rand.Float64())
+	pause := backoff.Delay(f.failures, rand.Float64())
 	f.failures++
 	f.mu.Unlock()
 	wait.For(ctx, pause)
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -65,7 +65,7 @@
 			return
 		}
 		g.log.WithError(err).WithField("try", tries+1).Warn("cannot join the gateways yet")
-		wait.For(ctx, joinBackoff.After(tries, rand.Float64()))
+		wait.For(ctx, joinBackoff.Delay(tries, rand.Float64()))
 	}
 }
 
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -198,7 +198,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.schedule(r.ID, joinBackoff.After(s.tries, rand.Float64()))
+		s.schedule(r.ID, joinBackoff.Delay(s.tries, rand.Float64()))
 		s.tries++
 		return err
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -174,7 +174,7 @@
 		}
 		l.swap(nil)
 		l.m.log.WithField("peer", l.peer.Name).WithError(err).Debug("peer not reached")
-		wait.For(ctx, backoff.After(failures, rand.Float64()))
+		wait.For(ctx, backoff.Delay(failures, rand.Float64()))
 		failures++
 	}
 	l.mu.Lock()
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -29,7 +29,7 @@
 			m.forget(n)
 			return
 		}
-		wait.For(ctx, redial.After(tries, rand.Float64()))
+		wait.For(ctx, redial.Delay(tries, rand.Float64()))
 	}
 }
 
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -42,9 +42,9 @@
 	Base, Max time.Duration
 }
 
-// After returns the wait before try n (from 0); random is in [0, 1) and spreads
+// Delay returns the wait before try n (from 0); random is in [0, 1) and spreads
 // the waits over their upper half.
-func (b Backoff) After(n int, random float64) time.Duration {
+func (b Backoff) Delay(n int, random float64) time.Duration {
 	const maxShift = 20
 	d := min(b.Max, b.Base<<min(n, maxShift))
 	return d/2 + time.Duration(random*float64(d/2))
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -24,7 +24,7 @@
 
 func TestBackoffGrowsToItsBound(t *testing.T) {
 	b := Backoff{Base: 100 * time.Millisecond, Max: time.Second}
-	require.Equal(t, 50*time.Millisecond, b.After(0, 0))
-	require.Equal(t, 200*time.Millisecond, b.After(1, 1))
-	require.Equal(t, time.Second, b.After(60, 1))
+	require.Equal(t, 50*time.Millisecond, b.Delay(0, 0))
+	require.Equal(t, 200*time.Millisecond, b.Delay(1, 1))
+	require.Equal(t, time.Second, b.Delay(60, 1))
 }
