--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -216,7 +216,7 @@
 		w.relay.Advised(s, backends.Signals{Limited: true, Limit: 4}, 0)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if a.Server.ID == "full" {
-				return nil, &NotRunError{Why: RefusedFull}
+				return nil, &NotRunError{Reason: RefusedFull}
 			}
 			return answer(200, "ok"), nil
 		}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -84,10 +84,10 @@
 	j.tried = append(j.tried, id)
 	var refused *NotRunError
 	if errors.As(err, &refused) {
-		r.Observer.Attempt(j.service, string(refused.Why))
-		lease.Release(resultOf(refused.Why), r.Now())
-		r.unreached(j, refused.Why)
-		if refused.Why == RefusedReplaced {
+		r.Observer.Attempt(j.service, string(refused.Reason))
+		lease.Release(resultOf(refused.Reason), r.Now())
+		r.unreached(j, refused.Reason)
+		if refused.Reason == RefusedReplaced {
 			r.Registry.MarkReplaced(lease.Server)
 		}
 		if ctx.Err() != nil || j.left() < leastLeft {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -27,7 +27,7 @@
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if first == "" {
 				first = a.Server.ID
-				return nil, &NotRunError{Why: RefusedFull}
+				return nil, &NotRunError{Reason: RefusedFull}
 			}
 			require.NotEqual(t, first, a.Server.ID)
 			return answer(200, "ok"), nil
@@ -65,7 +65,7 @@
 			if tries == 1 {
 				return nil, errReset
 			}
-			return nil, &NotRunError{Why: RefusedFull}
+			return nil, &NotRunError{Reason: RefusedFull}
 		}
 		c := w.serve(request("/safe/x"))
 		require.True(t, c.refusal.Run)
@@ -122,7 +122,7 @@
 		for _, id := range []string{"a", "b", "c", "d"} {
 			w.server(id, deskService)
 		}
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Why: RefusedFull} }
+		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Reason: RefusedFull} }
 		const requests = 100
 		for range requests {
 			c := w.serve(request("/once/x"))
@@ -228,7 +228,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Why: RefusedReplaced} }
+		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Reason: RefusedReplaced} }
 		w.serve(request("/once/x"))
 		listed, _ := w.registry.State(backends.Server{ID: "a"})
 		require.False(t, listed)
@@ -272,7 +272,7 @@
 			w.server("sound", deskService)
 			w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 				if a.Server.ID != "sound" {
-					return nil, &NotRunError{Why: why}
+					return nil, &NotRunError{Reason: why}
 				}
 				return answer(200, "ok"), nil
 			}
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -98,7 +98,7 @@
 
 // NotRunError says that a server certainly did not and will not run a request.
 type NotRunError struct {
-	Why    RefusedWhy
+	Reason RefusedWhy
 	Detail string
 }
 
@@ -122,7 +122,7 @@
 )
 
 // Error implements error.
-func (r *NotRunError) Error() string { return fmt.Sprintf("not run, %s: %s", r.Why, r.Detail) }
+func (r *NotRunError) Error() string { return fmt.Sprintf("not run, %s: %s", r.Reason, r.Detail) }
 
 // Errors of an upstream; all others leave unknown whether a request has run.
 var (
