--- a/backends/lease.go
+++ b/backends/lease.go
@@ -15,8 +15,8 @@
 	ResultInconclusive Result = iota
 	// Good is a whole answer.
 	Good
-	// Full is a refusal for lack of room.
-	Full
+	// ResultFull is a refusal for lack of room.
+	ResultFull
 	// ResultFailed is an error or a spoilt answer.
 	ResultFailed
 	// ResultLost is a connection that broke without an answer.
@@ -124,7 +124,7 @@
 		s.judge(1, healthGain, now)
 	case ResultLost:
 		s.lose(now)
-	case Full:
+	case ResultFull:
 		s.avoidUntil = max(s.avoidUntil, now+fullFor)
 	case Unreachable:
 		s.judge(1, healthGain, now)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -125,7 +125,7 @@
 func resultOf(why RefusedWhy) backends.Result {
 	switch why {
 	case RefusedFull:
-		return backends.Full
+		return backends.ResultFull
 	case RefusedUnreachable:
 		return backends.Unreachable
 	case RefusedEnded:
