--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -113,7 +113,7 @@
 // unreached takes back what an attempt counts for that never arrived at a server. Callers
 // would be refused for a budget that protects servers which are not there. Others are told of
 // a server that has ended: each would find out by attempts of its own.
-func (r *Relay) unreached(j *job, why RefusedWhy) {
+func (r *Relay) unreached(j *job, why NotRunReason) {
 	if why == RefusedUnreachable || why == RefusedEnded {
 		j.reached--
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func resultOf(why RefusedWhy) backends.Result {
+func resultOf(why NotRunReason) backends.Result {
 	switch why {
 	case RefusedFull:
 		return backends.ResultFull
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -98,27 +98,27 @@
 
 // NotRunError says that a server certainly did not and will not run a request.
 type NotRunError struct {
-	Reason RefusedWhy
+	Reason NotRunReason
 	Detail string
 }
 
-// RefusedWhy is why a server did not run a request.
-type RefusedWhy string
+// NotRunReason is why a server did not run a request.
+type NotRunReason string
 
 // The reasons of servers.
 const (
 	// RefusedFull is a server without room.
-	RefusedFull RefusedWhy = "full"
+	RefusedFull NotRunReason = "full"
 	// RefusedReplaced is another server at the address.
-	RefusedReplaced RefusedWhy = "replaced"
+	RefusedReplaced NotRunReason = "replaced"
 	// RefusedUnreachable is a server that nothing could be sent to.
-	RefusedUnreachable RefusedWhy = "unreachable"
+	RefusedUnreachable NotRunReason = "unreachable"
 	// RefusedEnded is a server that does not listen at its address any more.
-	RefusedEnded RefusedWhy = "ended"
+	RefusedEnded NotRunReason = "ended"
 	// RefusedBarred is a server that the request must not be sent to: its failure domain is
 	// cordoned or outside the request's regions, it is leaving or rests, or it takes no more
 	// now.
-	RefusedBarred RefusedWhy = "barred"
+	RefusedBarred NotRunReason = "barred"
 )
 
 // Error implements error.
