--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -207,7 +207,7 @@
 	require.Nil(t, r.Acquire(Query{Service: svc, Copy: true}, 3900*time.Millisecond))
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
-	lease.Release(Good, 4*time.Second)
+	lease.Release(ResultOK, 4*time.Second)
 	r.ApplySignals(s, Signals{Rest: MostRest}, 0, 5*time.Second)
 	again := s
 	again.StartTime = 2
--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -203,7 +203,7 @@
 			f.tell(g.gateway, first)
 		})
 		f.at(first+g.lasts, func() {
-			g.lease.Release(Good, first+g.lasts)
+			g.lease.Release(ResultOK, first+g.lasts)
 			f.tell(g.gateway, first+g.lasts)
 			e.used -= g.memory
 			f.admit(e, first+g.lasts)
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -66,7 +66,7 @@
 			}
 			served++
 			c.got[lease.Server.ID] = append(c.got[lease.Server.ID], now)
-			lease.Release(Good, now)
+			lease.Release(ResultOK, now)
 		}
 	}
 	return served
@@ -217,7 +217,7 @@
 				for b.Loop() {
 					now += time.Millisecond
 					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), Clock: pacing.SharedTime{Now: now, Known: true}}, now); l != nil {
-						l.Release(Good, now)
+						l.Release(ResultOK, now)
 					}
 				}
 			})
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -13,8 +13,8 @@
 const (
 	// ResultInconclusive says nothing: the caller left, or the deadline passed early.
 	ResultInconclusive Result = iota
-	// Good is a whole answer.
-	Good
+	// ResultOK is a whole answer.
+	ResultOK
 	// ResultFull is a refusal for lack of room.
 	ResultFull
 	// ResultFailed is an error or a spoilt answer.
@@ -117,7 +117,7 @@
 	s.own = s.own.minus(l.part)
 	l.part = Load{}
 	switch result {
-	case Good:
+	case ResultOK:
 		s.lost = 0
 		s.judge(0, healthGain, now)
 	case ResultFailed:
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -88,7 +88,7 @@
 	}
 	now := 10 * healthHalfLife
 	busy := r.Acquire(Query{Service: svc, Tried: []string{"a"}}, now)
-	defer busy.Release(Good, now)
+	defer busy.Release(ResultOK, now)
 	require.Equal(t, "a", r.pick(t, now))
 }
 
@@ -99,7 +99,7 @@
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
 	r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(ResultLost, 0)
 	for range 3 {
-		defer r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0).Release(Good, 0)
+		defer r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0).Release(ResultOK, 0)
 	}
 	require.Equal(t, "b", r.pick(t, 0))
 }
@@ -116,7 +116,7 @@
 	r.SetRemote("other", nil)
 	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MostPrompt: 1000}, 0)
 	require.NotNil(t, l)
-	l.Release(Good, 0)
+	l.Release(ResultOK, 0)
 }
 
 // A lease counts until it is done, its prompt until the answer begins, and every
@@ -129,8 +129,8 @@
 	l.Begun()
 	l.Begun()
 	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 5000}}, r.Loads())
-	l.Release(Good, 0)
-	l.Release(Good, 0)
+	l.Release(ResultOK, 0)
+	l.Release(ResultOK, 0)
 	require.Empty(t, r.Loads())
 }
 
@@ -147,7 +147,7 @@
 	r.Reset(list, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Acquire(Query{Service: svc, Tokens: 4000, Prompt: 3000, Draw: 7}, 0).Release(Good, 0)
+		r.Acquire(Query{Service: svc, Tokens: 4000, Prompt: 3000, Draw: 7}, 0).Release(ResultOK, 0)
 	}
 }
 
@@ -244,7 +244,7 @@
 	l.Release(ResultInconclusive, 0)
 	l.Silent(0)
 	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(0), "a lease that is over says nothing more")
-	r.Acquire(Query{Service: svc}, 0).Release(Good, 0)
+	r.Acquire(Query{Service: svc}, 0).Release(ResultOK, 0)
 	require.Empty(t, r.Statuses(0))
 }
 
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -74,14 +74,14 @@
 	require.Zero(t, r.Ready(svc))
 	r.Put(entry("a"), 0)
 	require.Equal(t, 1, r.Ready(svc))
-	held.Release(Good, 0)
+	held.Release(ResultOK, 0)
 	require.Equal(t, "a", r.pick(t, 0))
 
 	held = r.Acquire(Query{Service: svc}, 0)
 	r.MarkReplaced(entry("a"))
 	r.Put(entry("a"), 0)
 	require.Zero(t, r.Ready(svc), "another server is at its address")
-	held.Release(Good, 0)
+	held.Release(ResultOK, 0)
 }
 
 // Another writer spoils the entry of a server in use: it gets no more requests until a
@@ -90,7 +90,7 @@
 	r, notices := newRegistry()
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
 	held := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-	defer held.Release(Good, 0)
+	defer held.Release(ResultOK, 0)
 	r.Put(Server{ID: "a", Unreadable: true}, 0)
 	r.Put(Server{ID: "never heard of", Unreadable: true}, 0)
 	require.Equal(t, 1, r.Ready(svc))
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -44,7 +44,7 @@
 					continue
 				}
 			} else {
-				o.lease.Release(backends.Good, r.Now())
+				o.lease.Release(backends.ResultOK, r.Now())
 				r.answered(j)
 			}
 			return r.deliver(w, out)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -77,7 +77,7 @@
 		o.answer.Body.Close()
 		if err == nil {
 			h.discard()
-			o.lease.Release(backends.Good, s.Now())
+			o.lease.Release(backends.ResultOK, s.Now())
 			s.answered(s.job)
 			s.learn()
 			return s.end(first)
