--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -27,7 +27,7 @@
 // Baselines are the three simple policies.
 func Baselines() []Contender {
 	return []Contender{
-		{Name: "B0 first-come", New: func(e Engine) sched.Policy { return sched.NewFirstCome(e.Memory, maxBatch, maxWait) }},
+		{Name: "B0 first-come", New: func(e Engine) sched.Policy { return sched.NewFIFO(e.Memory, maxBatch, maxWait) }},
 		{Name: "B1 round-robin", New: func(e Engine) sched.Policy { return sched.NewRoundRobin(e.Memory, maxBatch, maxWait) }},
 		{Name: "B2 reserve-max", New: func(e Engine) sched.Policy { return sched.NewReserve(e.Memory, maxBatch, maxWait, MaxTokens) }},
 	}
@@ -62,7 +62,7 @@
 func Capacity(d Deployment, e Engine, length time.Duration) float64 {
 	const estimate, overload = 1500, 3
 	load := d.Arrivals(99, length, overload*estimate)
-	return Run(e, sched.NewFirstCome(e.Memory, maxBatch, maxWait), d.Teams, load, length).Goodput()
+	return Run(e, sched.NewFIFO(e.Memory, maxBatch, maxWait), d.Teams, load, length).Goodput()
 }
 
 // Row is one policy at one load, with one result for each seed.
@@ -111,7 +111,7 @@
 	for seed := range o.Seeds {
 		only := Deployment{Name: d.Name, Teams: d.Teams[:1]}
 		arrivals := only.Arrivals(uint64(seed)+1, o.Length, capacity)
-		row.Results = append(row.Results, Run(o.Engine, sched.NewFirstCome(o.Engine.Memory, maxBatch, maxWait), only.Teams, arrivals, o.Length))
+		row.Results = append(row.Results, Run(o.Engine, sched.NewFIFO(o.Engine.Memory, maxBatch, maxWait), only.Teams, arrivals, o.Length))
 	}
 	return row
 }
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -22,21 +22,21 @@
 	stats Stats
 }
 
-// NewFirstCome admits in order of arrival while memory is free now.
-func NewFirstCome(capacity, maxBatch int, maxWait time.Duration) *Baseline {
+// NewFIFO admits in order of arrival while memory is free now.
+func NewFIFO(capacity, maxBatch int, maxWait time.Duration) *Baseline {
 	return &Baseline{capacity: capacity, maxBatch: maxBatch, maxQueue: maxWait, turn: make(map[string]int)}
 }
 
 // NewRoundRobin is NewFirstCome with one queue for each team, served in turn.
 func NewRoundRobin(capacity, maxBatch int, maxWait time.Duration) *Baseline {
-	b := NewFirstCome(capacity, maxBatch, maxWait)
+	b := NewFIFO(capacity, maxBatch, maxWait)
 	b.roundRobin = true
 	return b
 }
 
 // NewReserve is NewFirstCome with the longest output reserved for every stream.
 func NewReserve(capacity, maxBatch int, maxWait time.Duration, maxTokens int) *Baseline {
-	b := NewFirstCome(capacity, maxBatch, maxWait)
+	b := NewFIFO(capacity, maxBatch, maxWait)
 	b.reserve = maxTokens
 	return b
 }
