--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -86,7 +86,7 @@
 	}
 	p.mu.Unlock()
 	if ended {
-		return nil, &NotRunError{Reason: RefusedEnded, Detail: "connection refused"}
+		return nil, &NotRunError{Reason: NotRunDown, Detail: "connection refused"}
 	}
 	select {
 	case <-time.After(playReadTime):
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -114,10 +114,10 @@
 // would be refused for a budget that protects servers which are not there. Others are told of
 // a server that has ended: each would find out by attempts of its own.
 func (r *Relay) unreached(j *job, why NotRunReason) {
-	if why == RefusedUnreachable || why == RefusedEnded {
+	if why == RefusedUnreachable || why == NotRunDown {
 		j.reached--
 	}
-	if why == RefusedEnded {
+	if why == NotRunDown {
 		r.Peers.Nudge()
 	}
 }
@@ -128,7 +128,7 @@
 		return backends.ResultFull
 	case RefusedUnreachable:
 		return backends.Unreachable
-	case RefusedEnded:
+	case NotRunDown:
 		return backends.ResultDown
 	}
 	return backends.ResultInconclusive
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -113,8 +113,8 @@
 	RefusedReplaced NotRunReason = "replaced"
 	// RefusedUnreachable is a server that nothing could be sent to.
 	RefusedUnreachable NotRunReason = "unreachable"
-	// RefusedEnded is a server that does not listen at its address any more.
-	RefusedEnded NotRunReason = "ended"
+	// NotRunDown is a server that does not listen at its address any more.
+	NotRunDown NotRunReason = "ended"
 	// RefusedBarred is a server that the request must not be sent to: its failure domain is
 	// cordoned or outside the request's regions, it is leaving or rests, or it takes no more
 	// now.
