--- a/backends/lease.go
+++ b/backends/lease.go
@@ -21,8 +21,8 @@
 	ResultFailed
 	// ResultLost is a connection that broke without an answer.
 	ResultLost
-	// Unreachable is a server that could not be connected to.
-	Unreachable
+	// ResultUnreachable is a server that could not be connected to.
+	ResultUnreachable
 	// ResultDown is a server that listens no more.
 	ResultDown
 )
@@ -126,7 +126,7 @@
 		s.lose(now)
 	case ResultFull:
 		s.avoidUntil = max(s.avoidUntil, now+fullFor)
-	case Unreachable:
+	case ResultUnreachable:
 		s.judge(1, healthGain, now)
 		s.avoidUntil = max(s.avoidUntil, now+lostFor)
 	case ResultDown:
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -127,7 +127,7 @@
 	case RefusedFull:
 		return backends.ResultFull
 	case RefusedUnreachable:
-		return backends.Unreachable
+		return backends.ResultUnreachable
 	case NotRunDown:
 		return backends.ResultDown
 	}
