--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -253,7 +253,7 @@
 	r, _ := newRegistry()
 	const count = 2
 	var all []Server
-	for i := range cells.LeastServers * count {
+	for i := range cells.MinServersPerCell * count {
 		s := entry(fmt.Sprint("i-", i))
 		s.Leaving = cells.Of(cells.Hash(s.ID), count) == 0
 		all = append(all, s)
--- a/cells/cells.go
+++ b/cells/cells.go
@@ -16,15 +16,15 @@
 // one of them (three in ten), each can still tell all others over 32 links.
 const size = 26
 
-// LeastServers is how many servers of a service a cell must have on average for the service
+// MinServersPerCell is how many servers of a service a cell must have on average for the service
 // to be divided. With fewer, one that fails or leaves is too large a part of them.
-const LeastServers = 16
+const MinServersPerCell = 16
 
 // Count is how many cells there are for a number of processes; one up to 38.
 func Count(processes int) int { return max(1, (processes+size/2)/size) }
 
 // Divided reports whether a service with a number of servers is divided into cells.
-func Divided(servers, count int) bool { return count > 1 && servers >= LeastServers*count }
+func Divided(servers, count int) bool { return count > 1 && servers >= MinServersPerCell*count }
 
 // outsideShare divides the links into a cell to give those out of it: 6 beside 32. A cell of
 // 26 has 150 ways out then.
