--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -29,7 +29,7 @@
 	return []Contender{
 		{Name: "B0 first-come", New: func(e Engine) sched.Policy { return sched.NewFIFO(e.Memory, maxBatch, maxWait) }},
 		{Name: "B1 round-robin", New: func(e Engine) sched.Policy { return sched.NewRoundRobin(e.Memory, maxBatch, maxWait) }},
-		{Name: "B2 reserve-max", New: func(e Engine) sched.Policy { return sched.NewReserve(e.Memory, maxBatch, maxWait, MaxTokens) }},
+		{Name: "B2 reserve-max", New: func(e Engine) sched.Policy { return sched.NewReserveMaxOutput(e.Memory, maxBatch, maxWait, MaxTokens) }},
 	}
 }
 
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -34,8 +34,8 @@
 	return b
 }
 
-// NewReserve is NewFirstCome with the longest output reserved for every stream.
-func NewReserve(capacity, maxBatch int, maxWait time.Duration, maxTokens int) *Baseline {
+// NewReserveMaxOutput is NewFirstCome with the longest output reserved for every stream.
+func NewReserveMaxOutput(capacity, maxBatch int, maxWait time.Duration, maxTokens int) *Baseline {
 	b := NewFIFO(capacity, maxBatch, maxWait)
 	b.reserve = maxTokens
 	return b
