--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	if a.From != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
-		return nil, &NotRunError{Reason: RefusedBarred, Detail: "limit of " + lease.Server.ID}
+		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
 	a.Begun, a.Left = r.Now(), j.left()
@@ -69,13 +69,13 @@
 // when the copy was made that the run goes on from, may be so no more.
 func (r *Relay) look(j *job, lease *backends.Reservation, a *Attempt) error {
 	if r.Registry.IsIneligible(lease.Server, j.regions) {
-		return &NotRunError{Reason: RefusedBarred, Detail: lease.Server.FailureDomain}
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.FailureDomain}
 	}
 	if _, leaving := r.Registry.State(lease.Server); leaving && a.From == nil {
-		return &NotRunError{Reason: RefusedBarred, Detail: lease.Server.ID + " is leaving"}
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " is leaving"}
 	}
 	if r.Registry.IsBackingOff(lease.Server, r.Now()) {
-		return &NotRunError{Reason: RefusedBarred, Detail: lease.Server.ID + " rests"}
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " rests"}
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 
 func isBarred(err error) bool {
 	var refused *NotRunError
-	return errors.As(err, &refused) && refused.Reason == RefusedBarred
+	return errors.As(err, &refused) && refused.Reason == NotRunIneligible
 }
 
 // finishAttempt counts what came of an attempt.
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -115,10 +115,10 @@
 	RefusedUnreachable NotRunReason = "unreachable"
 	// NotRunDown is a server that does not listen at its address any more.
 	NotRunDown NotRunReason = "ended"
-	// RefusedBarred is a server that the request must not be sent to: its failure domain is
+	// NotRunIneligible is a server that the request must not be sent to: its failure domain is
 	// cordoned or outside the request's regions, it is leaving or rests, or it takes no more
 	// now.
-	RefusedBarred NotRunReason = "barred"
+	NotRunIneligible NotRunReason = "barred"
 )
 
 // Error implements error.
