--- a/backends/load.go
+++ b/backends/load.go
@@ -127,8 +127,8 @@
 	return out
 }
 
-// Told is news that another process has told of a server.
-type Told struct {
+// StatusChange is news that another process has told of a server.
+type StatusChange struct {
 	Server
 	// Limit reports that it is of its limit.
 	Limit bool
@@ -140,7 +140,7 @@
 //
 // While the directory is away only those that run something on a server ask whether it is
 // leaving; the others would go on sending runs and copies there.
-func (r *Registry) SetRemoteStatuses(process string, losses map[string]ServerStatus, now time.Duration) (news []Told) {
+func (r *Registry) SetRemoteStatuses(process string, losses map[string]ServerStatus, now time.Duration) (news []StatusChange) {
 	r.mu.Lock()
 	if len(losses) == 0 {
 		delete(r.losses, process)
@@ -158,7 +158,7 @@
 			left = s.report(left, NoticeTold)
 		}
 		if limitNews := s.limit.hear(l.Limit, now); limitNews || leavingNews {
-			news = append(news, Told{Server: s.Server, Limit: limitNews})
+			news = append(news, StatusChange{Server: s.Server, Limit: limitNews})
 		}
 	}
 	r.mu.Unlock()
