--- a/backends/pace.go
+++ b/backends/pace.go
@@ -11,7 +11,7 @@
 // share is this process's part of what servers with a bound take, among those that send to a
 // service of so many servers; mu is held.
 func (r *Registry) share(servers int) *pacing.Share {
-	if cells.Divided(servers, r.count) {
+	if cells.IsDivided(servers, r.count) {
 		return r.inCell
 	}
 	return r.inAll
@@ -20,7 +20,7 @@
 // inOwnCell reports whether a server of a service of so many is one that this process's cell
 // sends to; mu is held.
 func (r *Registry) inOwnCell(s *server, servers int) bool {
-	return !cells.Divided(servers, r.count) || cells.Of(s.hash, r.count) == r.cell
+	return !cells.IsDivided(servers, r.count) || cells.Of(s.hash, r.count) == r.cell
 }
 
 // bound is what a server takes of all processes now; mu is held.
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -323,7 +323,7 @@
 		near = r.domain
 	}
 	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MostUsed, MaxPromptPending: q.MostPrompt, SameDomainOnly: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
-	divided := cells.Divided(len(views), r.count)
+	divided := cells.IsDivided(len(views), r.count)
 	if divided {
 		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
--- a/cells/cells.go
+++ b/cells/cells.go
@@ -23,8 +23,8 @@
 // Count is how many cells there are for a number of processes; one up to 38.
 func Count(processes int) int { return max(1, (processes+size/2)/size) }
 
-// Divided reports whether a service with a number of servers is divided into cells.
-func Divided(servers, count int) bool { return count > 1 && servers >= MinServersPerCell*count }
+// IsDivided reports whether a service with a number of servers is divided into cells.
+func IsDivided(servers, count int) bool { return count > 1 && servers >= MinServersPerCell*count }
 
 // outsideShare divides the links into a cell to give those out of it: 6 beside 32. A cell of
 // 26 has 150 ways out then.
--- a/cells/cells_test.go
+++ b/cells/cells_test.go
@@ -48,7 +48,7 @@
 // A service of a dozen servers is not divided: three of them would be all that a gateway
 // has.
 func TestSmallServicesAreNotDivided(t *testing.T) {
-	require.False(t, Divided(12, 4))
-	require.False(t, Divided(1000, 1))
-	require.True(t, Divided(144, 4))
+	require.False(t, IsDivided(12, 4))
+	require.False(t, IsDivided(1000, 1))
+	require.True(t, IsDivided(144, 4))
 }
