--- a/cmd/kingcup-bench/main.go
+++ b/cmd/kingcup-bench/main.go
@@ -32,7 +32,7 @@
 		return
 	}
 	change := func(c *sched.Config) {
-		c.Sigmas, c.Reserve = float64(*sigmas)/100, float64(*reserve)/100
+		c.Sigmas, c.ReserveFraction = float64(*sigmas)/100, float64(*reserve)/100
 	}
 	o := bench.DefaultOptions()
 	o.Seeds, o.Length = *seeds, *length
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -78,7 +78,7 @@
 	// A borrower that fits above the low mark would be paused in the next
 	// shortage, resumed into the same room and paused again.
 	if borrows {
-		limit *= min(low, 1-p.cfg.Reserve)
+		limit *= min(low, 1-p.cfg.ReserveFraction)
 	}
 	if len(p.running) == 0 {
 		return true
--- a/sched/config.go
+++ b/sched/config.go
@@ -14,9 +14,9 @@
 	// Sigmas is how many standard deviations above its mean the forecast peak
 	// must stay below capacity.
 	Sigmas float64
-	// Reserve is the fraction of capacity that teams over their share leave
+	// ReserveFraction is the fraction of capacity that teams over their share leave
 	// free for teams under theirs.
-	Reserve float64
+	ReserveFraction float64
 	// Disabled switches parts off, for ablation.
 	Disabled DisabledFeatures
 }
@@ -44,11 +44,11 @@
 	if c.Sigmas == 0 {
 		c.Sigmas = DefaultSigmas
 	}
-	if c.Reserve == 0 {
-		c.Reserve = DefaultReserve
+	if c.ReserveFraction == 0 {
+		c.ReserveFraction = DefaultReserve
 	}
 	if c.Disabled.Reserve {
-		c.Reserve = 0
+		c.ReserveFraction = 0
 	}
 	return c
 }
