--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -162,8 +162,8 @@
 	r.control.WithLabelValues(cause).Add(float64(bytes))
 }
 
-// Moved implements relay.Observer.
-func (r *Recorder) Moved(result string) { r.moves.WithLabelValues(result).Inc() }
+// Migrated implements relay.Observer.
+func (r *Recorder) Migrated(result string) { r.moves.WithLabelValues(result).Inc() }
 
 func (r *Recorder) count(team string, o burn.Objective, good bool) {
 	r.mu.Lock()
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -355,5 +355,5 @@
 func (noObserver) FirstByte(string, string, routing.Kind, time.Duration) {}
 func (noObserver) Pause(string, time.Duration)                           {}
 func (noObserver) Attempt(string, string)                                {}
-func (noObserver) Moved(string)                                          {}
+func (noObserver) Migrated(string)                                       {}
 func (noObserver) Ended(string)                                          {}
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -141,7 +141,7 @@
 		return nil
 	}
 	s.job.log.WithFields(logrus.Fields{"server": s.run.host(), "to": c.lease.Server.ID}).Info("silent stream goes on from its standing copy")
-	s.Observer.Moved("hedged")
+	s.Observer.Migrated("hedged")
 	s.run.breakOff()
 	return next
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -386,10 +386,10 @@
 	entry := m.run.job.log.WithFields(logrus.Fields{"server": m.from.ID, "to": to.ID, "final": final, "took_ms": took.Milliseconds()})
 	if err != nil {
 		entry.WithError(err).Info("run is not moved")
-		m.relay.Observer.Moved("failed")
+		m.relay.Observer.Migrated("failed")
 	} else {
 		entry.Info("run is copied")
-		m.relay.Observer.Moved("copied")
+		m.relay.Observer.Migrated("copied")
 	}
 	if handle == "" {
 		return took, err
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -37,7 +37,7 @@
 	FirstByte(team, service string, kind routing.Kind, d time.Duration)
 	Pause(team string, d time.Duration)
 	Attempt(service, result string)
-	Moved(result string)
+	Migrated(result string)
 	// Ended is told of a server that has ended under requests.
 	Ended(service string)
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -197,18 +197,18 @@
 	if _, held := s.held(j); held {
 		o.lease.Release(backends.ResultInconclusive, s.Now())
 		log.WithError(cause).Warn("stream broke and must not go on: servers end under it")
-		s.Observer.Moved("lost")
+		s.Observer.Migrated("lost")
 		return nil
 	}
 	if next := s.resumeCopy(ctx, o); next != nil {
 		log.WithField("to", next.lease.Server.ID).WithField("cause", cause.Error()).Info("stream goes on from its copy")
-		s.Observer.Moved("resumed")
+		s.Observer.Migrated("resumed")
 		return next
 	}
 	o.lease.Release(backends.ResultFailed, s.Now())
 	if ctx.Err() != nil || !j.mayRepeat() {
 		log.WithError(cause).Warn("stream broke and cannot go on")
-		s.Observer.Moved("lost")
+		s.Observer.Migrated("lost")
 		return nil
 	}
 	j.tried = append(j.tried, o.lease.Server.ID)
