--- a/backends/advice.go
+++ b/backends/advice.go
@@ -54,8 +54,8 @@
 	namedNews, liftedNews time.Duration
 }
 
-// ToldLimit is what a process knows of the limit that a server names.
-type ToldLimit struct {
+// RateLimitReport is what a process knows of the limit that a server names.
+type RateLimitReport struct {
 	// Known reports that it knows something, Named that the server names a limit.
 	Known, Named bool
 	PerSecond    float64
@@ -78,11 +78,11 @@
 )
 
 // told is what others are told.
-func (l limit) told(now time.Duration) ToldLimit {
+func (l limit) told(now time.Duration) RateLimitReport {
 	if !l.named && now >= l.tellUntil {
-		return ToldLimit{}
+		return RateLimitReport{}
 	}
-	return ToldLimit{Known: true, Named: l.named, PerSecond: l.perSecond, Age: now - l.asOf}
+	return RateLimitReport{Known: true, Named: l.named, PerSecond: l.perSecond, Age: now - l.asOf}
 }
 
 // name notes that the server names a limit, and reports whether that is news.
@@ -119,7 +119,7 @@
 // hear takes what another process tells, unless something newer is known, and reports whether
 // it is news that the server names a limit, or none. What is kept is the newest that anybody
 // knows, in whatever order it is told.
-func (l *limit) hear(t ToldLimit, now time.Duration) (news bool) {
+func (l *limit) hear(t RateLimitReport, now time.Duration) (news bool) {
 	if !t.Known || t.Age < 0 || t.Named && !(t.PerSecond >= 0 && t.PerSecond <= MostLimit) {
 		return false
 	}
--- a/backends/load.go
+++ b/backends/load.go
@@ -107,7 +107,7 @@
 	// Resting says that it has asked the process for rest.
 	Resting bool
 	// Limit is what is known of its limit.
-	Limit ToldLimit
+	Limit RateLimitReport
 	// StartTime is the life of the server that lost them, see Server.
 	StartTime int64
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -150,7 +150,7 @@
 func lossFrom(l *peerv1.Loss) backends.ServerStatus {
 	out := backends.ServerStatus{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
-		out.Limit = backends.ToldLimit{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
+		out.Limit = backends.RateLimitReport{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
 	return out
 }
