--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -255,7 +255,7 @@
 	var all []Server
 	for i := range cells.MinServersPerCell * count {
 		s := entry(fmt.Sprint("i-", i))
-		s.Leaving = cells.Of(cells.Hash(s.ID), count) == 0
+		s.Leaving = cells.IndexOf(cells.Hash(s.ID), count) == 0
 		all = append(all, s)
 	}
 	r.Reset(all, 0, 0)
@@ -263,5 +263,5 @@
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
 	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
 	require.NotNil(t, l)
-	require.Equal(t, 1, cells.Of(cells.Hash(l.Server.ID), count))
+	require.Equal(t, 1, cells.IndexOf(cells.Hash(l.Server.ID), count))
 }
--- a/backends/pace.go
+++ b/backends/pace.go
@@ -20,7 +20,7 @@
 // inOwnCell reports whether a server of a service of so many is one that this process's cell
 // sends to; mu is held.
 func (r *Registry) inOwnCell(s *server, servers int) bool {
-	return !cells.IsDivided(servers, r.count) || cells.Of(s.hash, r.count) == r.cell
+	return !cells.IsDivided(servers, r.count) || cells.IndexOf(s.hash, r.count) == r.cell
 }
 
 // bound is what a server takes of all processes now; mu is held.
--- a/cells/cells.go
+++ b/cells/cells.go
@@ -44,11 +44,11 @@
 // cells. all does not hold the process itself.
 func Links(self subset.Item, all []subset.Item, most int) (links []subset.Item, place Place) {
 	place = Place{Self: self.Name, Count: Count(len(all) + 1)}
-	place.Own = Of(Hash(self.Name), place.Count)
+	place.Own = IndexOf(Hash(self.Name), place.Count)
 	var inside, outside []subset.Item
 	for _, it := range all {
 		place.All = append(place.All, it.Name)
-		if Of(Hash(it.Name), place.Count) == place.Own {
+		if IndexOf(Hash(it.Name), place.Count) == place.Own {
 			inside = append(inside, it)
 			place.Cell = append(place.Cell, it.Name)
 		} else {
@@ -63,10 +63,10 @@
 // Hash is what a name is placed by.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Of is the cell, from 0, of a hash. When the number of cells changes by one, names move to
+// IndexOf is the cell, from 0, of a hash. When the number of cells changes by one, names move to
 // or from one cell only, so that processes that disagree on it for a while agree on most
 // servers (jump consistent hash).
-func Of(hash uint64, count int) int {
+func IndexOf(hash uint64, count int) int {
 	cell, next := int64(-1), int64(0)
 	for next < int64(count) {
 		cell = next
--- a/cells/cells_test.go
+++ b/cells/cells_test.go
@@ -18,7 +18,7 @@
 		count := Count(n)
 		sizes := make([]int, count)
 		for i := range n {
-			sizes[Of(Hash(fmt.Sprintf("vm-%d", i)), count)]++
+			sizes[IndexOf(Hash(fmt.Sprintf("vm-%d", i)), count)]++
 		}
 		heard := 0
 		for _, s := range sizes {
@@ -37,7 +37,7 @@
 		moved := 0
 		for i := range servers {
 			h := Hash(fmt.Sprintf("i-%d", i))
-			if Of(h, count) != Of(h, count+1) {
+			if IndexOf(h, count) != IndexOf(h, count+1) {
 				moved++
 			}
 		}
