--- a/claim/claim.go
+++ b/claim/claim.go
@@ -109,8 +109,8 @@
 	return c.routed
 }
 
-// IsRow reports whether key is the row of a claim.
-func IsRow(key string) bool {
+// IsRowKey reports whether key is the row of a claim.
+func IsRowKey(key string) bool {
 	return strings.HasPrefix(key, rowPrefix)
 }
 
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -24,7 +24,7 @@
 		}
 		a, b := cut("first"), cut("second")
 		require.Equal(t, a == b, a.row() == b.row())
-		require.True(t, IsRow(a.row()))
+		require.True(t, IsRowKey(a.row()))
 	})
 }
 
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -108,7 +108,7 @@
 
 // handleClaimPut writes a claim's row for another entry.
 func (e *Entry) handleClaimPut(ctx context.Context, put *innerv1.ClaimPut, st *wire.Stream) {
-	if !claim.IsRow(put.GetKey()) {
+	if !claim.IsRowKey(put.GetKey()) {
 		return
 	}
 	revision, err := e.claims.Forwarded().Put(ctx, put.GetKey(), put.GetRevision(), put.GetValue())
