--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -125,8 +125,8 @@
 	r.count(team, burn.FirstToken, d <= firstByteTarget)
 }
 
-// Ended implements relay.Observer.
-func (r *Recorder) Ended(service string) { r.ended.WithLabelValues(service).Inc() }
+// ServerCrashed implements relay.Observer.
+func (r *Recorder) ServerCrashed(service string) { r.ended.WithLabelValues(service).Inc() }
 
 // Pause implements relay.Observer.
 func (r *Recorder) Pause(team string, d time.Duration) {
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -170,7 +170,7 @@
 		return
 	}
 	if first {
-		r.Observer.Ended(q.server.Service)
+		r.Observer.ServerCrashed(q.server.Service)
 	}
 	r.Log.WithFields(logrus.Fields{
 		"server": q.server.ID, "born": q.server.StartTime, "service": q.server.Service, "requests": len(ran), "ran": named(ran),
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -356,4 +356,4 @@
 func (noObserver) Pause(string, time.Duration)                           {}
 func (noObserver) Attempt(string, string)                                {}
 func (noObserver) Migrated(string)                                       {}
-func (noObserver) Ended(string)                                          {}
+func (noObserver) ServerCrashed(string)                                  {}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -38,8 +38,8 @@
 	Pause(team string, d time.Duration)
 	Attempt(service, result string)
 	Migrated(result string)
-	// Ended is told of a server that has ended under requests.
-	Ended(service string)
+	// ServerCrashed is told of a server that has ended under requests.
+	ServerCrashed(service string)
 }
 
 // Deps are the parts a Relay works with.
