--- a/backends/load.go
+++ b/backends/load.go
@@ -102,8 +102,8 @@
 // of itself.
 type ServerStatus struct {
 	InARow int
-	// Ended says that it listens no more, Leaving that it has said itself that it will end.
-	Ended, Leaving bool
+	// Down says that it listens no more, Leaving that it has said itself that it will end.
+	Down, Leaving bool
 	// Resting says that it has asked the process for rest.
 	Resting bool
 	// Limit is what is known of its limit.
@@ -119,8 +119,8 @@
 	defer r.mu.Unlock()
 	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := ServerStatus{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
-		if l.InARow > 0 || l.Ended || l.Leaving || l.Resting || l.Limit.Known {
+		l := ServerStatus{InARow: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
+		if l.InARow > 0 || l.Down || l.Leaving || l.Resting || l.Limit.Known {
 			out[id] = l
 		}
 	}
@@ -196,7 +196,7 @@
 		return true
 	}
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Ended && l.StartTime == s.StartTime {
+		if l := losses[s.ID]; l.Down && l.StartTime == s.StartTime {
 			return true
 		}
 	}
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -267,15 +267,15 @@
 		return ids
 	}
 	require.Len(t, picked(0), 2)
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Down: true, StartTime: 7}}, 0)
 	require.Equal(t, []string{"b"}, picked(0), "by what another gateway tells")
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Ended: true, StartTime: 6}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Down: true, StartTime: 6}}, 0)
 	require.Len(t, picked(0), 2, "an earlier life")
 	r.SetRemoteStatuses("vm-2", nil, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
 	lease.Release(ResultDown, 0)
 	require.Equal(t, []string{"b"}, picked(lostFor-1))
-	require.Equal(t, map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, r.Statuses(lostFor-1))
+	require.Equal(t, map[string]ServerStatus{"a": {Down: true, StartTime: 7}}, r.Statuses(lostFor-1))
 	require.Len(t, picked(lostFor), 2, "asked again")
 	require.Empty(t, r.Statuses(lostFor))
 	require.True(t, r.MarkDown(ended, lostFor))
