--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -259,7 +259,7 @@
 		all = append(all, s)
 	}
 	r.Reset(all, 0, 0)
-	r.SetPlace(cells.Place{Own: 0, Count: count})
+	r.SetPlace(cells.Place{OwnCell: 0, Count: count})
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
 	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
 	require.NotNil(t, l)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -363,8 +363,8 @@
 	inCell, inAll := pacing.NewShare(p.Self, p.Cell), pacing.NewShare(p.Self, p.All)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := r.cell != p.Own || r.count != p.Count
-	r.cell, r.count = p.Own, p.Count
+	news := r.cell != p.OwnCell || r.count != p.Count
+	r.cell, r.count = p.OwnCell, p.Count
 	r.inCell, r.inAll = inCell, inAll
 	return news
 }
--- a/cells/cells.go
+++ b/cells/cells.go
@@ -33,8 +33,8 @@
 // Place is where a process stands among the others.
 type Place struct {
 	// Self is its name, Own its cell of Count.
-	Self       string
-	Own, Count int
+	Self           string
+	OwnCell, Count int
 	// Cell names the others of its cell, All all others.
 	Cell, All []string
 }
@@ -44,11 +44,11 @@
 // cells. all does not hold the process itself.
 func Links(self subset.Item, all []subset.Item, most int) (links []subset.Item, place Place) {
 	place = Place{Self: self.Name, Count: Count(len(all) + 1)}
-	place.Own = IndexOf(Hash(self.Name), place.Count)
+	place.OwnCell = IndexOf(Hash(self.Name), place.Count)
 	var inside, outside []subset.Item
 	for _, it := range all {
 		place.All = append(place.All, it.Name)
-		if IndexOf(Hash(it.Name), place.Count) == place.Own {
+		if IndexOf(Hash(it.Name), place.Count) == place.OwnCell {
 			inside = append(inside, it)
 			place.Cell = append(place.Cell, it.Name)
 		} else {
