--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -262,7 +262,7 @@
 	return answer, err
 }
 
-func (f *fakeUpstream) Move(ctx context.Context, from backends.Server, id, to string, final bool) (string, error) {
+func (f *fakeUpstream) CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (string, error) {
 	f.mu.Lock()
 	f.moves = append(f.moves, fmt.Sprintf("%s %s>%s %v", id, from.ID, to, final))
 	f.mu.Unlock()
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -381,7 +381,7 @@
 func (m *move) transfer(ctx context.Context, final bool) (took time.Duration, err error) {
 	begun := time.Now()
 	to := m.to.lease.Server
-	handle, err := m.relay.Upstream.Move(ctx, m.from, m.run.job.ID, to.Address, final)
+	handle, err := m.relay.Upstream.CopyRun(ctx, m.from, m.run.job.ID, to.Address, final)
 	took = time.Since(begun)
 	entry := m.run.job.log.WithFields(logrus.Fields{"server": m.from.ID, "to": to.ID, "final": final, "took_ms": took.Milliseconds()})
 	if err != nil {
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -139,11 +139,11 @@
 	// Send sends an attempt and waits for the answer's head. The attempt ends
 	// with ctx. Errors: *Refused, or one that leaves the outcome unknown.
 	Send(ctx context.Context, a *Attempt) (*Answer, error)
-	// Move copies the memory of a run to the server at the address to; a later
+	// CopyRun copies the memory of a run to the server at the address to; a later
 	// call copies what is new. A final call stops the run first and closes its
 	// stream without an end. A handle may come with ErrNoRoom: then the run has
 	// stopped and its server keeps the memory.
-	Move(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
+	CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
 	// Drop frees a copy that will not be used.
 	Drop(ctx context.Context, c Copy)
 	// CloseIdle closes the idle connections to an address, whose server has ended.
