--- a/backends/load.go
+++ b/backends/load.go
@@ -101,7 +101,7 @@
 // ServerStatus is what is wrong with a server: requests that it has lost in a row, its end, what it says
 // of itself.
 type ServerStatus struct {
-	InARow int
+	ConsecutiveLosses int
 	// Down says that it listens no more, Leaving that it has said itself that it will end.
 	Down, Leaving bool
 	// Resting says that it has asked the process for rest.
@@ -119,8 +119,8 @@
 	defer r.mu.Unlock()
 	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := ServerStatus{InARow: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
-		if l.InARow > 0 || l.Down || l.Leaving || l.Resting || l.Limit.Known {
+		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
+		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.Resting || l.Limit.Known {
 			out[id] = l
 		}
 	}
@@ -178,7 +178,7 @@
 	sum := own
 	for _, losses := range r.losses {
 		if l := losses[s.ID]; l.StartTime == s.StartTime {
-			sum += min(believedLosses, l.InARow)
+			sum += min(believedLosses, l.ConsecutiveLosses)
 		}
 	}
 	if own < ownLosses && sum < tooManyLosses {
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -178,16 +178,16 @@
 	for range 6 {
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {InARow: 9}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 9}}, 0)
 	require.Equal(t, "a", r.pick(t, 0), "one process alone is not believed")
-	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {InARow: 1}}, 0)
+	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, 0)
 	require.Equal(t, "b", r.pick(t, 0))
 	r.SetRemoteStatuses("vm-3", nil, 0)
 	require.Equal(t, "b", r.pick(t, lossesFor-1))
 	require.Equal(t, "a", r.pick(t, lossesFor))
 	l := r.Acquire(Query{Service: svc}, lossesFor)
 	l.Release(ResultLost, lossesFor)
-	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(lossesFor))
+	require.Equal(t, map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, r.Statuses(lossesFor))
 	require.Equal(t, "b", r.pick(t, lossesFor))
 	require.Empty(t, r.Statuses(2*lossesFor))
 }
@@ -202,8 +202,8 @@
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
 	lose := func(now time.Duration) {
-		r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {InARow: 2}}, 0)
-		r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {InARow: 2}}, 0)
+		r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2}}, 0)
+		r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {ConsecutiveLosses: 2}}, 0)
 		require.Equal(t, "b", r.pick(t, now))
 		r.SetRemoteStatuses("vm-2", nil, 0)
 		r.SetRemoteStatuses("vm-3", nil, 0)
@@ -243,7 +243,7 @@
 	l.Silent(0)
 	l.Release(ResultInconclusive, 0)
 	l.Silent(0)
-	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(0), "a lease that is over says nothing more")
+	require.Equal(t, map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, r.Statuses(0), "a lease that is over says nothing more")
 	r.Acquire(Query{Service: svc}, 0).Release(ResultOK, 0)
 	require.Empty(t, r.Statuses(0))
 }
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -25,7 +25,7 @@
 	}
 	held := r.Acquire(Query{Service: svc, Tokens: 20000, Prompt: 9000}, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, StartTime: 100}})
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {InARow: 2, StartTime: 100}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2, StartTime: 100}}, 0)
 	r.MarkLeaving(bornAt("a", 100))
 	require.Zero(t, r.Ready(svc))
 
