--- a/cells/cells.go
+++ b/cells/cells.go
@@ -35,8 +35,8 @@
 	// Self is its name, Own its cell of Count.
 	Self           string
 	OwnCell, Count int
-	// Cell names the others of its cell, All all others.
-	Cell, All []string
+	// CellPeers names the others of its cell, All all others.
+	CellPeers, All []string
 }
 
 // Links picks the processes that one tells of its load, by the same rule everywhere: those of
@@ -50,7 +50,7 @@
 		place.All = append(place.All, it.Name)
 		if IndexOf(Hash(it.Name), place.Count) == place.OwnCell {
 			inside = append(inside, it)
-			place.Cell = append(place.Cell, it.Name)
+			place.CellPeers = append(place.CellPeers, it.Name)
 		} else {
 			outside = append(outside, it)
 		}
