--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), endLookTimeout)
 	defer cancel()
-	return r.Upstream.Gone(ctx, s)
+	return r.Upstream.IsDown(ctx, s)
 }
 
 // endedUnder judges the requests of an inquest whose server has ended.
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -203,7 +203,7 @@
 // others are answered.
 func (w *world) harmful(path string) {
 	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
-		if w.up.Gone(ctx, a.Server) {
+		if w.up.IsDown(ctx, a.Server) {
 			return nil, &NotRunError{Reason: RefusedUnreachable}
 		}
 		body := newSource()
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -275,7 +275,7 @@
 	f.closed = append(f.closed, address)
 }
 
-func (f *fakeUpstream) Gone(_ context.Context, s backends.Server) bool {
+func (f *fakeUpstream) IsDown(_ context.Context, s backends.Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gone[s.ID]
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -148,9 +148,9 @@
 	Drop(ctx context.Context, c Copy)
 	// CloseIdle closes the idle connections to an address, whose server has ended.
 	CloseIdle(address string)
-	// Gone reports whether nothing listens at a server's address any more. It is false
+	// IsDown reports whether nothing listens at a server's address any more. It is false
 	// where that cannot be told.
-	Gone(ctx context.Context, s backends.Server) bool
+	IsDown(ctx context.Context, s backends.Server) bool
 	// Leaving asks a server whether it is about to end.
 	Leaving(ctx context.Context, s backends.Server) (bool, error)
 }
