--- a/backends/advice.go
+++ b/backends/advice.go
@@ -209,7 +209,7 @@
 func (r *Registry) restsElsewhere(s *server) bool {
 	n := 0
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Resting && l.StartTime == s.StartTime {
+		if l := losses[s.ID]; l.BackingOff && l.StartTime == s.StartTime {
 			n++
 		}
 	}
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -232,9 +232,9 @@
 		}
 		return n
 	}
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {BackingOff: true}}, time.Second)
 	require.Greater(t, picked(), 20, "one alone")
-	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
+	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {BackingOff: true}}, time.Second)
 	require.Zero(t, picked())
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, time.Second)
 	require.NotNil(t, lease, "it wants nothing of the others only")
--- a/backends/load.go
+++ b/backends/load.go
@@ -104,8 +104,8 @@
 	ConsecutiveLosses int
 	// Down says that it listens no more, Leaving that it has said itself that it will end.
 	Down, Leaving bool
-	// Resting says that it has asked the process for rest.
-	Resting bool
+	// BackingOff says that it has asked the process for rest.
+	BackingOff bool
 	// Limit is what is known of its limit.
 	Limit RateLimitReport
 	// StartTime is the life of the server that lost them, see Server.
@@ -119,8 +119,8 @@
 	defer r.mu.Unlock()
 	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
-		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.Resting || l.Limit.Known {
+		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, BackingOff: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
+		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.BackingOff || l.Limit.Known {
 			out[id] = l
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -137,7 +137,7 @@
 }
 
 func lossOf(server string, l backends.ServerStatus) *peerv1.Loss {
-	out := &peerv1.Loss{Server: server, InARow: uint32(l.ConsecutiveLosses), Ended: l.Down, Leaving: l.Leaving, Resting: l.Resting, Born: l.StartTime}
+	out := &peerv1.Loss{Server: server, InARow: uint32(l.ConsecutiveLosses), Ended: l.Down, Leaving: l.Leaving, Resting: l.BackingOff, Born: l.StartTime}
 	if l.Limit.Known {
 		out.Limit = &peerv1.Limit{Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, AgeMs: l.Limit.Age.Milliseconds()}
 	}
@@ -148,7 +148,7 @@
 const mostAge = 24 * time.Hour
 
 func lossFrom(l *peerv1.Loss) backends.ServerStatus {
-	out := backends.ServerStatus{ConsecutiveLosses: int(l.GetInARow()), Down: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), StartTime: l.GetBorn()}
+	out := backends.ServerStatus{ConsecutiveLosses: int(l.GetInARow()), Down: l.GetEnded(), Leaving: l.GetLeaving(), BackingOff: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
 		out.Limit = backends.RateLimitReport{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
