--- a/readers/readers.go
+++ b/readers/readers.go
@@ -126,8 +126,8 @@
 	return out
 }
 
-// Look is what a decision rests on beside what was heard.
-type Look struct {
+// Inputs is what a decision rests on beside what was heard.
+type Inputs struct {
 	// Now is the store's steady clock, as near as it is known here.
 	Now time.Duration
 	// Reached says that the store answered the last call of this process.
@@ -143,7 +143,7 @@
 // Reads decides whether this process reads the store. One that does goes on until two
 // better ones do, or until the store fails it. Another begins where there are too few
 // readers, or where it is better than one of them; of many that could, few try at a time.
-func (r *Role) Reads(l Look) bool {
+func (r *Role) Reads(l Inputs) bool {
 	others := r.alive(l.Now)
 	if r.reading && !l.Reached {
 		r.reading = false
@@ -162,9 +162,9 @@
 
 // Turn decides whether this process tries the store although others seem to read it: it
 // hears nothing of what they read.
-func (r *Role) Turn(l Look) bool { return r.reading || r.volunteer(l) }
+func (r *Role) Turn(l Inputs) bool { return r.reading || r.volunteer(l) }
 
-func (r *Role) volunteer(l Look) bool {
+func (r *Role) volunteer(l Inputs) bool {
 	since := min(max(l.Now-r.looked, 0), longestLook)
 	r.looked = l.Now
 	r.reading = l.Crowd <= 1 || l.Draw < volunteersPerSecond*since.Seconds()/l.Crowd
