--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -43,8 +43,8 @@
 
 // startAttempt counts an attempt that is about to be sent. Errors: *Refused.
 func (r *Relay) startAttempt(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*attempt, error) {
-	a.Look = func() error { return r.look(j, lease, a) }
-	if err := a.Look(); err != nil {
+	a.Recheck = func() error { return r.look(j, lease, a) }
+	if err := a.Recheck(); err != nil {
 		return nil, err
 	}
 	if a.From != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -125,15 +125,15 @@
 		w.server("b", deskService)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if len(w.up.servers()) > 1 {
-				require.NoError(t, a.Look())
+				require.NoError(t, a.Recheck())
 				return answer(200, "ok"), nil
 			}
-			require.NoError(t, a.Look())
+			require.NoError(t, a.Recheck())
 			w.relay.Advised(a.Server, backends.Signals{Leaving: true}, 0)
-			err := a.Look()
+			err := a.Recheck()
 			require.Error(t, err)
 			a.From = &Copy{}
-			require.NoError(t, a.Look())
+			require.NoError(t, a.Recheck())
 			return nil, err
 		}
 		w.serve(request("/once/x")).whole(t, "ok")
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -68,9 +68,9 @@
 	Backup string
 	// From is a copy of the run's memory to go on from, nil for a new run.
 	From *Copy
-	// Look is the last look before the attempt is sent, once there is a connection for it. An
+	// Recheck is the last look before the attempt is sent, once there is a connection for it. An
 	// error ends the attempt unsent. Errors: *Refused.
-	Look func() error
+	Recheck func() error
 }
 
 // Copy is a run's memory at another server.
