--- a/backends/load.go
+++ b/backends/load.go
@@ -106,8 +106,8 @@
 	Down, Leaving bool
 	// BackingOff says that it has asked the process for rest.
 	BackingOff bool
-	// Limit is what is known of its limit.
-	Limit RateLimitReport
+	// RateLimit is what is known of its limit.
+	RateLimit RateLimitReport
 	// StartTime is the life of the server that lost them, see Server.
 	StartTime int64
 }
@@ -119,8 +119,8 @@
 	defer r.mu.Unlock()
 	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, BackingOff: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
-		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.BackingOff || l.Limit.Known {
+		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, BackingOff: now < s.restUntil, RateLimit: s.limit.told(now), StartTime: s.StartTime}
+		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.BackingOff || l.RateLimit.Known {
 			out[id] = l
 		}
 	}
@@ -157,7 +157,7 @@
 		if l.Leaving {
 			left = s.report(left, NoticeTold)
 		}
-		if limitNews := s.limit.hear(l.Limit, now); limitNews || leavingNews {
+		if limitNews := s.limit.hear(l.RateLimit, now); limitNews || leavingNews {
 			news = append(news, StatusChange{Server: s.Server, Limit: limitNews})
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -125,7 +125,7 @@
 		if !t.Limit {
 			continue
 		}
-		l := losses[t.ID].Limit
+		l := losses[t.ID].RateLimit
 		g.log.WithFields(logrus.Fields{
 			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
 			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
@@ -138,8 +138,8 @@
 
 func lossOf(server string, l backends.ServerStatus) *peerv1.Loss {
 	out := &peerv1.Loss{Server: server, InARow: uint32(l.ConsecutiveLosses), Ended: l.Down, Leaving: l.Leaving, Resting: l.BackingOff, Born: l.StartTime}
-	if l.Limit.Known {
-		out.Limit = &peerv1.Limit{Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, AgeMs: l.Limit.Age.Milliseconds()}
+	if l.RateLimit.Known {
+		out.Limit = &peerv1.Limit{Named: l.RateLimit.Named, PerSecond: l.RateLimit.PerSecond, AgeMs: l.RateLimit.Age.Milliseconds()}
 	}
 	return out
 }
@@ -150,7 +150,7 @@
 func lossFrom(l *peerv1.Loss) backends.ServerStatus {
 	out := backends.ServerStatus{ConsecutiveLosses: int(l.GetInARow()), Down: l.GetEnded(), Leaving: l.GetLeaving(), BackingOff: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
-		out.Limit = backends.RateLimitReport{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
+		out.RateLimit = backends.RateLimitReport{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
 	return out
 }
