--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -57,12 +57,12 @@
 
 // reads decides for a follower of a table; see readers.Role.Reads.
 func (r *readerRole) reads(now time.Duration, reached bool) bool {
-	look := readers.Inputs{Now: now, Reached: reached, Crowd: r.group.crowd(), Draw: rand.Float64()}
+	look := readers.Inputs{Now: now, Reached: reached, ProcessCount: r.group.crowd(), Draw: rand.Float64()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	was := r.role.Reading()
 	reads := r.role.Reads(look)
-	r.changed(was, reads, look.Crowd)
+	r.changed(was, reads, look.ProcessCount)
 	return reads
 }
 
@@ -71,18 +71,18 @@
 	if without > 0 && without < joinPatience && !r.joined.Load() {
 		return false
 	}
-	look := readers.Inputs{Now: now, Reached: true, Crowd: r.group.crowd(), Draw: rand.Float64()}
+	look := readers.Inputs{Now: now, Reached: true, ProcessCount: r.group.crowd(), Draw: rand.Float64()}
 	switch {
 	case without > 0 && r.first.Load():
-		look.Crowd = 1
+		look.ProcessCount = 1
 	case without > 0:
-		look.Crowd = float64(r.group.links.Known()) * max(0, 1-without.Seconds()/startPatience.Seconds())
+		look.ProcessCount = float64(r.group.links.Known()) * max(0, 1-without.Seconds()/startPatience.Seconds())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	was := r.role.Reading()
 	turn := r.role.Turn(look)
-	r.changed(was, turn, look.Crowd)
+	r.changed(was, turn, look.ProcessCount)
 	return turn
 }
 
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -132,10 +132,10 @@
 	Now time.Duration
 	// Reached says that the store answered the last call of this process.
 	Reached bool
-	// Crowd is how many processes are in the same place, this one included: those that it
+	// ProcessCount is how many processes are in the same place, this one included: those that it
 	// knows, by the part of its links that it hears something on. One that hears nobody
 	// is alone.
-	Crowd float64
+	ProcessCount float64
 	// Draw is drawn from [0, 1).
 	Draw float64
 }
@@ -167,7 +167,7 @@
 func (r *Role) volunteer(l Inputs) bool {
 	since := min(max(l.Now-r.looked, 0), longestLook)
 	r.looked = l.Now
-	r.reading = l.Crowd <= 1 || l.Draw < volunteersPerSecond*since.Seconds()/l.Crowd
+	r.reading = l.ProcessCount <= 1 || l.Draw < volunteersPerSecond*since.Seconds()/l.ProcessCount
 	return r.reading
 }
 
