--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -51,7 +51,7 @@
 		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
-	a.Begun, a.Left = r.Now(), j.left()
+	a.Begun, a.Timeout = r.Now(), j.left()
 	a.Priority = -1
 	if j.Generation != nil {
 		a.Priority = j.priority
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -55,8 +55,8 @@
 	Server  backends.Server
 	// Begun is when it was sent.
 	Begun time.Duration
-	// Left is how long the server may take.
-	Left time.Duration
+	// Timeout is how long the server may take.
+	Timeout time.Duration
 	// Team is the name of the key's holder, empty if none.
 	Team string
 	// Priority ranks the request at an engine, -1 for none.
