--- a/backends/advice.go
+++ b/backends/advice.go
@@ -12,10 +12,10 @@
 
 // Signals is what a server says of itself in the head of an answer.
 type Signals struct {
-	// Limited reports that it names a limit: the requests a second that it takes from all
+	// HasRateLimit reports that it names a limit: the requests a second that it takes from all
 	// processes together.
-	Limited bool
-	Limit   float64
+	HasRateLimit bool
+	Limit        float64
 	// LimitUnreadable reports that it names one that means nothing.
 	LimitUnreadable bool
 	// SaysCold reports that it says how much longer it is cold.
@@ -159,7 +159,7 @@
 		return n, nil
 	}
 	switch {
-	case a.Limited:
+	case a.HasRateLimit:
 		n.Limited = s.limit.name(a.Limit, now, now)
 	case !a.LimitUnreadable:
 		n.Lifted = s.limit.lift(sent, now)
