--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -161,7 +161,7 @@
 	}
 	r.mu.Lock()
 	before := len(r.role.Readers(now, 0))
-	r.role.Hear(rs, now)
+	r.role.AddReports(rs, now)
 	after := len(r.role.Readers(now, 0))
 	r.mu.Unlock()
 	if after > before {
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -88,8 +88,8 @@
 // Reading reports whether the process reads the store.
 func (r *Role) Reading() bool { return r.reading }
 
-// Hear takes what another process knows.
-func (r *Role) Hear(list []Reader, now time.Duration) {
+// AddReports takes what another process knows.
+func (r *Role) AddReports(list []Reader, now time.Duration) {
 	for _, o := range list {
 		if o.Name == r.self.Name || !fresh(o, now) || o.Answered > now+ahead {
 			continue
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -95,7 +95,7 @@
 			f.look(i, r)
 			for _, j := range f.links[i] {
 				if !f.dead[j] && f.rng.IntN(3) == 0 {
-					f.roles[j].Hear(r.Readers(f.now, f.answered[i]), f.now)
+					f.roles[j].AddReports(r.Readers(f.now, f.answered[i]), f.now)
 				}
 			}
 		}
@@ -227,6 +227,6 @@
 // anything: it must not be counted on for ever.
 func TestReadersOfAnotherClockAreNotBelieved(t *testing.T) {
 	r := NewRole(reader("a", "z", 10))
-	r.Hear([]Reader{{Name: "b", Answered: time.Hour}, {Name: "c", Answered: time.Hour}}, time.Minute)
+	r.AddReports([]Reader{{Name: "b", Answered: time.Hour}, {Name: "c", Answered: time.Hour}}, time.Minute)
 	require.Empty(t, r.Readers(time.Minute, 0))
 }
