--- a/internal/relay/scout.go
+++ b/internal/relay/scout.go
@@ -17,11 +17,11 @@
 	scoutTimeout = 250 * time.Millisecond
 )
 
-// Scout asks the servers that run streams of this process whether they are
+// RunProber asks the servers that run streams of this process whether they are
 // leaving, while away reports that the directory cannot tell. Without it the
 // streams of every server that leaves during an outage of the store are lost. It
 // returns when ctx ends.
-func (r *Relay) Scout(ctx context.Context, away func() bool) {
+func (r *Relay) RunProber(ctx context.Context, away func() bool) {
 	t := time.NewTicker(scoutEvery)
 	defer t.Stop()
 	for {
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -217,7 +217,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go w.relay.Scout(ctx, func() bool { return true })
+		go w.relay.RunProber(ctx, func() bool { return true })
 		time.AfterFunc(time.Second, func() {
 			w.server("b", modelService)
 			w.up.setLeaving("a")
