--- a/backends/advice.go
+++ b/backends/advice.go
@@ -15,7 +15,7 @@
 	// HasRateLimit reports that it names a limit: the requests a second that it takes from all
 	// processes together.
 	HasRateLimit bool
-	Limit        float64
+	RateLimit    float64
 	// LimitUnreadable reports that it names one that means nothing.
 	LimitUnreadable bool
 	// SaysCold reports that it says how much longer it is cold.
@@ -160,7 +160,7 @@
 	}
 	switch {
 	case a.HasRateLimit:
-		n.Limited = s.limit.name(a.Limit, now, now)
+		n.Limited = s.limit.name(a.RateLimit, now, now)
 	case !a.LimitUnreadable:
 		n.Lifted = s.limit.lift(sent, now)
 	}
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -24,8 +24,8 @@
 // and arrives after.
 func TestAnswerThatWasOvertakenLiftsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	require.True(t, r.ApplySignals(s, Signals{HasRateLimit: true, Limit: 3}, 1*time.Second, 2*time.Second).Limited)
-	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true, Limit: 2}, 1*time.Second, 3*time.Second), "named before")
+	require.True(t, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 1*time.Second, 2*time.Second).Limited)
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 2}, 1*time.Second, 3*time.Second), "named before")
 	for _, begun := range []time.Duration{0, time.Second, 3 * time.Second} {
 		require.Equal(t, News{}, r.ApplySignals(s, Signals{}, begun, 4*time.Second), "asked at %v", begun)
 		require.Equal(t, 1, r.Limited())
@@ -37,7 +37,7 @@
 // Guards against a limit that outlives the server that named it.
 func TestNewLifeKnowsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	r.ApplySignals(s, Signals{HasRateLimit: true, Limit: 3}, 0, time.Second)
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
 	again := s
 	again.StartTime = 2
 	r.Put(again, 2*time.Second)
@@ -50,7 +50,7 @@
 // such an answer lifting a limit.
 func TestUnreadableAdviceIsToldOnceALife(t *testing.T) {
 	r, s := limitedRegistry()
-	r.ApplySignals(s, Signals{HasRateLimit: true, Limit: 3}, 0, time.Second)
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
 	spoilt := Signals{LimitUnreadable: true, Unreadable: []string{"a header"}}
 	require.Equal(t, News{Unreadable: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
@@ -80,7 +80,7 @@
 			i := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				newest = Signals{HasRateLimit: true, Limit: float64(rapid.IntRange(0, 1).Draw(t, "limit"))}
+				newest = Signals{HasRateLimit: true, RateLimit: float64(rapid.IntRange(0, 1).Draw(t, "limit"))}
 				regs[i].ApplySignals(s, newest, now, now)
 			case 1:
 				newest = Signals{}
@@ -140,7 +140,7 @@
 			c := newCrowd(gateways)
 			s := coldServer(0, "z0", cold)
 			c.put(0, s)
-			c.regs[0].ApplySignals(s, Signals{HasRateLimit: true, Limit: named}, 0, 500*time.Millisecond)
+			c.regs[0].ApplySignals(s, Signals{HasRateLimit: true, RateLimit: named}, 0, 500*time.Millisecond)
 			for i, r := range c.regs[1:] {
 				r.SetRemoteStatuses("vm-0", c.regs[i].Statuses(600*time.Millisecond), 600*time.Millisecond)
 			}
@@ -160,7 +160,7 @@
 	q := Query{Service: svc, Copy: true}
 	lease := r.Acquire(q, time.Second)
 	require.NotNil(t, lease)
-	r.ApplySignals(s, Signals{HasRateLimit: true, Limit: 5}, 0, time.Second)
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 5}, 0, time.Second)
 	require.Nil(t, r.Acquire(q, 2*time.Second))
 	require.True(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "a copy of before")
 	require.False(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "and no second one at once")
@@ -249,7 +249,7 @@
 	r, s := limitedRegistry()
 	news := 0
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
-		for _, a := range []Signals{{HasRateLimit: true, Limit: 5}, {}} {
+		for _, a := range []Signals{{HasRateLimit: true, RateLimit: 5}, {}} {
 			n := r.ApplySignals(s, a, now+time.Millisecond, now)
 			if n.Limited || n.Lifted {
 				news++
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -26,7 +26,7 @@
 	}
 	switch {
 	case news.Limited:
-		log.WithField("per_second", a.Limit).Info("server names a limit")
+		log.WithField("per_second", a.RateLimit).Info("server names a limit")
 		r.Peers.Nudge()
 	case news.Lifted:
 		log.Info("server names no limit any more")
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -29,7 +29,7 @@
 	w.replica.Confirm(w.now())
 	for i := range servers {
 		s := w.server(fmt.Sprint("s", i), deskService)
-		w.relay.Advised(s, backends.Signals{HasRateLimit: true, Limit: perSecond}, 0)
+		w.relay.Advised(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
 	}
 	w.up.send = func(context.Context, *Attempt) (*Answer, error) {
 		time.Sleep(20 * time.Millisecond)
@@ -182,7 +182,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		a, b := w.server("a", deskService), w.server("b", deskService)
-		w.relay.Advised(a, backends.Signals{HasRateLimit: true, Limit: 20}, 0)
+		w.relay.Advised(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
 		w.relay.Advised(b, backends.Signals{Rest: 450 * time.Millisecond}, 0)
 		lost := false
 		w.up.send = func(_ context.Context, at *Attempt) (*Answer, error) {
@@ -213,7 +213,7 @@
 		w := newWorld(t, Config{})
 		w.server("full", deskService)
 		s := w.server("limited", deskService)
-		w.relay.Advised(s, backends.Signals{HasRateLimit: true, Limit: 4}, 0)
+		w.relay.Advised(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if a.Server.ID == "full" {
 				return nil, &NotRunError{Reason: RefusedFull}
