--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -61,7 +61,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	was := r.role.Reading()
-	reads := r.role.Reads(look)
+	reads := r.role.ShouldRead(look)
 	r.changed(was, reads, look.ProcessCount)
 	return reads
 }
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -140,10 +140,10 @@
 	Draw float64
 }
 
-// Reads decides whether this process reads the store. One that does goes on until two
+// ShouldRead decides whether this process reads the store. One that does goes on until two
 // better ones do, or until the store fails it. Another begins where there are too few
 // readers, or where it is better than one of them; of many that could, few try at a time.
-func (r *Role) Reads(l Inputs) bool {
+func (r *Role) ShouldRead(l Inputs) bool {
 	others := r.alive(l.Now)
 	if r.reading && !l.Reached {
 		r.reading = false
