--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -131,7 +131,7 @@
 			return backends.New(set.FailureDomain, traitsOf(rep, l), func(s backends.Server, n backends.LeaveReason) {
 				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(n)}).Info("server is leaving")
 				if r := l.relay.Load(); r != nil {
-					r.Noticed(s, n)
+					r.HandleLeaving(s, n)
 				}
 			})
 		},
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -118,7 +118,7 @@
 			return backends.Traits{MemoryTokens: 30000}
 		}
 		return w.plain
-	}, func(s backends.Server, n backends.LeaveReason) { w.relay.Noticed(s, n) })
+	}, func(s backends.Server, n backends.LeaveReason) { w.relay.HandleLeaving(s, n) })
 	if cfg.RetryExtra == 0 {
 		cfg.RetryExtra = 100
 	}
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -17,9 +17,9 @@
 	lifeSilence = 300 * time.Millisecond
 )
 
-// Noticed is told of a server that begins to leave, or that has started again. It
+// HandleLeaving is told of a server that begins to leave, or that has started again. It
 // returns at once.
-func (r *Relay) Noticed(s backends.Server, n backends.LeaveReason) {
+func (r *Relay) HandleLeaving(s backends.Server, n backends.LeaveReason) {
 	if n == backends.NoticeRestarted {
 		r.Ended(s)
 		return
