--- a/backends/advice.go
+++ b/backends/advice.go
@@ -16,8 +16,8 @@
 	// processes together.
 	HasRateLimit bool
 	RateLimit    float64
-	// LimitUnreadable reports that it names one that means nothing.
-	LimitUnreadable bool
+	// RateLimitInvalid reports that it names one that means nothing.
+	RateLimitInvalid bool
 	// SaysCold reports that it says how much longer it is cold.
 	SaysCold bool
 	ColdFor  time.Duration
@@ -161,7 +161,7 @@
 	switch {
 	case a.HasRateLimit:
 		n.Limited = s.limit.name(a.RateLimit, now, now)
-	case !a.LimitUnreadable:
+	case !a.RateLimitInvalid:
 		n.Lifted = s.limit.lift(sent, now)
 	}
 	if a.SaysCold {
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -51,7 +51,7 @@
 func TestUnreadableAdviceIsToldOnceALife(t *testing.T) {
 	r, s := limitedRegistry()
 	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
-	spoilt := Signals{LimitUnreadable: true, Unreadable: []string{"a header"}}
+	spoilt := Signals{RateLimitInvalid: true, Unreadable: []string{"a header"}}
 	require.Equal(t, News{Unreadable: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
 	require.Equal(t, 1, r.Limited())
