--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -81,7 +81,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	was := r.role.Reading()
-	turn := r.role.Turn(look)
+	turn := r.role.MayTryStore(look)
 	r.changed(was, turn, look.ProcessCount)
 	return turn
 }
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -160,9 +160,9 @@
 	return r.volunteer(l)
 }
 
-// Turn decides whether this process tries the store although others seem to read it: it
+// MayTryStore decides whether this process tries the store although others seem to read it: it
 // hears nothing of what they read.
-func (r *Role) Turn(l Inputs) bool { return r.reading || r.volunteer(l) }
+func (r *Role) MayTryStore(l Inputs) bool { return r.reading || r.volunteer(l) }
 
 func (r *Role) volunteer(l Inputs) bool {
 	since := min(max(l.Now-r.looked, 0), longestLook)
