--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -18,8 +18,8 @@
 	agreePatience = 500 * time.Millisecond
 )
 
-// Agreed implements relay.Others.
-func (g *group) Agreed() bool { return g.agreed.Load() }
+// ConfigCurrent implements relay.Others.
+func (g *group) ConfigCurrent() bool { return g.agreed.Load() }
 
 // agree compares the configuration with the peers' before keys are trusted: a store that has
 // come back older shows a gateway that starts keys that were taken away.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -78,9 +78,9 @@
 type Peers interface {
 	// Known counts the processes, this one included; 0 if not known.
 	Known() int
-	// Agreed reports whether they know no newer configuration than the one that this process
+	// ConfigCurrent reports whether they know no newer configuration than the one that this process
 	// started with.
-	Agreed() bool
+	ConfigCurrent() bool
 	// Taking reports whether another process takes requests.
 	Taking() bool
 	// Nudge has them told at once of what has changed here: a generation, or a copy of
@@ -328,7 +328,7 @@
 func (r *Relay) authorize(j *job, cfg *routing.Config, age time.Duration) *Refusal {
 	// A key that was removed since the last confirmation would still be found, so
 	// beyond the bound no key is trusted; another VM may know better.
-	if r.KeysStale(age) || !r.Peers.Agreed() {
+	if r.KeysStale(age) || !r.Peers.ConfigCurrent() {
 		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 	}
 	team := cfg.Team(j.Key)
@@ -355,7 +355,7 @@
 // Ready reports whether requests with keys can be served.
 func (r *Relay) Ready() bool {
 	cfg, confirmed := r.Replica.Current()
-	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Peers.Agreed()
+	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Peers.ConfigCurrent()
 }
 
 // defaultWait bounds requests for which neither caller nor route says how long
