--- a/backends/advice.go
+++ b/backends/advice.go
@@ -18,9 +18,9 @@
 	RateLimit    float64
 	// RateLimitInvalid reports that it names one that means nothing.
 	RateLimitInvalid bool
-	// SaysCold reports that it says how much longer it is cold.
-	SaysCold bool
-	ColdFor  time.Duration
+	// HasColdFor reports that it says how much longer it is cold.
+	HasColdFor bool
+	ColdFor    time.Duration
 	// Leaving reports that it will end soon.
 	Leaving bool
 	// Rest is for how long it wants nothing of this process, 0 if it does not say.
@@ -164,7 +164,7 @@
 	case !a.RateLimitInvalid:
 		n.Lifted = s.limit.lift(sent, now)
 	}
-	if a.SaysCold {
+	if a.HasColdFor {
 		s.coldUntil = now + a.ColdFor
 	}
 	if a.Leaving {
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -137,7 +137,7 @@
 	c.ask(5*time.Second, 6*time.Second)
 	require.LessOrEqual(t, most(c.got["s-z0-0"], 5*time.Second, 6*time.Second), int(coldMost))
 	for _, r := range c.regs {
-		r.ApplySignals(coldServer(0, "z0", 0), Signals{SaysCold: true, ColdFor: coldTime}, 0, 8*time.Second)
+		r.ApplySignals(coldServer(0, "z0", 0), Signals{HasColdFor: true, ColdFor: coldTime}, 0, 8*time.Second)
 	}
 	c.ask(8*time.Second, 9*time.Second)
 	require.LessOrEqual(t, most(c.got["s-z0-0"], 8*time.Second, 9*time.Second), int(coldMost), "by its own report")
