--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -111,7 +111,7 @@
 // tables since it began to: until they know, more of them try every 50 ms.
 func (r *readerRole) answered() {
 	now, known := r.now()
-	if !known || now-r.group.answered() >= readers.Lapse {
+	if !known || now-r.group.answered() >= readers.AnswerTimeout {
 		return
 	}
 	r.mu.Lock()
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -14,10 +14,10 @@
 const Count = 2
 
 const (
-	// Lapse is the age of a reader's last answer from which it is not counted on: its calls
+	// AnswerTimeout is the age of a reader's last answer from which it is not counted on: its calls
 	// wait for a second, and what it says of itself reaches all others within 0.4 s over
 	// two or three links.
-	Lapse = 1800 * time.Millisecond
+	AnswerTimeout = 1800 * time.Millisecond
 	// volunteersPerSecond bounds how many processes in all try the store when there are
 	// too few readers. The first one tries after 50 ms on average, and what it hears
 	// reaches the others before many have tried too; each for itself would call.
@@ -100,7 +100,7 @@
 	}
 }
 
-func fresh(o Reader, now time.Duration) bool { return now-o.Answered < Lapse }
+func fresh(o Reader, now time.Duration) bool { return now-o.Answered < AnswerTimeout }
 
 // Readers lists those that read the store, as far as it is known here: what is told to
 // others. answered is when the store last answered this process.
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -172,7 +172,7 @@
 				f.dead[i] = r.Reading()
 			}
 			before := f.tries()
-			f.play(Lapse + 500*time.Millisecond)
+			f.play(AnswerTimeout + 500*time.Millisecond)
 			require.NotEmpty(t, f.reading(), "%d processes", n)
 			f.play(2 * time.Second)
 			require.Len(t, f.reading(), Count)
