--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -216,8 +216,8 @@
 	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return !s.GetStopping() })
 }
 
-// Nudge implements relay.Others.
-func (g *group) Nudge() { g.links.Nudge() }
+// Notify implements relay.Others.
+func (g *group) Notify() { g.links.Nudge() }
 
 // stop tells the peers that this gateway is stopping.
 func (g *group) stop() {
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -97,7 +97,7 @@
 func (n *node) lose(server string) {
 	l := n.registry.Rejoin(backends.Server{ID: server}, 0)
 	l.Release(backends.ResultLost, clock.SinceBoot())
-	n.group.Nudge()
+	n.group.Notify()
 }
 
 // Guards against every gateway meeting an ended server by requests of its own: the first one
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -18,18 +18,18 @@
 	}
 	if news.Leaving {
 		log.Info("server says in an answer that it is leaving")
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	}
 	if news.Rests {
 		log.WithField("for_ms", a.Rest.Milliseconds()).Info("server asks for rest")
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	}
 	switch {
 	case news.Limited:
 		log.WithField("per_second", a.RateLimit).Info("server names a limit")
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	case news.Lifted:
 		log.Info("server names no limit any more")
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	}
 }
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -58,7 +58,7 @@
 	told func()
 }
 
-func (n *nudger) Nudge() { go n.told() }
+func (n *nudger) Notify() { go n.told() }
 
 func newCrashPlay(t *testing.T) *crashPlay {
 	p := &crashPlay{t: t, ended: make(map[string]bool), refusedAt: make(map[int]int)}
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -133,7 +133,7 @@
 // too.
 func (r *Relay) conclude(q *inquest) {
 	if r.Registry.MarkDown(q.server, r.Now()) {
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	}
 	time.AfterFunc(gatherTime, func() {
 		r.endedUnder(q)
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -57,7 +57,7 @@
 func (o *others) Taking() bool        { return o.taking }
 func (o *others) ConfigCurrent() bool { return true }
 
-func (o *others) Nudge() {
+func (o *others) Notify() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.nudges++
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -249,7 +249,7 @@
 		return nil
 	}
 	r.charge(j, l)
-	r.Peers.Nudge()
+	r.Peers.Notify()
 	return lease
 }
 
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -350,7 +350,7 @@
 	anyRoom.MostUsed = 0
 	for _, q := range []backends.Query{first, q, anyRoom} {
 		if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
-			r.Peers.Nudge()
+			r.Peers.Notify()
 			return lease
 		}
 	}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -102,7 +102,7 @@
 	}
 	r.Observer.Attempt(j.service, "lost")
 	lease.Release(backends.ResultLost, r.Now())
-	r.Peers.Nudge()
+	r.Peers.Notify()
 	r.broke(ctx, j, lease.Server)
 	if !j.mayRepeat() {
 		return r.refuse(j, ReasonLost)
@@ -118,7 +118,7 @@
 		j.reached--
 	}
 	if why == NotRunDown {
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -83,9 +83,9 @@
 	ConfigCurrent() bool
 	// Taking reports whether another process takes requests.
 	Taking() bool
-	// Nudge has them told at once of what has changed here: a generation, or a copy of
+	// Notify has them told at once of what has changed here: a generation, or a copy of
 	// one, was put on an engine, or a server fails.
-	Nudge()
+	Notify()
 	// Queued tells them what waits here for a service; the name is left out.
 	Queued(service string, q flow.Contender)
 	// Used tells them what the teams that use a service most have used here, and
--- a/internal/relay/scout.go
+++ b/internal/relay/scout.go
@@ -52,7 +52,7 @@
 				return
 			}
 			if leaving && r.Registry.MarkLeaving(s) {
-				r.Peers.Nudge()
+				r.Peers.Notify()
 			}
 		})
 	}
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -45,7 +45,7 @@
 	t := time.AfterFunc(wait, func() {
 		late()
 		j.log.WithFields(logrus.Fields{"server": lease.Server.ID, "after_ms": wait.Milliseconds(), "prompt": lease.Prompt}).Info("server does not begin to answer")
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	})
 	return func() { t.Stop() }
 }
