--- a/backends/advice.go
+++ b/backends/advice.go
@@ -23,8 +23,8 @@
 	ColdFor    time.Duration
 	// Leaving reports that it will end soon.
 	Leaving bool
-	// Rest is for how long it wants nothing of this process, 0 if it does not say.
-	Rest time.Duration
+	// Backoff is for how long it wants nothing of this process, 0 if it does not say.
+	Backoff time.Duration
 	// Unreadable names the headers whose values mean nothing.
 	Unreadable []string
 }
@@ -171,9 +171,9 @@
 		n.Leaving = !s.reported
 		left = s.report(nil, NoticeReported)
 	}
-	if a.Rest > 0 {
+	if a.Backoff > 0 {
 		n.Rests = now >= s.restUntil
-		s.restUntil = max(s.restUntil, now+a.Rest)
+		s.restUntil = max(s.restUntil, now+a.Backoff)
 	}
 	if len(a.Unreadable) > 0 && !s.unreadableAdvice {
 		s.unreadableAdvice, n.Unreadable = true, true
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -200,15 +200,15 @@
 // request, and against the rest of a life that is over.
 func TestLongestRestCounts(t *testing.T) {
 	r, s := limitedRegistry()
-	require.Equal(t, News{Rests: true}, r.ApplySignals(s, Signals{Rest: 3 * time.Second}, 0, time.Second))
-	require.Equal(t, News{}, r.ApplySignals(s, Signals{Rest: time.Second}, 0, 2*time.Second))
+	require.Equal(t, News{Rests: true}, r.ApplySignals(s, Signals{Backoff: 3 * time.Second}, 0, time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{Backoff: time.Second}, 0, 2*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{}, 500*time.Millisecond, 3*time.Second), "an answer to an earlier request")
 	require.Nil(t, r.Acquire(Query{Service: svc}, 3900*time.Millisecond))
 	require.Nil(t, r.Acquire(Query{Service: svc, Copy: true}, 3900*time.Millisecond))
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
 	lease.Release(ResultOK, 4*time.Second)
-	r.ApplySignals(s, Signals{Rest: MostRest}, 0, 5*time.Second)
+	r.ApplySignals(s, Signals{Backoff: MostRest}, 0, 5*time.Second)
 	again := s
 	again.StartTime = 2
 	r.Put(again, 6*time.Second)
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -21,7 +21,7 @@
 		r.Peers.Notify()
 	}
 	if news.Rests {
-		log.WithField("for_ms", a.Rest.Milliseconds()).Info("server asks for rest")
+		log.WithField("for_ms", a.Backoff.Milliseconds()).Info("server asks for rest")
 		r.Peers.Notify()
 	}
 	switch {
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -183,7 +183,7 @@
 		w := newWorld(t, Config{})
 		a, b := w.server("a", deskService), w.server("b", deskService)
 		w.relay.Advised(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
-		w.relay.Advised(b, backends.Signals{Rest: 450 * time.Millisecond}, 0)
+		w.relay.Advised(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
 		lost := false
 		w.up.send = func(_ context.Context, at *Attempt) (*Answer, error) {
 			if at.Request.Path == "/safe/x" && !lost {
