--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -427,7 +427,7 @@
 		time.Sleep(10 * time.Millisecond)
 		before := store.called()
 		for range 5 {
-			f.Heard(Position{Changed: revision.At(0, 99), Revision: revision.At(0, 99)})
+			f.ReceivePosition(Position{Changed: revision.At(0, 99), Revision: revision.At(0, 99)})
 			time.Sleep(100 * time.Millisecond)
 		}
 		require.Equal(t, before, store.called())
--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -154,7 +154,7 @@
 		calls := store.called()
 		for range 600 {
 			time.Sleep(300 * time.Millisecond)
-			f.Heard(Position{Changed: revision.At(0, 1), Revision: revision.At(0, 5), Clock: time.Since(store.start)})
+			f.ReceivePosition(Position{Changed: revision.At(0, 1), Revision: revision.At(0, 5), Clock: time.Since(store.start)})
 			require.Less(t, sink.age(now()), 10*time.Millisecond)
 		}
 		require.Equal(t, calls, store.called())
@@ -176,7 +176,7 @@
 		})
 		time.Sleep(10 * time.Millisecond)
 		time.Sleep(time.Second)
-		f.Heard(Position{Changed: revision.At(0, 3), Revision: revision.At(0, 3), Clock: time.Since(store.start)})
+		f.ReceivePosition(Position{Changed: revision.At(0, 3), Revision: revision.At(0, 3), Clock: time.Since(store.start)})
 		time.Sleep(10 * time.Millisecond)
 		require.GreaterOrEqual(t, sink.age(now()), time.Second)
 	})
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -112,10 +112,10 @@
 	f.nudge()
 }
 
-// Heard takes how far another process is. One that this process has all changes of confirms
+// ReceivePosition takes how far another process is. One that this process has all changes of confirms
 // the own copy as it is: no page has to come in for that. From one that is further the
 // difference is fetched.
-func (f *Follower) Heard(p Position) {
+func (f *Follower) ReceivePosition(p Position) {
 	f.mu.Lock()
 	own, synced := f.position(), f.synced
 	if !synced {
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -166,7 +166,7 @@
 func (g *group) positionsHeard(list []*peerv1.Position) {
 	for _, p := range list {
 		if f := g.followers[p.GetTable()]; f != nil {
-			f.Heard(positionOf(p))
+			f.ReceivePosition(positionOf(p))
 		}
 	}
 }
