--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -211,8 +211,8 @@
 // Known implements relay.Others.
 func (g *group) Known() int { return g.links.Known() }
 
-// Taking implements relay.Others.
-func (g *group) Taking() bool {
+// AcceptingRequests implements relay.Others.
+func (g *group) AcceptingRequests() bool {
 	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return !s.GetStopping() })
 }
 
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -38,7 +38,7 @@
 	defer r.mu.Unlock()
 	// Where all stop at once, a caller that is sent away meets the next one that
 	// stops; there the request has its best chance here.
-	if r.ends.IsZero() || time.Now().Before(r.lastCall) && !r.Peers.Taking() {
+	if r.ends.IsZero() || time.Now().Before(r.lastCall) && !r.Peers.AcceptingRequests() {
 		return false
 	}
 	// A wrong estimate costs a caller its whole answer, a refusal a few milliseconds.
@@ -54,7 +54,7 @@
 
 // moveOn is when a caller that is sent to another VM may come back.
 func (r *Relay) moveOn() time.Duration {
-	if r.Peers.Taking() {
+	if r.Peers.AcceptingRequests() {
 		return movedOn
 	}
 	return restartTime
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -53,9 +53,9 @@
 	usage  []flow.Usage
 }
 
-func (o *others) Known() int          { return o.known }
-func (o *others) Taking() bool        { return o.taking }
-func (o *others) ConfigCurrent() bool { return true }
+func (o *others) Known() int              { return o.known }
+func (o *others) AcceptingRequests() bool { return o.taking }
+func (o *others) ConfigCurrent() bool     { return true }
 
 func (o *others) Notify() {
 	o.mu.Lock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -81,8 +81,8 @@
 	// ConfigCurrent reports whether they know no newer configuration than the one that this process
 	// started with.
 	ConfigCurrent() bool
-	// Taking reports whether another process takes requests.
-	Taking() bool
+	// AcceptingRequests reports whether another process takes requests.
+	AcceptingRequests() bool
 	// Notify has them told at once of what has changed here: a generation, or a copy of
 	// one, was put on an engine, or a server fails.
 	Notify()
