--- a/backends/advice.go
+++ b/backends/advice.go
@@ -25,8 +25,8 @@
 	Leaving bool
 	// Backoff is for how long it wants nothing of this process, 0 if it does not say.
 	Backoff time.Duration
-	// Unreadable names the headers whose values mean nothing.
-	Unreadable []string
+	// InvalidHeaders names the headers whose values mean nothing.
+	InvalidHeaders []string
 }
 
 // News is what Advised has learnt.
@@ -175,7 +175,7 @@
 		n.Rests = now >= s.restUntil
 		s.restUntil = max(s.restUntil, now+a.Backoff)
 	}
-	if len(a.Unreadable) > 0 && !s.unreadableAdvice {
+	if len(a.InvalidHeaders) > 0 && !s.unreadableAdvice {
 		s.unreadableAdvice, n.Unreadable = true, true
 	}
 	return n, left
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -51,11 +51,11 @@
 func TestUnreadableAdviceIsToldOnceALife(t *testing.T) {
 	r, s := limitedRegistry()
 	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
-	spoilt := Signals{RateLimitInvalid: true, Unreadable: []string{"a header"}}
+	spoilt := Signals{RateLimitInvalid: true, InvalidHeaders: []string{"a header"}}
 	require.Equal(t, News{Unreadable: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
 	require.Equal(t, 1, r.Limited())
-	other := Signals{Unreadable: []string{"another header"}}
+	other := Signals{InvalidHeaders: []string{"another header"}}
 	require.Equal(t, News{Lifted: true}, r.ApplySignals(s, other, 6*time.Second, 7*time.Second), "it names no limit")
 }
 
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -14,7 +14,7 @@
 	news := r.Registry.ApplySignals(s, a, begun, r.Now())
 	log := r.Log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service})
 	if news.Unreadable {
-		log.WithField("headers", a.Unreadable).Warn("server says something of itself that means nothing")
+		log.WithField("headers", a.InvalidHeaders).Warn("server says something of itself that means nothing")
 	}
 	if news.Leaving {
 		log.Info("server says in an answer that it is leaving")
