--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -313,7 +313,7 @@
 			reads: func(bool) bool { return true },
 			shared: func(s Shared) {
 				if f := peer.Load(); f != nil && !silent.Load() {
-					f.Offer(s)
+					f.ReceivePage(s)
 				}
 			},
 		})
@@ -346,7 +346,7 @@
 		time.Sleep(10 * time.Millisecond)
 		store.put("a", "2")
 		store.put("b", "1")
-		f.Offer(Shared{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 3), Clock: time.Since(store.start), Rows: []Row{{Key: "b", Value: []byte("1"), Revision: revision.At(0, 3)}}}})
+		f.ReceivePage(Shared{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 3), Clock: time.Since(store.start), Rows: []Row{{Key: "b", Value: []byte("1"), Revision: revision.At(0, 3)}}}})
 		time.Sleep(10 * time.Millisecond)
 		require.Equal(t, "2", sink.get("a"))
 		require.Equal(t, "1", sink.get("b"))
@@ -365,8 +365,8 @@
 			rev := revision.At(0, version)
 			return Page{Revision: rev, Clock: time.Since(store.start), Rows: []Row{{Key: "a", Value: []byte(v), Revision: rev}}}
 		}
-		f.Offer(Shared{Since: revision.At(0, 1), Page: row("3", 3)})
-		f.Offer(Shared{Since: revision.At(0, 1), Page: row("2", 2)})
+		f.ReceivePage(Shared{Since: revision.At(0, 1), Page: row("3", 3)})
+		f.ReceivePage(Shared{Since: revision.At(0, 1), Page: row("2", 2)})
 		require.Equal(t, "3", sink.get("a"))
 	})
 }
@@ -406,7 +406,7 @@
 			time.Sleep(10 * time.Millisecond)
 			store.put("a", "2")
 			before := store.called()
-			f.Offer(Shared{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 2), Clock: time.Since(store.start)}})
+			f.ReceivePage(Shared{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 2), Clock: time.Since(store.start)}})
 			time.Sleep(10 * time.Millisecond)
 			require.Equal(t, "2", sink.get("a"))
 			require.Equal(t, 1, fetched)
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// Offer takes a page that another process has read. One that leaves a gap is not
+// ReceivePage takes a page that another process has read. One that leaves a gap is not
 // taken; the changes between are then fetched, or read from the store.
-func (f *Follower) Offer(s Shared) {
+func (f *Follower) ReceivePage(s Shared) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -205,7 +205,7 @@
 	if p.GetTable() == operator.Table {
 		g.config.announced(peer)
 	}
-	f.Offer(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
+	f.ReceivePage(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
 // Known implements relay.Others.
