--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -249,8 +249,8 @@
 // refuseHeld is the refusal of a request under which servers end. One that has not run is
 // told to come back when its verdict ends, and so not before.
 func (j *job) refuseHeld(left time.Duration) *Refusal {
-	f := &Refusal{Reason: ReasonHarmful, Run: j.ran > 0, Content: j.id().String()}
-	if !f.Run {
+	f := &Refusal{Reason: ReasonHarmful, MayHaveRun: j.ran > 0, Content: j.id().String()}
+	if !f.MayHaveRun {
 		f.RetryAfter = left
 	}
 	return f
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -266,7 +266,7 @@
 // crowded refuses a request for too much load.
 func (r *Relay) crowded(j *job) *Refusal {
 	f := r.refuse(j, ReasonNoRoom)
-	if !f.Run {
+	if !f.MayHaveRun {
 		part := returnSoonest + (returnLatest-returnSoonest)*rand.Float64()
 		f.RetryAfter = max(f.RetryAfter, time.Duration(part*float64(j.left())/callersWait))
 	}
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -108,7 +108,7 @@
 	if p.Bounded {
 		turn = min(turn, latestReturn)
 	}
-	if !f.Run {
+	if !f.MayHaveRun {
 		f.RetryAfter = max(f.RetryAfter, turn+time.Duration(rand.Float64()*float64(returnSpread)))
 	}
 	return f
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -106,7 +106,7 @@
 			begun := time.Now()
 			c := w.serve(request("/urgent/x"))
 			require.Equal(t, ReasonNoRoom, c.refusal.Reason)
-			require.False(t, c.refusal.Run)
+			require.False(t, c.refusal.MayHaveRun)
 			require.Zero(t, time.Since(begun))
 			require.Greater(t, c.refusal.RetryAfter, 5*time.Second, "the next look at the server")
 		}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -218,7 +218,7 @@
 		return nil
 	}
 	f := r.refuse(j, ReasonCordoned)
-	if !f.Run {
+	if !f.MayHaveRun {
 		f.RetryAfter = cordonReturn + time.Duration(rand.Float64()*float64(returnSpread))
 	}
 	return f
@@ -233,8 +233,8 @@
 
 // refuse is the refusal of a request that may have been sent before.
 func (r *Relay) refuse(j *job, why Reason) *Refusal {
-	f := &Refusal{Reason: why, Run: j.ran > 0}
-	if !f.Run {
+	f := &Refusal{Reason: why, MayHaveRun: j.ran > 0}
+	if !f.MayHaveRun {
 		f.RetryAfter = returnBase + time.Duration(rand.Float64()*float64(returnSpread))
 	}
 	return f
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -75,7 +75,7 @@
 	if left, barred := r.barred(j); barred {
 		f = *j.refuseHeld(left)
 	}
-	j.log.WithField("content", f.Content).WithField("reason", f.Reason).WithField("may_have_run", f.Run).WithField("retry_after_ms", f.RetryAfter.Milliseconds()).Info("gave up")
+	j.log.WithField("content", f.Content).WithField("reason", f.Reason).WithField("may_have_run", f.MayHaveRun).WithField("retry_after_ms", f.RetryAfter.Milliseconds()).Info("gave up")
 	out.Refuse(f)
 	return string(f.Reason)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -47,7 +47,7 @@
 		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, errReset }
 		c := w.serve(request("/once/x"))
 		require.Len(t, w.up.sent, 1)
-		require.True(t, c.refusal.Run)
+		require.True(t, c.refusal.MayHaveRun)
 		require.Zero(t, c.refusal.RetryAfter)
 	})
 }
@@ -68,7 +68,7 @@
 			return nil, &NotRunError{Reason: RefusedFull}
 		}
 		c := w.serve(request("/safe/x"))
-		require.True(t, c.refusal.Run)
+		require.True(t, c.refusal.MayHaveRun)
 	})
 }
 
@@ -108,7 +108,7 @@
 			return a, nil
 		}
 		c := w.serve(request("/once/x"))
-		require.True(t, c.refusal.Run)
+		require.True(t, c.refusal.MayHaveRun)
 		require.Empty(t, c.body.String())
 	})
 }
@@ -126,7 +126,7 @@
 		const requests = 100
 		for range requests {
 			c := w.serve(request("/once/x"))
-			require.False(t, c.refusal.Run)
+			require.False(t, c.refusal.MayHaveRun)
 			require.Positive(t, c.refusal.RetryAfter)
 		}
 		require.LessOrEqual(t, len(w.up.sent)-requests, requests/5+5)
@@ -147,7 +147,7 @@
 		time.Sleep(4500 * time.Millisecond)
 		c := w.serve(request("/once/x"))
 		require.Equal(t, ReasonStale, c.refusal.Reason)
-		require.False(t, c.refusal.Run)
+		require.False(t, c.refusal.MayHaveRun)
 		require.False(t, w.relay.Ready())
 		open := request("/open/x")
 		open.Key = ""
@@ -204,7 +204,7 @@
 		c := w.serve(request("/once/x"))
 		require.Equal(t, time.Second, time.Since(begun))
 		require.Equal(t, ReasonDeadline, c.refusal.Reason)
-		require.True(t, c.refusal.Run)
+		require.True(t, c.refusal.MayHaveRun)
 	})
 }
 
@@ -216,7 +216,7 @@
 		begun := time.Now()
 		c := w.serve(request("/once/x"))
 		require.Equal(t, ReasonNoServer, c.refusal.Reason)
-		require.False(t, c.refusal.Run)
+		require.False(t, c.refusal.MayHaveRun)
 		require.Positive(t, c.refusal.RetryAfter)
 		require.Less(t, time.Since(begun), 150*time.Millisecond)
 	})
@@ -257,7 +257,7 @@
 		w.registry.SetRemote("vm-2", map[string]backends.Load{"b": {Running: 3}})
 		require.Equal(t, http.StatusOK, w.serve(request("/once/x")).status)
 		require.Equal(t, []string{"a", "b"}, w.up.servers())
-		require.True(t, (<-first).refusal.Run)
+		require.True(t, (<-first).refusal.MayHaveRun)
 	})
 }
 
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -53,7 +53,7 @@
 			begun := time.Now()
 			c := w.serve(request(path))
 			require.Zero(t, time.Since(begun), service)
-			require.False(t, c.refusal.Run)
+			require.False(t, c.refusal.MayHaveRun)
 			require.GreaterOrEqual(t, c.refusal.RetryAfter, rest, service)
 			require.Less(t, c.refusal.RetryAfter, rest+time.Second, service)
 			require.Empty(t, w.up.sent)
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -178,7 +178,7 @@
 		w.relay.EndAt(time.Now().Add(5*time.Second), time.Now().Add(2*time.Second))
 		c := w.serve(request("/plan/x"))
 		require.Equal(t, ReasonStopping, c.refusal.Reason)
-		require.False(t, c.refusal.Run)
+		require.False(t, c.refusal.MayHaveRun)
 		require.Empty(t, w.up.sent)
 		w.serve(request("/once/x")).whole(t, "ok")
 
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -191,8 +191,8 @@
 // Refusal is a final answer of the system's own.
 type Refusal struct {
 	Reason Reason
-	// Run says that the request may have run.
-	Run bool
+	// MayHaveRun says that the request may have run.
+	MayHaveRun bool
 	// RetryAfter is when to come back, for a request that has not run.
 	RetryAfter time.Duration
 	// Content identifies what a harmful request asks for, for the log.
