--- a/backends/advice.go
+++ b/backends/advice.go
@@ -36,8 +36,8 @@
 	Limited, Lifted bool
 	// Leaving reports the first answer that says that the server is leaving.
 	Leaving bool
-	// Rests reports that the server rests from now on.
-	Rests bool
+	// BackoffStarted reports that the server rests from now on.
+	BackoffStarted bool
 	// Unreadable reports the first advice of the server's life that means nothing.
 	Unreadable bool
 }
@@ -172,7 +172,7 @@
 		left = s.report(nil, NoticeReported)
 	}
 	if a.Backoff > 0 {
-		n.Rests = now >= s.restUntil
+		n.BackoffStarted = now >= s.restUntil
 		s.restUntil = max(s.restUntil, now+a.Backoff)
 	}
 	if len(a.InvalidHeaders) > 0 && !s.unreadableAdvice {
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -200,7 +200,7 @@
 // request, and against the rest of a life that is over.
 func TestLongestRestCounts(t *testing.T) {
 	r, s := limitedRegistry()
-	require.Equal(t, News{Rests: true}, r.ApplySignals(s, Signals{Backoff: 3 * time.Second}, 0, time.Second))
+	require.Equal(t, News{BackoffStarted: true}, r.ApplySignals(s, Signals{Backoff: 3 * time.Second}, 0, time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{Backoff: time.Second}, 0, 2*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{}, 500*time.Millisecond, 3*time.Second), "an answer to an earlier request")
 	require.Nil(t, r.Acquire(Query{Service: svc}, 3900*time.Millisecond))
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -20,7 +20,7 @@
 		log.Info("server says in an answer that it is leaving")
 		r.Peers.Notify()
 	}
-	if news.Rests {
+	if news.BackoffStarted {
 		log.WithField("for_ms", a.Backoff.Milliseconds()).Info("server asks for rest")
 		r.Peers.Notify()
 	}
