--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -50,8 +50,8 @@
 	return f.filled
 }
 
-// Away reports whether the table cannot be read, here or by others.
-func (f *Follower) Away() bool {
+// IsUnavailable reports whether the table cannot be read, here or by others.
+func (f *Follower) IsUnavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := f.now() - f.made
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -241,7 +241,7 @@
 	g.wg.Go(func() { gateways.Run(ctx) })
 	g.wg.Go(func() { g.group.join(ctx) })
 	g.wg.Go(func() { g.group.agree(ctx) })
-	g.wg.Go(func() { g.relay.RunProber(ctx, g.directory.Away) })
+	g.wg.Go(func() { g.relay.RunProber(ctx, g.directory.IsUnavailable) })
 	g.wg.Go(func() { g.tend(ctx) })
 	g.wg.Go(func() { g.group.logControl(ctx) })
 	g.wg.Go(func() { g.group.suspects.tend(ctx) })
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -136,7 +136,7 @@
 	c.send(generation(fleet.PlanPath))
 	nodes[0].eventually(func() bool { return engine.Running() == 1 }, "running")
 	s.fleet.Store.SetFault(fleet.Busy)
-	nodes[0].eventually(nodes[0].directory.Away, "the store is away")
+	nodes[0].eventually(nodes[0].directory.IsUnavailable, "the store is away")
 	left := time.Now()
 	engine.Drain(true)
 	for _, n := range nodes {
