--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -100,8 +100,8 @@
 	return s.book.TrialDue(id, now)
 }
 
-// Try implements relay.Suspects.
-func (s *suspects) Try(id quarantine.ID) (tried bool) {
+// StartTrial implements relay.Suspects.
+func (s *suspects) StartTrial(id quarantine.ID) (tried bool) {
 	now, known := s.group.role.now()
 	if !known {
 		return false
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -230,7 +230,7 @@
 		return 0, false
 	}
 	left, held = r.convicted(j)
-	if held && j.sent == 0 && r.Quarantine.Try(j.id()) {
+	if held && j.sent == 0 && r.Quarantine.StartTrial(j.id()) {
 		j.trial = true
 		return 0, false
 	}
@@ -262,7 +262,7 @@
 func (noSuspects) Any() bool                                       { return false }
 func (noSuspects) Quarantined(quarantine.ID) (time.Duration, bool) { return 0, false }
 func (noSuspects) Due(quarantine.ID) bool                          { return false }
-func (noSuspects) Try(quarantine.ID) bool                          { return false }
+func (noSuspects) StartTrial(quarantine.ID) bool                   { return false }
 func (noSuspects) NearThreshold(quarantine.ID) bool                { return false }
 func (noSuspects) Crashed(backends.Server, []quarantine.ID)        {}
 func (noSuspects) Answered(quarantine.ID)                          {}
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -152,7 +152,7 @@
 	return l.book.TrialDue(id, l.now())
 }
 
-func (l *ledger) Try(id quarantine.ID) bool {
+func (l *ledger) StartTrial(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, tried := l.book.StartTrial(id, l.now())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -63,9 +63,9 @@
 	Quarantined(id quarantine.ID) (left time.Duration, held bool)
 	// Due reports whether a request that is held is to be tried.
 	Due(id quarantine.ID) bool
-	// Try reports whether a request that is held may be sent to one server all the same, to
+	// StartTrial reports whether a request that is held may be sent to one server all the same, to
 	// see whether it is harmful. It says so once.
-	Try(id quarantine.ID) bool
+	StartTrial(id quarantine.ID) bool
 	// NearThreshold reports whether a request would be held if one more server ended under it.
 	NearThreshold(id quarantine.ID) bool
 	// Crashed is told of a server that has ended, and of the requests that ran there.
