--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -30,7 +30,7 @@
 		require.Equal(t, News{}, r.ApplySignals(s, Signals{}, begun, 4*time.Second), "asked at %v", begun)
 		require.Equal(t, 1, r.Limited())
 	}
-	require.Equal(t, News{Lifted: true}, r.ApplySignals(s, Signals{}, 3100*time.Millisecond, 4*time.Second))
+	require.Equal(t, News{RateLimitRemoved: true}, r.ApplySignals(s, Signals{}, 3100*time.Millisecond, 4*time.Second))
 	require.Zero(t, r.Limited())
 }
 
@@ -56,7 +56,7 @@
 	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
 	require.Equal(t, 1, r.Limited())
 	other := Signals{InvalidHeaders: []string{"another header"}}
-	require.Equal(t, News{Lifted: true}, r.ApplySignals(s, other, 6*time.Second, 7*time.Second), "it names no limit")
+	require.Equal(t, News{RateLimitRemoved: true}, r.ApplySignals(s, other, 6*time.Second, 7*time.Second), "it names no limit")
 }
 
 // Guards against gateways that disagree for ever on a limit because they hear of it in another
@@ -251,7 +251,7 @@
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
 		for _, a := range []Signals{{HasRateLimit: true, RateLimit: 5}, {}} {
 			n := r.ApplySignals(s, a, now+time.Millisecond, now)
-			if n.Limited || n.Lifted {
+			if n.Limited || n.RateLimitRemoved {
 				news++
 			}
 			require.Equal(t, a.HasRateLimit, r.Limited() == 1, "what is believed follows each answer")
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -28,7 +28,7 @@
 	case news.Limited:
 		log.WithField("per_second", a.RateLimit).Info("server names a limit")
 		r.Peers.Notify()
-	case news.Lifted:
+	case news.RateLimitRemoved:
 		log.Info("server names no limit any more")
 		r.Peers.Notify()
 	}
