--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -191,7 +191,7 @@
 		if f.startFromPeer(ctx) {
 			return nil
 		}
-		if !f.sharing.Turn(f.without()) {
+		if !f.sharing.MayCallStore(f.without()) {
 			f.await(ctx)
 			return nil
 		}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -202,7 +202,7 @@
 
 func (f fixedSharing) Reading() bool { return f.reading }
 
-func (f fixedSharing) Turn(time.Duration) bool { return true }
+func (f fixedSharing) MayCallStore(time.Duration) bool { return true }
 
 func (f fixedSharing) Fetch(context.Context, revision.Revision) (Page, error) {
 	if f.fetch == nil {
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -30,10 +30,10 @@
 	// the others live on what they are told. reached says whether the store
 	// answered this process last.
 	Reads(reached bool) bool
-	// Turn reports whether this process may call the store although it is not one of
+	// MayCallStore reports whether this process may call the store although it is not one of
 	// those: it hears nothing of them, or has been without a table for some time. Of many
 	// processes that ask, few may at the same time.
-	Turn(without time.Duration) bool
+	MayCallStore(without time.Duration) bool
 	// Share passes on a page that was read.
 	Share(s Shared)
 	// Reading reports whether another process says that a long answer of the store is
@@ -56,7 +56,7 @@
 		return false
 	}
 	if silent {
-		return !f.sharing.Turn(0)
+		return !f.sharing.MayCallStore(0)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -59,9 +59,9 @@
 	return sharing{s.group, operator.Table}.Reads(reached)
 }
 
-// Turn implements follow.Sharing.
-func (s *configSharing) Turn(without time.Duration) bool {
-	return sharing{s.group, operator.Table}.Turn(without)
+// MayCallStore implements follow.Sharing.
+func (s *configSharing) MayCallStore(without time.Duration) bool {
+	return sharing{s.group, operator.Table}.MayCallStore(without)
 }
 
 // Share implements follow.Sharing: of changes only their revision is announced.
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -203,8 +203,8 @@
 // Reads implements follow.Sharing.
 func (s sharing) Reads(reached bool) bool { return s.role.reads(s.storeTime(), reached) }
 
-// Turn implements follow.Sharing.
-func (s sharing) Turn(without time.Duration) bool { return s.role.turn(s.storeTime(), without) }
+// MayCallStore implements follow.Sharing.
+func (s sharing) MayCallStore(without time.Duration) bool { return s.role.turn(s.storeTime(), without) }
 
 // storeTime is the store's clock, or any steady one while it is not known: a gateway that
 // knows none has heard of no readers.
