--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -89,8 +89,8 @@
 	return s.book.Quarantined(id, now)
 }
 
-// Due implements relay.Suspects.
-func (s *suspects) Due(id quarantine.ID) bool {
+// TrialDue implements relay.Suspects.
+func (s *suspects) TrialDue(id quarantine.ID) bool {
 	now, known := s.group.role.now()
 	if !known {
 		return false
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -220,7 +220,7 @@
 // has shown nothing.
 func (r *Relay) barred(j *job) (left time.Duration, barred bool) {
 	left, held := r.convicted(j)
-	return left, held && !(j.sent == 0 && r.Quarantine.Due(j.id()))
+	return left, held && !(j.sent == 0 && r.Quarantine.TrialDue(j.id()))
 }
 
 // held reports whether a request must not be sent to a server next; only its own goroutine
@@ -261,7 +261,7 @@
 
 func (noSuspects) Any() bool                                       { return false }
 func (noSuspects) Quarantined(quarantine.ID) (time.Duration, bool) { return 0, false }
-func (noSuspects) Due(quarantine.ID) bool                          { return false }
+func (noSuspects) TrialDue(quarantine.ID) bool                     { return false }
 func (noSuspects) StartTrial(quarantine.ID) bool                   { return false }
 func (noSuspects) NearThreshold(quarantine.ID) bool                { return false }
 func (noSuspects) Crashed(backends.Server, []quarantine.ID)        {}
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -146,7 +146,7 @@
 	return l.book.Quarantined(id, l.now())
 }
 
-func (l *ledger) Due(id quarantine.ID) bool {
+func (l *ledger) TrialDue(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.book.TrialDue(id, l.now())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,8 +61,8 @@
 	Any() bool
 	// Quarantined reports whether a request must not be sent to servers, and for how much longer.
 	Quarantined(id quarantine.ID) (left time.Duration, held bool)
-	// Due reports whether a request that is held is to be tried.
-	Due(id quarantine.ID) bool
+	// TrialDue reports whether a request that is held is to be tried.
+	TrialDue(id quarantine.ID) bool
 	// StartTrial reports whether a request that is held may be sent to one server all the same, to
 	// see whether it is harmful. It says so once.
 	StartTrial(id quarantine.ID) bool
