--- a/backends/advice.go
+++ b/backends/advice.go
@@ -31,9 +31,9 @@
 
 // News is what Advised has learnt.
 type News struct {
-	// Limited reports that the server names a limit that it did not name before, RateLimitRemoved that
+	// RateLimitSet reports that the server names a limit that it did not name before, RateLimitRemoved that
 	// it names none any more.
-	Limited, RateLimitRemoved bool
+	RateLimitSet, RateLimitRemoved bool
 	// Leaving reports the first answer that says that the server is leaving.
 	Leaving bool
 	// BackoffStarted reports that the server rests from now on.
@@ -160,7 +160,7 @@
 	}
 	switch {
 	case a.HasRateLimit:
-		n.Limited = s.limit.name(a.RateLimit, now, now)
+		n.RateLimitSet = s.limit.name(a.RateLimit, now, now)
 	case !a.RateLimitInvalid:
 		n.RateLimitRemoved = s.limit.lift(sent, now)
 	}
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -24,7 +24,7 @@
 // and arrives after.
 func TestAnswerThatWasOvertakenLiftsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	require.True(t, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 1*time.Second, 2*time.Second).Limited)
+	require.True(t, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 1*time.Second, 2*time.Second).RateLimitSet)
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 2}, 1*time.Second, 3*time.Second), "named before")
 	for _, begun := range []time.Duration{0, time.Second, 3 * time.Second} {
 		require.Equal(t, News{}, r.ApplySignals(s, Signals{}, begun, 4*time.Second), "asked at %v", begun)
@@ -251,7 +251,7 @@
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
 		for _, a := range []Signals{{HasRateLimit: true, RateLimit: 5}, {}} {
 			n := r.ApplySignals(s, a, now+time.Millisecond, now)
-			if n.Limited || n.RateLimitRemoved {
+			if n.RateLimitSet || n.RateLimitRemoved {
 				news++
 			}
 			require.Equal(t, a.HasRateLimit, r.Limited() == 1, "what is believed follows each answer")
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -25,7 +25,7 @@
 		r.Peers.Notify()
 	}
 	switch {
-	case news.Limited:
+	case news.RateLimitSet:
 		log.WithField("per_second", a.RateLimit).Info("server names a limit")
 		r.Peers.Notify()
 	case news.RateLimitRemoved:
