--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -211,8 +211,8 @@
 	return f.fetch()
 }
 
-func (f fixedSharing) Reads(reached bool) bool { return f.reads(reached) }
-func (f fixedSharing) Share(s Shared)          { f.shared(s) }
+func (f fixedSharing) IsReader(reached bool) bool { return f.reads(reached) }
+func (f fixedSharing) Share(s Shared)             { f.shared(s) }
 
 func quiet() logrus.FieldLogger {
 	log := logrus.New()
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -26,10 +26,10 @@
 	// for everything. What it returns are rows to take, or where the other's copy is if the
 	// sink has them already. Errors: ErrNoPeer, or why it failed.
 	Fetch(ctx context.Context, since revision.Revision) (Page, error)
-	// Reads reports whether this process is one of those that read the store;
+	// IsReader reports whether this process is one of those that read the store;
 	// the others live on what they are told. reached says whether the store
 	// answered this process last.
-	Reads(reached bool) bool
+	IsReader(reached bool) bool
 	// MayCallStore reports whether this process may call the store although it is not one of
 	// those: it hears nothing of them, or has been without a table for some time. Of many
 	// processes that ask, few may at the same time.
@@ -52,7 +52,7 @@
 	alone := f.sharing == nil || !f.synced || f.gap() || f.behind
 	reached, silent := f.failures == 0, !alone && f.silent()
 	f.mu.Unlock()
-	if alone || f.sharing.Reads(reached) {
+	if alone || f.sharing.IsReader(reached) {
 		return false
 	}
 	if silent {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -54,9 +54,9 @@
 // table is the name of the table that holds the configuration.
 func (s *configSharing) table() string { return operator.Table }
 
-// Reads implements follow.Sharing.
-func (s *configSharing) Reads(reached bool) bool {
-	return sharing{s.group, operator.Table}.Reads(reached)
+// IsReader implements follow.Sharing.
+func (s *configSharing) IsReader(reached bool) bool {
+	return sharing{s.group, operator.Table}.IsReader(reached)
 }
 
 // MayCallStore implements follow.Sharing.
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// Reads implements follow.Sharing.
-func (s sharing) Reads(reached bool) bool { return s.role.reads(s.storeTime(), reached) }
+// IsReader implements follow.Sharing.
+func (s sharing) IsReader(reached bool) bool { return s.role.reads(s.storeTime(), reached) }
 
 // MayCallStore implements follow.Sharing.
 func (s sharing) MayCallStore(without time.Duration) bool { return s.role.turn(s.storeTime(), without) }
