--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -120,7 +120,7 @@
 		func(l *late) *upstream.Client {
 			return upstream.New(func(s backends.Server, a backends.Signals, begun time.Duration) {
 				if r := l.relay.Load(); r != nil {
-					r.Advised(s, a, begun)
+					r.HandleSignals(s, a, begun)
 				}
 			})
 		},
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -8,9 +8,9 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// Advised is told what a server says of itself in the head of an answer. begun is that of the
+// HandleSignals is told what a server says of itself in the head of an answer. begun is that of the
 // attempt that it answers, 0 if what the answer leaves out says nothing.
-func (r *Relay) Advised(s backends.Server, a backends.Signals, begun time.Duration) {
+func (r *Relay) HandleSignals(s backends.Server, a backends.Signals, begun time.Duration) {
 	news := r.Registry.ApplySignals(s, a, begun, r.Now())
 	log := r.Log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service})
 	if news.Unreadable {
--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -129,7 +129,7 @@
 				return answer(200, "ok"), nil
 			}
 			require.NoError(t, a.Recheck())
-			w.relay.Advised(a.Server, backends.Signals{Leaving: true}, 0)
+			w.relay.HandleSignals(a.Server, backends.Signals{Leaving: true}, 0)
 			err := a.Recheck()
 			require.Error(t, err)
 			a.From = &Copy{}
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -29,7 +29,7 @@
 	w.replica.Confirm(w.now())
 	for i := range servers {
 		s := w.server(fmt.Sprint("s", i), deskService)
-		w.relay.Advised(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
 	}
 	w.up.send = func(context.Context, *Attempt) (*Answer, error) {
 		time.Sleep(20 * time.Millisecond)
@@ -152,7 +152,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
 		s := w.server("b", deskService)
-		w.relay.Advised(s, backends.Signals{HasRateLimit: true}, 0)
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true}, 0)
 		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(500, "failed"), nil }
 		for range 3 {
 			begun := time.Now()
@@ -169,7 +169,7 @@
 		w := newWorld(t, Config{})
 		w.breakBesideACopy(func(sent *Attempt) {
 			copied := w.entry(strings.TrimSuffix(sent.Backup, ":1"), modelService)
-			w.relay.Advised(copied, backends.Signals{HasRateLimit: true}, 0)
+			w.relay.HandleSignals(copied, backends.Signals{HasRateLimit: true}, 0)
 			lease := w.registry.Acquire(backends.Query{Service: modelService, Tried: []string{sent.Server.ID}}, w.now())
 			lease.Release(backends.ResultInconclusive, w.now())
 		})
@@ -182,8 +182,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		a, b := w.server("a", deskService), w.server("b", deskService)
-		w.relay.Advised(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
-		w.relay.Advised(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
+		w.relay.HandleSignals(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
+		w.relay.HandleSignals(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
 		lost := false
 		w.up.send = func(_ context.Context, at *Attempt) (*Answer, error) {
 			if at.Request.Path == "/safe/x" && !lost {
@@ -213,7 +213,7 @@
 		w := newWorld(t, Config{})
 		w.server("full", deskService)
 		s := w.server("limited", deskService)
-		w.relay.Advised(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if a.Server.ID == "full" {
 				return nil, &NotRunError{Reason: RefusedFull}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -17,7 +17,7 @@
 	w := newWorld(t, Config{})
 	for i, rest := range rests {
 		s := w.server(string(rune('a'+i)), service)
-		w.relay.Advised(s, backends.Signals{Backoff: rest}, 0)
+		w.relay.HandleSignals(s, backends.Signals{Backoff: rest}, 0)
 	}
 	w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
 	return w
@@ -67,7 +67,7 @@
 		w := newWorld(t, Config{})
 		w.breakBesideACopy(func(*Attempt) {
 			for _, id := range []string{"a", "b"} {
-				w.relay.Advised(w.entry(id, modelService), backends.Signals{Backoff: time.Minute}, 0)
+				w.relay.HandleSignals(w.entry(id, modelService), backends.Signals{Backoff: time.Minute}, 0)
 			}
 		})
 	})
@@ -86,7 +86,7 @@
 		go w.serve(request("/plan/x"))
 		synctest.Wait()
 		w.up.setLeaving("a")
-		w.relay.Advised(s, backends.Signals{Backoff: time.Second}, 0)
+		w.relay.HandleSignals(s, backends.Signals{Backoff: time.Second}, 0)
 		w.relay.scout(t.Context())
 		_, leaving := w.registry.State(s)
 		require.False(t, leaving)
