--- a/backends/advice.go
+++ b/backends/advice.go
@@ -38,8 +38,8 @@
 	Leaving bool
 	// BackoffStarted reports that the server rests from now on.
 	BackoffStarted bool
-	// Unreadable reports the first advice of the server's life that means nothing.
-	Unreadable bool
+	// FirstInvalid reports the first advice of the server's life that means nothing.
+	FirstInvalid bool
 }
 
 // limit is what is known of the limit that a server names.
@@ -176,7 +176,7 @@
 		s.restUntil = max(s.restUntil, now+a.Backoff)
 	}
 	if len(a.InvalidHeaders) > 0 && !s.unreadableAdvice {
-		s.unreadableAdvice, n.Unreadable = true, true
+		s.unreadableAdvice, n.FirstInvalid = true, true
 	}
 	return n, left
 }
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -52,7 +52,7 @@
 	r, s := limitedRegistry()
 	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
 	spoilt := Signals{RateLimitInvalid: true, InvalidHeaders: []string{"a header"}}
-	require.Equal(t, News{Unreadable: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
+	require.Equal(t, News{FirstInvalid: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
 	require.Equal(t, 1, r.Limited())
 	other := Signals{InvalidHeaders: []string{"another header"}}
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -13,7 +13,7 @@
 func (r *Relay) HandleSignals(s backends.Server, a backends.Signals, begun time.Duration) {
 	news := r.Registry.ApplySignals(s, a, begun, r.Now())
 	log := r.Log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service})
-	if news.Unreadable {
+	if news.FirstInvalid {
 		log.WithField("headers", a.InvalidHeaders).Warn("server says something of itself that means nothing")
 	}
 	if news.Leaving {
