--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -161,8 +161,8 @@
 	f.confirm(joined.Clock, 0)
 }
 
-// Lacks reports whether a copy at a position has changes that this one has not.
-func (f *Follower) Lacks(p Position) bool {
+// IsBehind reports whether a copy at a position has changes that this one has not.
+func (f *Follower) IsBehind(p Position) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.synced || !f.position().Has(p)
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -133,7 +133,7 @@
 	f := g.followers[table]
 	for _, s := range g.links.Live() {
 		for _, p := range s.GetPositions() {
-			if p.GetTable() == table && f.Lacks(positionOf(p)) {
+			if p.GetTable() == table && f.IsBehind(positionOf(p)) {
 				out = append(out, s.GetFrom().GetName())
 			}
 		}
