--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -326,7 +326,7 @@
 	g.stopping.Store(true)
 	g.callers.Stop()
 	g.group.stop()
-	g.relay.EndAt(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
+	g.relay.SetShutdown(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
 	last := g.set.Load().Bounds.Shutdown - endMargin
 	for time.Since(begun) < last {
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -22,10 +22,10 @@
 	endReserve = 0.3
 )
 
-// EndAt tells when this process will be gone. Requests that would not be answered
+// SetShutdown tells when this process will be gone. Requests that would not be answered
 // by then are sent to other VMs, if there are any that take them, and from
 // lastCall on in any case: until then callers come who could not yet know.
-func (r *Relay) EndAt(t, lastCall time.Time) {
+func (r *Relay) SetShutdown(t, lastCall time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends, r.lastCall = t, lastCall
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -175,7 +175,7 @@
 			}()
 			return s.answer(), nil
 		}
-		w.relay.EndAt(time.Now().Add(5*time.Second), time.Now().Add(2*time.Second))
+		w.relay.SetShutdown(time.Now().Add(5*time.Second), time.Now().Add(2*time.Second))
 		c := w.serve(request("/plan/x"))
 		require.Equal(t, ReasonStopping, c.refusal.Reason)
 		require.False(t, c.refusal.MayHaveRun)
