--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -199,7 +199,7 @@
 		first := begins + time.Duration(promptTokens*int(time.Second)/promptSpeed)
 		e.idleAt = first
 		f.at(first, func() {
-			g.lease.Begun()
+			g.lease.FinishPrompt()
 			f.tell(g.gateway, first)
 		})
 		f.at(first+g.lasts, func() {
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -52,8 +52,8 @@
 	return l
 }
 
-// Begun notes that the server has read the prompt.
-func (l *Reservation) Begun() {
+// FinishPrompt notes that the server has read the prompt.
+func (l *Reservation) FinishPrompt() {
 	l.change(func(part Load) Load { return Load{Prompt: -part.Prompt} })
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -111,7 +111,7 @@
 	}
 	j.ran++
 	j.answering.Store(true)
-	lease.Begun()
+	lease.FinishPrompt()
 	if p.From == nil {
 		r.prompted(lease.Prompt+j.prompt(), p.at-p.Begun)
 	}
