--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -195,10 +195,10 @@
 			fetch: func() (Page, error) { return old, nil },
 		})
 		time.Sleep(5 * time.Second)
-		require.False(t, f.Filled())
+		require.False(t, f.HasTable())
 		f.SetClock(time.Since(store.start), now())
 		time.Sleep(time.Second)
-		require.True(t, f.Filled())
+		require.True(t, f.HasTable())
 		require.Equal(t, "1", sink.get("a"))
 		require.GreaterOrEqual(t, sink.age(now()), 5*time.Second)
 	})
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Filled reports whether the table has been read. It may be out of date since.
-func (f *Follower) Filled() bool {
+// HasTable reports whether the table has been read. It may be out of date since.
+func (f *Follower) HasTable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.filled
--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -27,7 +27,7 @@
 	begun := time.Now()
 	var known time.Time
 	for !g.agreed.Load() && wait.For(ctx, agreePoll) {
-		if g.config.replica.Version() == 0 || !g.followers[membersTable].Filled() && time.Since(begun) < tablesPatience {
+		if g.config.replica.Version() == 0 || !g.followers[membersTable].HasTable() && time.Since(begun) < tablesPatience {
 			continue
 		}
 		if known.IsZero() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -299,8 +299,8 @@
 // The table of gateways says under which requests servers end: one that does not know it
 // would send them on.
 func (g *Gateway) Ready() bool {
-	return !g.stopping.Load() && g.relay.Ready() && g.directory.Filled() &&
-		(g.group.followers[membersTable].Filled() || time.Since(g.started) > tablesPatience)
+	return !g.stopping.Load() && g.relay.Ready() && g.directory.HasTable() &&
+		(g.group.followers[membersTable].HasTable() || time.Since(g.started) > tablesPatience)
 }
 
 // tablesPatience is how long after its start a gateway waits for the table of gateways.
