--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -53,7 +53,7 @@
 func (r *Relay) sendCovered(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, error) {
 	cover := r.cover(j, lease.Server)
 	if cover != nil {
-		a.Backup = cover.Server.Address
+		a.StandbyAddress = cover.Server.Address
 	}
 	o, err := r.send(ctx, j, lease, a)
 	if err != nil {
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -24,8 +24,8 @@
 		old := newSource()
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if a.From == nil {
-				require.NotEmpty(t, a.Backup)
-				require.NotEqual(t, a.Server.Address, a.Backup)
+				require.NotEmpty(t, a.StandbyAddress)
+				require.NotEqual(t, a.Server.Address, a.StandbyAddress)
 				go func() {
 					old.write(events(1, 3) + "id: 4\nda")
 					old.breakOff()
@@ -33,7 +33,7 @@
 				return old.answer(), nil
 			}
 			require.Equal(t, &Copy{Source: a.Server.Address, Handle: "r1"}, a.From)
-			require.Equal(t, w.up.sent[0].Backup, a.Server.Address)
+			require.Equal(t, w.up.sent[0].StandbyAddress, a.Server.Address)
 			require.Equal(t, "3", a.After)
 			next := newSource()
 			go func() {
@@ -66,7 +66,7 @@
 			return src.answer(), nil
 		}
 		require.True(t, w.serve(request("/plan/x")).aborted)
-		cover := w.up.sent[0].Backup
+		cover := w.up.sent[0].StandbyAddress
 		lease := w.registry.Acquire(backends.Query{Service: modelService, Draw: 1}, w.now())
 		require.Equal(t, cover, lease.Server.Address, "the engine that crashed is asked last")
 		require.Empty(t, w.registry.Statuses(w.now()))
@@ -116,7 +116,7 @@
 				r := request(tt.path)
 				r.Generation = &Generation{PromptTokens: 3000, MaxOutput: tt.max, Hint: tt.max / 2}
 				w.serve(r).whole(t, events(1, 2))
-				require.Equal(t, tt.want, w.up.sent[0].Backup != "")
+				require.Equal(t, tt.want, w.up.sent[0].StandbyAddress != "")
 			})
 		})
 	}
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -354,7 +354,7 @@
 			l.Crashed(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)})
 		}
 		c := w.serve(r)
-		require.NotEmpty(t, w.up.sent[0].Backup, "there is a copy")
+		require.NotEmpty(t, w.up.sent[0].StandbyAddress, "there is a copy")
 		require.True(t, c.aborted)
 		require.Len(t, w.up.servers(), 1)
 		time.Sleep(2 * lateLook)
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -168,7 +168,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.breakBesideACopy(func(sent *Attempt) {
-			copied := w.entry(strings.TrimSuffix(sent.Backup, ":1"), modelService)
+			copied := w.entry(strings.TrimSuffix(sent.StandbyAddress, ":1"), modelService)
 			w.relay.HandleSignals(copied, backends.Signals{HasRateLimit: true}, 0)
 			lease := w.registry.Acquire(backends.Query{Service: modelService, Tried: []string{sent.Server.ID}}, w.now())
 			lease.Release(backends.ResultInconclusive, w.now())
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -63,9 +63,9 @@
 	Priority int
 	// After is the last event already delivered, empty for none.
 	After string
-	// Backup is the address of a server that the run's memory is sent to as it grows,
+	// StandbyAddress is the address of a server that the run's memory is sent to as it grows,
 	// empty for none. The copy there has the request's id for a handle.
-	Backup string
+	StandbyAddress string
 	// From is a copy of the run's memory to go on from, nil for a new run.
 	From *Copy
 	// Recheck is the last look before the attempt is sent, once there is a connection for it. An
