--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -170,7 +170,7 @@
 	f.tell(g.gateway, now)
 	e := f.engine(l.Server.ID)
 	e.used += g.memory
-	f.at(now+time.Second, l.Copied)
+	f.at(now+time.Second, l.FinishCopy)
 	f.at(now+g.lasts, func() {
 		l.Release(ResultInconclusive, now+g.lasts)
 		f.tell(g.gateway, now+g.lasts)
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -57,8 +57,8 @@
 	l.change(func(part Load) Load { return Load{Prompt: -part.Prompt} })
 }
 
-// Copied notes that the copy that the lease was taken for is complete.
-func (l *Reservation) Copied() {
+// FinishCopy notes that the copy that the lease was taken for is complete.
+func (l *Reservation) FinishCopy() {
 	l.change(func(part Load) Load { return Load{Copying: -part.Copying} })
 }
 
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -64,7 +64,7 @@
 	}
 	if cover != nil {
 		// The prompt's memory is on its way by the time that the answer begins.
-		cover.Copied()
+		cover.FinishCopy()
 		o.cover = cover
 	}
 	return o, nil
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -319,7 +319,7 @@
 		m.to = copied{lease: lease}
 		_, err := m.transfer(ctx, false)
 		if err == nil {
-			lease.Copied()
+			lease.FinishCopy()
 			return true
 		}
 		lease.Release(backends.ResultInconclusive, m.relay.Now())
