--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -69,9 +69,9 @@
 type Config struct {
 	// Name is for the log.
 	Name string
-	// Wait is how long a call waits for changes. It bounds how old a view can be
+	// PollTimeout is how long a call waits for changes. It bounds how old a view can be
 	// while nothing changes; each call has a price.
-	Wait time.Duration
+	PollTimeout time.Duration
 	// Gap is the least time between two calls, so that a busy table is read in
 	// batches.
 	Gap time.Duration
@@ -243,7 +243,7 @@
 func (f *Follower) readChanges(ctx context.Context) error {
 	begun := f.now()
 	f.mu.Lock()
-	since, patience := f.revision, f.cfg.Wait
+	since, patience := f.revision, f.cfg.PollTimeout
 	if f.gap() || f.failures > 0 || f.leaned {
 		// What is missing is there already, and after an outage, or after those that read
 		// have ended, the age of the view must not wait for a change.
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -224,7 +224,7 @@
 
 // begin runs a follower in a bubble.
 func begin(t *testing.T, feed Feed, sink Sink, sharing Sharing) (f *Follower, now func() time.Duration) {
-	return beginWith(t, Config{Name: "t", Wait: testWait}, feed, sink, sharing)
+	return beginWith(t, Config{Name: "t", PollTimeout: testWait}, feed, sink, sharing)
 }
 
 func beginWith(t *testing.T, cfg Config, feed Feed, sink Sink, sharing Sharing) (f *Follower, now func() time.Duration) {
@@ -459,7 +459,7 @@
 		log.SetOutput(io.Discard)
 		start, suspended := time.Now(), atomic.Int64{}
 		now := func() time.Duration { return time.Since(start) + time.Duration(suspended.Load()) }
-		f := New(Config{Name: "t", Wait: testWait}, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}}, now, log)
+		f := New(Config{Name: "t", PollTimeout: testWait}, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}}, now, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go f.Run(ctx)
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -73,7 +73,7 @@
 // silent reports whether too little is heard of others to live on them; mu is held.
 func (f *Follower) silent() bool {
 	age := f.now() - f.made
-	return age > f.cfg.Wait+silentSlack && (age > readingPatience || !f.sharing.Reading())
+	return age > f.cfg.PollTimeout+silentSlack && (age > readingPatience || !f.sharing.Reading())
 }
 
 // Reading reports whether a long answer is coming in here.
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -55,7 +55,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := f.now() - f.made
-	return f.synced && (age > f.cfg.Wait+silentSlack/2 || f.failures > 0 && age > silentSlack)
+	return f.synced && (age > f.cfg.PollTimeout+silentSlack/2 || f.failures > 0 && age > silentSlack)
 }
 
 // StoreTime is the store's steady clock now, as near as the answers so far tell: a
