--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -56,7 +56,7 @@
 		w.server("b", modelService)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if a.From != nil {
-				return nil, &NotRunError{Reason: RefusedFull, Detail: "no such copy"}
+				return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 			}
 			src := newSource()
 			go func() {
@@ -139,7 +139,7 @@
 				sources[src] = a.Server.ID
 				go paced(src, 1, 100, 40*time.Millisecond)
 			case !covered:
-				return nil, &NotRunError{Reason: RefusedFull, Detail: "no such copy"}
+				return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 			default:
 				go src.w.Close()
 			}
--- a/internal/relay/hedge_test.go
+++ b/internal/relay/hedge_test.go
@@ -21,7 +21,7 @@
 			return src.answer(), nil
 		}
 		if refuse {
-			return nil, &NotRunError{Reason: RefusedFull, Detail: "no such copy"}
+			return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 		}
 		seq := sequenceAfter(a.After)
 		go func() {
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -216,7 +216,7 @@
 		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if a.Server.ID == "full" {
-				return nil, &NotRunError{Reason: RefusedFull}
+				return nil, &NotRunError{Reason: NotRunFull}
 			}
 			return answer(200, "ok"), nil
 		}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -124,7 +124,7 @@
 
 func resultOf(why NotRunReason) backends.Result {
 	switch why {
-	case RefusedFull:
+	case NotRunFull:
 		return backends.ResultFull
 	case RefusedUnreachable:
 		return backends.ResultUnreachable
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -27,7 +27,7 @@
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if first == "" {
 				first = a.Server.ID
-				return nil, &NotRunError{Reason: RefusedFull}
+				return nil, &NotRunError{Reason: NotRunFull}
 			}
 			require.NotEqual(t, first, a.Server.ID)
 			return answer(200, "ok"), nil
@@ -65,7 +65,7 @@
 			if tries == 1 {
 				return nil, errReset
 			}
-			return nil, &NotRunError{Reason: RefusedFull}
+			return nil, &NotRunError{Reason: NotRunFull}
 		}
 		c := w.serve(request("/safe/x"))
 		require.True(t, c.refusal.MayHaveRun)
@@ -122,7 +122,7 @@
 		for _, id := range []string{"a", "b", "c", "d"} {
 			w.server(id, deskService)
 		}
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Reason: RefusedFull} }
+		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Reason: NotRunFull} }
 		const requests = 100
 		for range requests {
 			c := w.serve(request("/once/x"))
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -107,8 +107,8 @@
 
 // The reasons of servers.
 const (
-	// RefusedFull is a server without room.
-	RefusedFull NotRunReason = "full"
+	// NotRunFull is a server without room.
+	NotRunFull NotRunReason = "full"
 	// RefusedReplaced is another server at the address.
 	RefusedReplaced NotRunReason = "replaced"
 	// RefusedUnreachable is a server that nothing could be sent to.
