--- a/backends/lease.go
+++ b/backends/lease.go
@@ -83,10 +83,10 @@
 // is above every bound on prompts.
 const overduePrompt = 1 << 20
 
-// Overdue notes that the server should have read the prompt by now. Something is on
+// MarkPromptOverdue notes that the server should have read the prompt by now. Something is on
 // it that is not known here, such as runs of gateways that have lost power, and what
 // is sent there waits too: it gets no more until it begins.
-func (l *Reservation) Overdue() {
+func (l *Reservation) MarkPromptOverdue() {
 	l.change(func(part Load) Load {
 		if part.Prompt == 0 {
 			return Load{}
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -35,7 +35,7 @@
 	if a.From != nil {
 		return func() {}
 	}
-	wait, late := r.overdueAfter(j, lease), lease.Overdue
+	wait, late := r.overdueAfter(j, lease), lease.MarkPromptOverdue
 	if j.prompt() == 0 {
 		wait, late = silentTimes*j.route.Target, func() { lease.Silent(r.Now()) }
 	}
