--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -72,9 +72,9 @@
 	// PollTimeout is how long a call waits for changes. It bounds how old a view can be
 	// while nothing changes; each call has a price.
 	PollTimeout time.Duration
-	// Gap is the least time between two calls, so that a busy table is read in
+	// MinCallInterval is the least time between two calls, so that a busy table is read in
 	// batches.
-	Gap time.Duration
+	MinCallInterval time.Duration
 	// Called is told why each call to the store is made; it may be nil.
 	Called func(Reason)
 	// Restored is told when the store has come back from a copy; it may be nil.
@@ -176,7 +176,7 @@
 			f.failed(ctx, err)
 			continue
 		}
-		wait.For(ctx, f.cfg.Gap-(f.now()-begun))
+		wait.For(ctx, f.cfg.MinCallInterval-(f.now()-begun))
 	}
 }
 
