--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -87,7 +87,7 @@
 		r.Observer.Attempt(j.service, string(refused.Reason))
 		lease.Release(resultOf(refused.Reason), r.Now())
 		r.unreached(j, refused.Reason)
-		if refused.Reason == RefusedReplaced {
+		if refused.Reason == NotRunReplaced {
 			r.Registry.MarkReplaced(lease.Server)
 		}
 		if ctx.Err() != nil || j.left() < leastLeft {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -228,7 +228,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Reason: RefusedReplaced} }
+		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Reason: NotRunReplaced} }
 		w.serve(request("/once/x"))
 		listed, _ := w.registry.State(backends.Server{ID: "a"})
 		require.False(t, listed)
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -109,8 +109,8 @@
 const (
 	// NotRunFull is a server without room.
 	NotRunFull NotRunReason = "full"
-	// RefusedReplaced is another server at the address.
-	RefusedReplaced NotRunReason = "replaced"
+	// NotRunReplaced is another server at the address.
+	NotRunReplaced NotRunReason = "replaced"
 	// RefusedUnreachable is a server that nothing could be sent to.
 	RefusedUnreachable NotRunReason = "unreachable"
 	// NotRunDown is a server that does not listen at its address any more.
