--- a/backends/lease.go
+++ b/backends/lease.go
@@ -95,9 +95,9 @@
 	})
 }
 
-// Silent notes that the server has not answered for far longer than it should have;
+// MarkUnresponsive notes that the server has not answered for far longer than it should have;
 // it may answer yet.
-func (l *Reservation) Silent(now time.Duration) {
+func (l *Reservation) MarkUnresponsive(now time.Duration) {
 	l.reg.mu.Lock()
 	defer l.reg.mu.Unlock()
 	if l.part.Running > 0 {
