--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -75,8 +75,8 @@
 	Answer func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error)
 	// Greet is what a peer is told of suspects when a link to it is up, nil for nothing.
 	Greet func() *peerv1.Suspects
-	// MostLinks bounds the peers of its own cell that this gateway tells.
-	MostLinks int
+	// MaxLinks bounds the peers of its own cell that this gateway tells.
+	MaxLinks int
 	// Placed is told where this gateway stands among the others; it may be nil.
 	Placed func(cells.Place)
 	// Forgotten is told of members that have not been reached for long.
@@ -237,7 +237,7 @@
 	for _, n := range m.book {
 		all = append(all, subset.Item{Name: n.Name, FailureDomain: n.FailureDomain})
 	}
-	links, place := cells.Links(subset.Item{Name: m.self.Name, FailureDomain: m.self.FailureDomain}, all, m.MostLinks)
+	links, place := cells.Links(subset.Item{Name: m.self.Name, FailureDomain: m.self.FailureDomain}, all, m.MaxLinks)
 	for _, it := range links {
 		out = append(out, m.book[it.Name])
 	}
