--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -204,7 +204,7 @@
 func (w *world) harmful(path string) {
 	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
 		if w.up.IsDown(ctx, a.Server) {
-			return nil, &NotRunError{Reason: RefusedUnreachable}
+			return nil, &NotRunError{Reason: NotRunUnreachable}
 		}
 		body := newSource()
 		go func() {
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -114,7 +114,7 @@
 // would be refused for a budget that protects servers which are not there. Others are told of
 // a server that has ended: each would find out by attempts of its own.
 func (r *Relay) unreached(j *job, why NotRunReason) {
-	if why == RefusedUnreachable || why == NotRunDown {
+	if why == NotRunUnreachable || why == NotRunDown {
 		j.reached--
 	}
 	if why == NotRunDown {
@@ -126,7 +126,7 @@
 	switch why {
 	case NotRunFull:
 		return backends.ResultFull
-	case RefusedUnreachable:
+	case NotRunUnreachable:
 		return backends.ResultUnreachable
 	case NotRunDown:
 		return backends.ResultDown
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -263,7 +263,7 @@
 
 // Guards against callers being refused for repeats that never arrived anywhere.
 func TestRefusedConnectionsUseNoRepeats(t *testing.T) {
-	for _, why := range []NotRunReason{NotRunDown, RefusedUnreachable} {
+	for _, why := range []NotRunReason{NotRunDown, NotRunUnreachable} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(t, Config{RetryExtra: 1})
 			for i := range 8 {
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -111,8 +111,8 @@
 	NotRunFull NotRunReason = "full"
 	// NotRunReplaced is another server at the address.
 	NotRunReplaced NotRunReason = "replaced"
-	// RefusedUnreachable is a server that nothing could be sent to.
-	RefusedUnreachable NotRunReason = "unreachable"
+	// NotRunUnreachable is a server that nothing could be sent to.
+	NotRunUnreachable NotRunReason = "unreachable"
 	// NotRunDown is a server that does not listen at its address any more.
 	NotRunDown NotRunReason = "ended"
 	// NotRunIneligible is a server that the request must not be sent to: its failure domain is
