--- a/backends/lease.go
+++ b/backends/lease.go
@@ -74,8 +74,8 @@
 	l.s.own = l.s.own.plus(change)
 }
 
-// Expect revises the memory that the request is expected to need.
-func (l *Reservation) Expect(tokens int) {
+// SetExpectedTokens revises the memory that the request is expected to need.
+func (l *Reservation) SetExpectedTokens(tokens int) {
 	l.change(func(part Load) Load { return Load{Tokens: tokens - part.Tokens} })
 }
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -135,7 +135,7 @@
 		}
 		s.run.delivered(s.job.progress, s.seq.after(), s.last)
 		if s.job.Generation != nil && s.job.progress.events%reviseEvery == 0 {
-			o.lease.Expect(s.run.memory())
+			o.lease.SetExpectedTokens(s.run.memory())
 		}
 	}
 }
