--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -120,10 +120,10 @@
 
 // greet tells a peer of suspects when a link to it is up.
 func (m *Manager) greet(send func([]byte) error) error {
-	if m.Greet == nil {
+	if m.InitialSuspects == nil {
 		return nil
 	}
-	s := m.Greet()
+	s := m.InitialSuspects()
 	if s == nil {
 		return nil
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -73,8 +73,8 @@
 	Receiver Receiver
 	// Answer says what a peer that is behind gets: a head, and the parts that follow it.
 	Answer func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error)
-	// Greet is what a peer is told of suspects when a link to it is up, nil for nothing.
-	Greet func() *peerv1.Suspects
+	// InitialSuspects is what a peer is told of suspects when a link to it is up, nil for nothing.
+	InitialSuspects func() *peerv1.Suspects
 	// MaxLinks bounds the peers of its own cell that this gateway tells.
 	MaxLinks int
 	// Placed is told where this gateway stands among the others; it may be nil.
