--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -47,7 +47,7 @@
 	if err := a.Recheck(); err != nil {
 		return nil, err
 	}
-	if a.From != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
+	if a.ResumeFrom != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
 		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
@@ -71,7 +71,7 @@
 	if r.Registry.IsIneligible(lease.Server, j.regions) {
 		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.FailureDomain}
 	}
-	if _, leaving := r.Registry.State(lease.Server); leaving && a.From == nil {
+	if _, leaving := r.Registry.State(lease.Server); leaving && a.ResumeFrom == nil {
 		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " is leaving"}
 	}
 	if r.Registry.IsBackingOff(lease.Server, r.Now()) {
@@ -112,7 +112,7 @@
 	j.ran++
 	j.answering.Store(true)
 	lease.FinishPrompt()
-	if p.From == nil {
+	if p.ResumeFrom == nil {
 		r.prompted(lease.Prompt+j.prompt(), p.at-p.Begun)
 	}
 	entry.WithField("status", p.answer.Status).Info("sent")
--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -21,7 +21,7 @@
 	w.server("a", modelService)
 	w.server("b", modelService)
 	w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-		require.Nil(w.t, a.From, "sent to the copy")
+		require.Nil(w.t, a.ResumeFrom, "sent to the copy")
 		src := newSource()
 		go func() {
 			src.write(events(1, 3))
@@ -132,7 +132,7 @@
 			w.relay.HandleSignals(a.Server, backends.Signals{Leaving: true}, 0)
 			err := a.Recheck()
 			require.Error(t, err)
-			a.From = &Copy{}
+			a.ResumeFrom = &Copy{}
 			require.NoError(t, a.Recheck())
 			return nil, err
 		}
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -23,7 +23,7 @@
 		w.server("b", modelService)
 		old := newSource()
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From == nil {
+			if a.ResumeFrom == nil {
 				require.NotEmpty(t, a.StandbyAddress)
 				require.NotEqual(t, a.Server.Address, a.StandbyAddress)
 				go func() {
@@ -32,7 +32,7 @@
 				}()
 				return old.answer(), nil
 			}
-			require.Equal(t, &Copy{Source: a.Server.Address, Handle: "r1"}, a.From)
+			require.Equal(t, &Copy{Source: a.Server.Address, Handle: "r1"}, a.ResumeFrom)
 			require.Equal(t, w.up.sent[0].StandbyAddress, a.Server.Address)
 			require.Equal(t, "3", a.After)
 			next := newSource()
@@ -55,7 +55,7 @@
 		w.server("a", modelService)
 		w.server("b", modelService)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From != nil {
+			if a.ResumeFrom != nil {
 				return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 			}
 			src := newSource()
@@ -135,7 +135,7 @@
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			src := newSource()
 			switch {
-			case a.From == nil:
+			case a.ResumeFrom == nil:
 				sources[src] = a.Server.ID
 				go paced(src, 1, 100, 40*time.Millisecond)
 			case !covered:
--- a/internal/relay/hedge_test.go
+++ b/internal/relay/hedge_test.go
@@ -16,7 +16,7 @@
 	w.server("b", modelService)
 	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
 		src := newSource()
-		if a.From == nil {
+		if a.ResumeFrom == nil {
 			go play(src)
 			return src.answer(), nil
 		}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -32,7 +32,7 @@
 			return "h1", nil
 		}
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From == nil {
+			if a.ResumeFrom == nil {
 				return old.answer(), nil
 			}
 			next := newSource()
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -32,7 +32,7 @@
 
 // watchStart notes if a server does not begin to answer in time; stop ends that.
 func (r *Relay) watchStart(j *job, lease *backends.Reservation, a *Attempt) (stop func()) {
-	if a.From != nil {
+	if a.ResumeFrom != nil {
 		return func() {}
 	}
 	wait, late := r.overdueAfter(j, lease), lease.MarkPromptOverdue
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -36,10 +36,10 @@
 		old := newSource()
 		w.movable(old, 20*time.Millisecond)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From == nil {
+			if a.ResumeFrom == nil {
 				return old.answer(), nil
 			}
-			require.Equal(t, &Copy{Source: "a:1", Handle: "h2"}, a.From)
+			require.Equal(t, &Copy{Source: "a:1", Handle: "h2"}, a.ResumeFrom)
 			require.Equal(t, "3", a.After)
 			next := newSource()
 			go func() {
@@ -71,7 +71,7 @@
 		w.movable(old, 20*time.Millisecond)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			next := newSource()
-			if a.From == nil {
+			if a.ResumeFrom == nil {
 				w.server("b", modelService)
 				w.drain("a", modelService)
 				go old.write(events(1, 2))
@@ -205,7 +205,7 @@
 		w.movable(old, 20*time.Millisecond)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			next := newSource()
-			if a.From == nil {
+			if a.ResumeFrom == nil {
 				go old.write(events(1, 2))
 				return old.answer(), nil
 			}
@@ -267,7 +267,7 @@
 		run := newSource()
 		w.movable(run, time.Millisecond)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From == nil {
+			if a.ResumeFrom == nil {
 				return run.answer(), nil
 			}
 			next := newSource()
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -66,8 +66,8 @@
 	// StandbyAddress is the address of a server that the run's memory is sent to as it grows,
 	// empty for none. The copy there has the request's id for a handle.
 	StandbyAddress string
-	// From is a copy of the run's memory to go on from, nil for a new run.
-	From *Copy
+	// ResumeFrom is a copy of the run's memory to go on from, nil for a new run.
+	ResumeFrom *Copy
 	// Recheck is the last look before the attempt is sent, once there is a connection for it. An
 	// error ends the attempt unsent. Errors: *Refused.
 	Recheck func() error
