--- a/backends/lease.go
+++ b/backends/lease.go
@@ -33,7 +33,7 @@
 	Server Server
 	// Load is what was known of its load before, of Of servers listed.
 	Load
-	Of int
+	ServerCount int
 
 	reg *Registry
 	s   *server
@@ -44,7 +44,7 @@
 
 // lease counts a request at a server; mu is held.
 func (r *Registry) lease(s *server, q Query, of int) *Reservation {
-	l := &Reservation{reg: r, s: s, Server: s.Server, Of: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.Tokens, Prompt: q.Prompt}}
+	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.Tokens, Prompt: q.Prompt}}
 	if q.Copy {
 		l.part.Copying = q.Tokens
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -97,7 +97,7 @@
 	lease := p.lease
 	entry := j.log.WithFields(logrus.Fields{
 		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.Tokens,
-		"prompt": lease.Prompt, "of": lease.Of,
+		"prompt": lease.Prompt, "of": lease.ServerCount,
 		"waited_ms": (p.Begun - j.arrived).Milliseconds(), "answer_ms": (p.at - p.Begun).Milliseconds(),
 	})
 	if p.err != nil {
