--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -274,5 +274,5 @@
 		p.Rows = nil
 	}
 	page.Rows = rowsOf(p.Rows)
-	s.links.Spread(page)
+	s.links.BroadcastPage(page)
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -315,8 +315,8 @@
 	}
 }
 
-// Spread sends a page to all peers. A link whose queue is full misses it.
-func (m *Manager) Spread(p *peerv1.Page) {
+// BroadcastPage sends a page to all peers. A link whose queue is full misses it.
+func (m *Manager) BroadcastPage(p *peerv1.Page) {
 	frame, err := mux.Frame(&peerv1.Frame{Kind: &peerv1.Frame_Page{Page: p}})
 	if err != nil {
 		m.Log.WithError(err).WithField("table", p.GetTable()).Warn("page cannot be sent, peers read it from the store")
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -97,7 +97,7 @@
 	a.Learn([]Member{b.self, a.self})
 	require.Eventually(t, func() bool { return earsA.hears("b") && earsB.hears("a") }, soon, time.Millisecond)
 	require.Equal(t, 2, a.Known())
-	a.Spread(&peerv1.Page{Table: "t"})
+	a.BroadcastPage(&peerv1.Page{Table: "t"})
 	require.Eventually(t, func() bool { return earsB.heard() == 1 }, soon, time.Millisecond)
 	stopB()
 	require.Eventually(t, func() bool { return !earsA.hears("b") }, soon, time.Millisecond)
@@ -114,7 +114,7 @@
 	a.Learn([]Member{{Name: "z", Address: hanging.Addr().String()}})
 	begun := time.Now()
 	for range 10 * frameQueue {
-		a.Spread(&peerv1.Page{Rows: []*peerv1.Row{{Value: make([]byte, 64<<10)}}})
+		a.BroadcastPage(&peerv1.Page{Rows: []*peerv1.Row{{Value: make([]byte, 64<<10)}}})
 	}
 	require.Less(t, time.Since(begun), time.Second)
 }
