--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -51,7 +51,7 @@
 		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
-	a.Begun, a.Timeout = r.Now(), j.left()
+	a.SentAt, a.Timeout = r.Now(), j.left()
 	a.Priority = -1
 	if j.Generation != nil {
 		a.Priority = j.priority
@@ -98,7 +98,7 @@
 	entry := j.log.WithFields(logrus.Fields{
 		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.Tokens,
 		"prompt": lease.Prompt, "of": lease.ServerCount,
-		"waited_ms": (p.Begun - j.arrived).Milliseconds(), "answer_ms": (p.at - p.Begun).Milliseconds(),
+		"waited_ms": (p.SentAt - j.arrived).Milliseconds(), "answer_ms": (p.at - p.SentAt).Milliseconds(),
 	})
 	if p.err != nil {
 		p.cut()
@@ -113,7 +113,7 @@
 	j.answering.Store(true)
 	lease.FinishPrompt()
 	if p.ResumeFrom == nil {
-		r.prompted(lease.Prompt+j.prompt(), p.at-p.Begun)
+		r.prompted(lease.Prompt+j.prompt(), p.at-p.SentAt)
 	}
 	entry.WithField("status", p.answer.Status).Info("sent")
 	return &offer{lease: lease, answer: p.answer, cut: p.cut}, nil
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -94,7 +94,7 @@
 	j.tried = append(j.tried, slow.Server.ID)
 	slow.cut()
 	result := backends.ResultInconclusive
-	if r.Now()-slow.Begun >= j.route.Target {
+	if r.Now()-slow.SentAt >= j.route.Target {
 		result = backends.ResultLost
 	}
 	slow.lease.Release(result, r.Now())
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -53,8 +53,8 @@
 type Attempt struct {
 	Request *Request
 	Server  backends.Server
-	// Begun is when it was sent.
-	Begun time.Duration
+	// SentAt is when it was sent.
+	SentAt time.Duration
 	// Timeout is how long the server may take.
 	Timeout time.Duration
 	// Team is the name of the key's holder, empty if none.
