--- a/backends/lease.go
+++ b/backends/lease.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// Rejoin takes a lease on a given server even if it is leaving, for a run whose
+// ReserveAt takes a lease on a given server even if it is leaving, for a run whose
 // memory is nowhere else. It returns nil if the server is gone.
-func (r *Registry) Rejoin(at Server, tokens int) *Reservation {
+func (r *Registry) ReserveAt(at Server, tokens int) *Reservation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current(at)
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -56,7 +56,7 @@
 	r.Reset([]Server{late}, 0, 0)
 	r.MarkLeaving(old)
 	r.MarkReplaced(old)
-	require.Nil(t, r.Rejoin(old, 100))
+	require.Nil(t, r.ReserveAt(old, 100))
 	require.Equal(t, []told{{"a", NoticeRestarted}}, *notices)
 	require.True(t, r.HasRestarted(old))
 	require.False(t, r.HasRestarted(now))
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -95,7 +95,7 @@
 
 // lose has the gateway lose a request at a server.
 func (n *node) lose(server string) {
-	l := n.registry.Rejoin(backends.Server{ID: server}, 0)
+	l := n.registry.ReserveAt(backends.Server{ID: server}, 0)
 	l.Release(backends.ResultLost, clock.SinceBoot())
 	n.group.Notify()
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -397,7 +397,7 @@
 	c := copied{Copy: Copy{Source: m.from.Address, Handle: handle}, lease: m.to.lease}
 	if err != nil && final {
 		// The run has stopped and only its server has its memory.
-		c.lease = m.relay.Registry.Rejoin(m.from, m.run.memory())
+		c.lease = m.relay.Registry.ReserveAt(m.from, m.run.memory())
 	}
 	if c.lease != nil && !m.run.addCopy(c) {
 		go m.relay.drop(c)
