--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -219,7 +219,7 @@
 		out.Suspects = append(out.Suspects, suspectOf(r))
 	}
 	if len(out.Suspects) > 0 {
-		s.group.links.Tell(out)
+		s.group.links.BroadcastSuspects(out)
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -325,8 +325,8 @@
 	m.spread(outgoing{frame, CausePage})
 }
 
-// Tell tells all peers of suspects. A link whose queue is full misses it.
-func (m *Manager) Tell(s *peerv1.Suspects) {
+// BroadcastSuspects tells all peers of suspects. A link whose queue is full misses it.
+func (m *Manager) BroadcastSuspects(s *peerv1.Suspects) {
 	frame, err := suspectsFrame(s)
 	if err != nil {
 		m.Log.WithError(err).Warn("suspects cannot be sent, peers read of verdicts in the store")
