--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -34,7 +34,7 @@
 			}
 			require.Equal(t, &Copy{Source: a.Server.Address, Handle: "r1"}, a.ResumeFrom)
 			require.Equal(t, w.up.sent[0].StandbyAddress, a.Server.Address)
-			require.Equal(t, "3", a.After)
+			require.Equal(t, "3", a.LastEventID)
 			next := newSource()
 			go func() {
 				next.write(events(4, 6))
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -372,7 +372,7 @@
 		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
 			body := newSource()
 			go func() {
-				if a.After != "" {
+				if a.LastEventID != "" {
 					// The end of the first server is known by then.
 					time.Sleep(2 * endLook)
 					body.write(event(2))
--- a/internal/relay/hedge_test.go
+++ b/internal/relay/hedge_test.go
@@ -23,7 +23,7 @@
 		if refuse {
 			return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 		}
-		seq := sequenceAfter(a.After)
+		seq := sequenceAfter(a.LastEventID)
 		go func() {
 			time.Sleep(30 * time.Millisecond)
 			src.write(events(int(seq.last)+1, 10))
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -67,7 +67,7 @@
 			j.log.WithField("sent", j.sent).Warn("retry budget is used up")
 			return nil, r.refuse(j, ReasonNoRoom)
 		}
-		o, used, err := r.sendRaced(ctx, j, lease, &Attempt{After: after})
+		o, used, err := r.sendRaced(ctx, j, lease, &Attempt{LastEventID: after})
 		if err == nil {
 			return o, nil
 		}
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -40,7 +40,7 @@
 				return old.answer(), nil
 			}
 			require.Equal(t, &Copy{Source: "a:1", Handle: "h2"}, a.ResumeFrom)
-			require.Equal(t, "3", a.After)
+			require.Equal(t, "3", a.LastEventID)
 			next := newSource()
 			go func() {
 				next.write(events(4, 6))
@@ -117,14 +117,14 @@
 		w.server("b", modelService)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			s := newSource()
-			if a.After == "" {
+			if a.LastEventID == "" {
 				go func() {
 					s.write(events(1, 2) + "id: 3\nd")
 					s.breakOff()
 				}()
 				return s.answer(), nil
 			}
-			require.Equal(t, "2", a.After)
+			require.Equal(t, "2", a.LastEventID)
 			go func() {
 				s.write(events(3, 4))
 				s.w.Close()
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -61,8 +61,8 @@
 	Team string
 	// Priority ranks the request at an engine, -1 for none.
 	Priority int
-	// After is the last event already delivered, empty for none.
-	After string
+	// LastEventID is the last event already delivered, empty for none.
+	LastEventID string
 	// StandbyAddress is the address of a server that the run's memory is sent to as it grows,
 	// empty for none. The copy there has the request's id for a handle.
 	StandbyAddress string
