--- a/backends/registry.go
+++ b/backends/registry.go
@@ -421,13 +421,13 @@
 
 // Ready counts the servers of a service that take requests.
 func (r *Registry) Ready(service string) int {
-	ready, _ := r.Standing(service, nil)
+	ready, _ := r.CountReadyWithin(service, nil)
 	return ready
 }
 
-// Standing counts the servers of a service that take requests which must stay in some
+// CountReadyWithin counts the servers of a service that take requests which must stay in some
 // regions, and those that would if they were not cordoned.
-func (r *Registry) Standing(service string, within routing.Regions) (ready, cordoned int) {
+func (r *Registry) CountReadyWithin(service string, within routing.Regions) (ready, cordoned int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -209,7 +209,7 @@
 		if refusal := r.cordoned(j); refusal != nil {
 			return nil, refusal
 		}
-		if ready, _ := r.Registry.Standing(j.service, j.regions); ready == 0 && r.Now()-j.arrived > j.patience() {
+		if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 && r.Now()-j.arrived > j.patience() {
 			return nil, r.refuse(j, ReasonNoServer)
 		}
 		if l.refuses(w, r.Now()) {
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -188,7 +188,7 @@
 
 // refuseUnplaced refuses a request that found no server in the time that it may wait.
 func (r *Relay) refuseUnplaced(j *job) *Refusal {
-	if ready, _ := r.Registry.Standing(j.service, j.regions); ready == 0 {
+	if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 {
 		return r.refuse(j, ReasonNoServer)
 	}
 	return r.refuse(j, ReasonNoRoom)
@@ -213,7 +213,7 @@
 // cordoned refuses a request whose servers are all in cordoned failure domains: waiting does
 // not help it. It returns nil otherwise.
 func (r *Relay) cordoned(j *job) *Refusal {
-	ready, cordoned := r.Registry.Standing(j.service, j.regions)
+	ready, cordoned := r.Registry.CountReadyWithin(j.service, j.regions)
 	if ready > 0 || cordoned == 0 {
 		return nil
 	}
