--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -132,7 +132,7 @@
 		}).Info("a peer tells of a server's limit")
 	}
 	if len(news) > 0 {
-		g.links.Nudge()
+		g.links.SendStateNow()
 	}
 }
 
@@ -217,12 +217,12 @@
 }
 
 // Notify implements relay.Others.
-func (g *group) Notify() { g.links.Nudge() }
+func (g *group) Notify() { g.links.SendStateNow() }
 
 // stop tells the peers that this gateway is stopping.
 func (g *group) stop() {
 	g.stopping.Store(true)
-	g.links.Nudge()
+	g.links.SendStateNow()
 }
 
 // sharing lets the gateways read a table for each other. It implements
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -22,7 +22,7 @@
 	}
 	g.mu.Unlock()
 	if q.Waiting > 0 && (was.Waiting == 0 || q.Rank < was.Rank) {
-		g.links.Nudge()
+		g.links.SendStateNow()
 	}
 }
 
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -125,7 +125,7 @@
 // spread has the peers told of the readers at once.
 func (r *readerRole) spread() {
 	r.news.Store(true)
-	r.group.links.Nudge()
+	r.group.links.SendStateNow()
 }
 
 // list is what is told of the readers, in some states.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -302,8 +302,8 @@
 	return out
 }
 
-// Nudge sends the state at once, for a change that others act on.
-func (m *Manager) Nudge() {
+// SendStateNow sends the state at once, for a change that others act on.
+func (m *Manager) SendStateNow() {
 	m.state.outdate()
 	m.mu.Lock()
 	defer m.mu.Unlock()
