--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -241,7 +241,7 @@
 // servers do not end under it. An answer that was put together from several servers says
 // nothing of the kind, as those before the last may have ended.
 func (r *Relay) answered(j *job) {
-	if r.Quarantine.Any() && !j.broken && j.After == "" {
+	if r.Quarantine.Any() && !j.broken && j.LastEventID == "" {
 		r.Quarantine.Answered(j.id())
 	}
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -28,7 +28,7 @@
 
 // stream answers a request whose answer is a series of events.
 func (r *Relay) stream(ctx context.Context, j *job, out Responder) string {
-	o, refusal := r.place(ctx, j, j.After)
+	o, refusal := r.place(ctx, j, j.LastEventID)
 	for refusal == nil && !o.streams() {
 		w, err := readWhole(o.answer)
 		if err != nil {
@@ -46,12 +46,12 @@
 		}
 		o.answer.Body.Close()
 		r.Observer.Attempt(j.service, "server error")
-		o, refusal = r.place(ctx, j, j.After)
+		o, refusal = r.place(ctx, j, j.LastEventID)
 	}
 	if refusal != nil {
 		return r.giveUp(ctx, j, *refusal, out)
 	}
-	s := &session{Relay: r, job: j, out: out, seq: sequenceAfter(j.After)}
+	s := &session{Relay: r, job: j, out: out, seq: sequenceAfter(j.LastEventID)}
 	return s.relay(ctx, o)
 }
 
@@ -143,7 +143,7 @@
 // learn notes the length of a generation that ended by itself. One that its
 // caller resumed was not seen from its beginning.
 func (s *session) learn() {
-	if j := s.job; j.Generation != nil && j.After == "" {
+	if j := s.job; j.Generation != nil && j.LastEventID == "" {
 		s.outputs.observe(j.route.Name, j.progress.events*j.perEvent(), j.said())
 	}
 }
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -43,8 +43,8 @@
 	// Wait is how long the caller waits for the answer, 0 if it did not say.
 	Wait time.Duration
 	Key  string
-	// After is the last event that the caller has of a stream, empty if none.
-	After string
+	// LastEventID is the last event that the caller has of a stream, empty if none.
+	LastEventID string
 	// Generation is nil for plain requests.
 	Generation *Generation
 }
