--- a/backends/load.go
+++ b/backends/load.go
@@ -223,9 +223,9 @@
 	return true
 }
 
-// Movers counts, by process, the requests at servers of a failure domain that are
+// CountRequestsAtLeaving counts, by process, the requests at servers of a failure domain that are
 // leaving. Those of this process have the name self.
-func (r *Registry) Movers(self, domain string) map[string]int {
+func (r *Registry) CountRequestsAtLeaving(self, domain string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]int)
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -161,12 +161,12 @@
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b", "far"}}, 0)
 	defer lease.Release(ResultInconclusive, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
-	require.Empty(t, r.Movers("vm-1", "zone-1"))
+	require.Empty(t, r.CountRequestsAtLeaving("vm-1", "zone-1"))
 	leaving := entry("a")
 	leaving.Leaving = true
 	r.Put(leaving, 0)
-	require.Equal(t, map[string]int{"vm-1": 1, "vm-2": 3}, r.Movers("vm-1", "zone-1"))
-	require.Empty(t, r.Movers("vm-1", "zone-2"))
+	require.Equal(t, map[string]int{"vm-1": 1, "vm-2": 3}, r.CountRequestsAtLeaving("vm-1", "zone-1"))
+	require.Empty(t, r.CountRequestsAtLeaving("vm-1", "zone-2"))
 }
 
 // A server resets its connections. What two processes have lost there counts here
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -79,7 +79,7 @@
 // MoveTurns implements relay.Others.
 func (g *group) MoveTurns(domain string) *flow.Turns {
 	period, known := g.period()
-	movers := g.registry.Movers(g.self.Name, domain)
+	movers := g.registry.CountRequestsAtLeaving(g.self.Name, domain)
 	if !known || len(movers) < 2 {
 		return nil
 	}
