--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -128,7 +128,7 @@
 func (m members) Reset(rows []follow.Row, _ time.Duration) {
 	requests, gateways := splitRows(rows)
 	m.suspects.read(requests, true)
-	m.links.Learn(m.decodeMembers(gateways))
+	m.links.AddMembers(m.decodeMembers(gateways))
 	if m.role.joined.Load() && !slices.ContainsFunc(gateways, func(r follow.Row) bool { return r.Key == m.self.Name }) {
 		time.AfterFunc(time.Duration(rand.Float64()*float64(rewriteWithin)), m.rewrite)
 	}
@@ -176,7 +176,7 @@
 		m.links.Gone(gone)
 	}
 	if len(written) > 0 {
-		m.links.Learn(m.decodeMembers(written))
+		m.links.AddMembers(m.decodeMembers(written))
 	}
 }
 
--- a/internal/peers/fetch_test.go
+++ b/internal/peers/fetch_test.go
@@ -18,7 +18,7 @@
 	a, earsA, _ := begin(t, "a")
 	b, earsB, _ := begin(t, "b")
 	b.Answer = answer
-	a.Learn([]Member{b.self})
+	a.AddMembers([]Member{b.self})
 	require.Eventually(t, func() bool { return earsA.hears("b") && earsB.hears("a") }, soon, time.Millisecond)
 	return a
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -168,8 +168,8 @@
 	m.wg.Wait()
 }
 
-// Learn adds members; the ones known stay, at their new address.
-func (m *Manager) Learn(list []Member) {
+// AddMembers adds members; the ones known stay, at their new address.
+func (m *Manager) AddMembers(list []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ctx == nil || m.ctx.Err() != nil {
@@ -367,7 +367,7 @@
 	m.mu.Unlock()
 	if news {
 		// A gateway that has just started is known here by its first word.
-		m.Learn([]Member{{Name: name, Address: from.GetAddress(), FailureDomain: from.GetFailureDomain()}})
+		m.AddMembers([]Member{{Name: name, Address: from.GetAddress(), FailureDomain: from.GetFailureDomain()}})
 	}
 	m.Receiver.State(name, s)
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -94,7 +94,7 @@
 func TestPeersLinkAndForget(t *testing.T) {
 	a, earsA, _ := begin(t, "a")
 	b, earsB, stopB := begin(t, "b")
-	a.Learn([]Member{b.self, a.self})
+	a.AddMembers([]Member{b.self, a.self})
 	require.Eventually(t, func() bool { return earsA.hears("b") && earsB.hears("a") }, soon, time.Millisecond)
 	require.Equal(t, 2, a.Known())
 	a.BroadcastPage(&peerv1.Page{Table: "t"})
@@ -111,7 +111,7 @@
 	hanging, err := net.Listen("tcp", standin.OwnAddress())
 	require.NoError(t, err)
 	defer hanging.Close()
-	a.Learn([]Member{{Name: "z", Address: hanging.Addr().String()}})
+	a.AddMembers([]Member{{Name: "z", Address: hanging.Addr().String()}})
 	begun := time.Now()
 	for range 10 * frameQueue {
 		a.BroadcastPage(&peerv1.Page{Rows: []*peerv1.Row{{Value: make([]byte, 64<<10)}}})
