--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -142,7 +142,7 @@
 		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *late) *relay.Relay {
 			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Peers: gr, Quarantine: gr.suspects})
 			l.relay.Store(r)
-			held := r.Quarantined
+			held := r.CancelQuarantined
 			gr.suspects.held.Store(&held)
 			return r
 		},
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -193,10 +193,10 @@
 // errHeld is why a request on its way is cut that must not be sent to servers any more.
 var errHeld = errors.New("servers end under the request")
 
-// Quarantined is told of a request that must not be sent to servers from now on. Attempts
+// CancelQuarantined is told of a request that must not be sent to servers from now on. Attempts
 // that no server has begun to answer are given up at once: they would end the servers that
 // they are at. One that is being answered shows by its end whether the verdict is right.
-func (r *Relay) Quarantined(id quarantine.ID) {
+func (r *Relay) CancelQuarantined(id quarantine.ID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for j := range r.jobs {
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -170,7 +170,7 @@
 	c := l.book.Crashed(cells.Hash(s.ID), l.now(), ran)
 	l.mu.Unlock()
 	for _, id := range c.Quarantined {
-		l.relay.Quarantined(id)
+		l.relay.CancelQuarantined(id)
 	}
 }
 
