--- a/backends/advice.go
+++ b/backends/advice.go
@@ -181,8 +181,8 @@
 	return n, left
 }
 
-// Limited counts the servers that name a limit.
-func (r *Registry) Limited() (n int) {
+// CountRateLimited counts the servers that name a limit.
+func (r *Registry) CountRateLimited() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -28,10 +28,10 @@
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 2}, 1*time.Second, 3*time.Second), "named before")
 	for _, begun := range []time.Duration{0, time.Second, 3 * time.Second} {
 		require.Equal(t, News{}, r.ApplySignals(s, Signals{}, begun, 4*time.Second), "asked at %v", begun)
-		require.Equal(t, 1, r.Limited())
+		require.Equal(t, 1, r.CountRateLimited())
 	}
 	require.Equal(t, News{RateLimitRemoved: true}, r.ApplySignals(s, Signals{}, 3100*time.Millisecond, 4*time.Second))
-	require.Zero(t, r.Limited())
+	require.Zero(t, r.CountRateLimited())
 }
 
 // Guards against a limit that outlives the server that named it.
@@ -41,9 +41,9 @@
 	again := s
 	again.StartTime = 2
 	r.Put(again, 2*time.Second)
-	require.Zero(t, r.Limited())
+	require.Zero(t, r.CountRateLimited())
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true}, 0, 3*time.Second), "an answer of the life before")
-	require.Zero(t, r.Limited())
+	require.Zero(t, r.CountRateLimited())
 }
 
 // Guards against a line for each answer of a server whose headers mean nothing, and against
@@ -54,7 +54,7 @@
 	spoilt := Signals{RateLimitInvalid: true, InvalidHeaders: []string{"a header"}}
 	require.Equal(t, News{FirstInvalid: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
-	require.Equal(t, 1, r.Limited())
+	require.Equal(t, 1, r.CountRateLimited())
 	other := Signals{InvalidHeaders: []string{"another header"}}
 	require.Equal(t, News{RateLimitRemoved: true}, r.ApplySignals(s, other, 6*time.Second, 7*time.Second), "it names no limit")
 }
@@ -99,7 +99,7 @@
 			}
 		}
 		for i, r := range regs {
-			require.Equal(t, newest.HasRateLimit, r.Limited() == 1, "gateway %d", i)
+			require.Equal(t, newest.HasRateLimit, r.CountRateLimited() == 1, "gateway %d", i)
 		}
 	})
 }
@@ -113,10 +113,10 @@
 	} {
 		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: l, StartTime: s.StartTime}}, time.Minute))
 		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
-		require.Zero(t, r.Limited())
+		require.Zero(t, r.CountRateLimited())
 	}
 	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
-	require.Equal(t, 1, r.Limited())
+	require.Equal(t, 1, r.CountRateLimited())
 }
 
 // mostInWindow is the most of some times within any span.
@@ -254,7 +254,7 @@
 			if n.RateLimitSet || n.RateLimitRemoved {
 				news++
 			}
-			require.Equal(t, a.HasRateLimit, r.Limited() == 1, "what is believed follows each answer")
+			require.Equal(t, a.HasRateLimit, r.CountRateLimited() == 1, "what is believed follows each answer")
 		}
 	}
 	require.LessOrEqual(t, news, 8, "twice in half a second")
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -110,7 +110,7 @@
 	know := func(limited int) {
 		t.Helper()
 		for begun := time.Now(); time.Since(begun) < knownWithin; time.Sleep(5 * time.Millisecond) {
-			if nodes[1].registry.Limited() == limited && nodes[2].registry.Limited() == limited {
+			if nodes[1].registry.CountRateLimited() == limited && nodes[2].registry.CountRateLimited() == limited {
 				return
 			}
 		}
@@ -122,7 +122,7 @@
 	srv.SetBehaviour(fleet.Behaviour{})
 	nodes[0].eventually(func() bool {
 		nodes[0].do(plain(fleet.OncePath))
-		return nodes[0].registry.Limited() == 0
+		return nodes[0].registry.CountRateLimited() == 0
 	}, "no limit any more")
 	know(0)
 }
