--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -173,7 +173,7 @@
 		written = append(written, row)
 	}
 	if len(gone) > 0 {
-		m.links.Gone(gone)
+		m.links.RemoveMembers(gone)
 	}
 	if len(written) > 0 {
 		m.links.AddMembers(m.decodeMembers(written))
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -183,8 +183,8 @@
 	m.relink()
 }
 
-// Gone removes members that have ended.
-func (m *Manager) Gone(names []string) {
+// RemoveMembers removes members that have ended.
+func (m *Manager) RemoveMembers(names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, name := range names {
