--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -132,7 +132,7 @@
 			w.relay.HandleSignals(a.Server, backends.Signals{Leaving: true}, 0)
 			err := a.Recheck()
 			require.Error(t, err)
-			a.ResumeFrom = &Copy{}
+			a.ResumeFrom = &KVCopy{}
 			require.NoError(t, a.Recheck())
 			return nil, err
 		}
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -77,7 +77,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.cover = &copied{Copy: Copy{Source: o.cover.Server.Address, Handle: u.job.ID}, lease: o.cover}
+	u.cover = &copied{KVCopy: KVCopy{Source: o.cover.Server.Address, Handle: u.job.ID}, lease: o.cover}
 }
 
 // uncover gives the room of the standing copy back.
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -32,7 +32,7 @@
 				}()
 				return old.answer(), nil
 			}
-			require.Equal(t, &Copy{Source: a.Server.Address, Handle: "r1"}, a.ResumeFrom)
+			require.Equal(t, &KVCopy{Source: a.Server.Address, Handle: "r1"}, a.ResumeFrom)
 			require.Equal(t, w.up.sent[0].StandbyAddress, a.Server.Address)
 			require.Equal(t, "3", a.LastEventID)
 			next := newSource()
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -130,7 +130,7 @@
 	s.spend(s.job.service)
 	ctx, giveUp := context.WithCancel(ctx)
 	timer := time.AfterFunc(awaitMove, giveUp)
-	next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.run.after(), ResumeFrom: &c.Copy})
+	next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.run.after(), ResumeFrom: &c.KVCopy})
 	begun := timer.Stop() && err == nil
 	if !begun || !next.streams() {
 		if err == nil {
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -33,7 +33,7 @@
 
 // copied is a copy of a run's memory at a server that counts it.
 type copied struct {
-	Copy
+	KVCopy
 	lease *backends.Reservation
 }
 
@@ -246,7 +246,7 @@
 func (r *Relay) drop(c copied) {
 	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
-	r.Upstream.Drop(ctx, c.Copy)
+	r.Upstream.Drop(ctx, c.KVCopy)
 	c.lease.Release(backends.ResultInconclusive, r.Now())
 }
 
@@ -394,7 +394,7 @@
 	if handle == "" {
 		return took, err
 	}
-	c := copied{Copy: Copy{Source: m.from.Address, Handle: handle}, lease: m.to.lease}
+	c := copied{KVCopy: KVCopy{Source: m.from.Address, Handle: handle}, lease: m.to.lease}
 	if err != nil && final {
 		// The run has stopped and only its server has its memory.
 		c.lease = m.relay.Registry.ReserveAt(m.from, m.run.memory())
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -232,7 +232,7 @@
 	copies := s.run.takeCopies(ctx)
 	for i, c := range copies {
 		s.spend(s.job.service)
-		next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.seq.after(), ResumeFrom: &c.Copy})
+		next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.seq.after(), ResumeFrom: &c.KVCopy})
 		if err == nil && next.streams() {
 			s.adopt(next, o)
 			for _, unused := range copies[i+1:] {
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -39,7 +39,7 @@
 			if a.ResumeFrom == nil {
 				return old.answer(), nil
 			}
-			require.Equal(t, &Copy{Source: "a:1", Handle: "h2"}, a.ResumeFrom)
+			require.Equal(t, &KVCopy{Source: "a:1", Handle: "h2"}, a.ResumeFrom)
 			require.Equal(t, "3", a.LastEventID)
 			next := newSource()
 			go func() {
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -67,14 +67,14 @@
 	// empty for none. The copy there has the request's id for a handle.
 	StandbyAddress string
 	// ResumeFrom is a copy of the run's memory to go on from, nil for a new run.
-	ResumeFrom *Copy
+	ResumeFrom *KVCopy
 	// Recheck is the last look before the attempt is sent, once there is a connection for it. An
 	// error ends the attempt unsent. Errors: *Refused.
 	Recheck func() error
 }
 
-// Copy is a run's memory at another server.
-type Copy struct {
+// KVCopy is a run's memory at another server.
+type KVCopy struct {
 	// Source is the address of the server that the run was on.
 	Source string
 	Handle string
@@ -145,7 +145,7 @@
 	// stopped and its server keeps the memory.
 	CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
 	// Drop frees a copy that will not be used.
-	Drop(ctx context.Context, c Copy)
+	Drop(ctx context.Context, c KVCopy)
 	// CloseIdle closes the idle connections to an address, whose server has ended.
 	CloseIdle(address string)
 	// IsDown reports whether nothing listens at a server's address any more. It is false
