--- a/backends/advice.go
+++ b/backends/advice.go
@@ -216,8 +216,8 @@
 	return n >= restingElsewhere
 }
 
-// Resting counts the servers that have asked this process for rest.
-func (r *Registry) Resting(now time.Duration) (n int) {
+// CountBackingOff counts the servers that have asked this process for rest.
+func (r *Registry) CountBackingOff(now time.Duration) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -212,7 +212,7 @@
 	again := s
 	again.StartTime = 2
 	r.Put(again, 6*time.Second)
-	require.Zero(t, r.Resting(6*time.Second))
+	require.Zero(t, r.CountBackingOff(6*time.Second))
 }
 
 // Guards against each of many gateways finding out by a request of its own that a server rests,
