--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -250,7 +250,7 @@
 	for _, r := range p.Rows {
 		size += len(r.Value) + rowOverhead
 	}
-	if holdsUp(size*g.links.Links(), g.linkMbps) {
+	if holdsUp(size*g.links.LinkCount(), g.linkMbps) {
 		return true
 	}
 	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return holdsUp(size, s.GetLinkMbps()) })
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -83,7 +83,7 @@
 			return err
 		}
 		m.sent(CauseState, len(frame))
-		tick.Reset(period(m.Links()))
+		tick.Reset(period(m.LinkCount()))
 		if first {
 			up()
 			if err := m.greet(send); err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -254,8 +254,8 @@
 	return len(m.book) + 1
 }
 
-// Links counts the gateways that this one tells.
-func (m *Manager) Links() int {
+// LinkCount counts the gateways that this one tells.
+func (m *Manager) LinkCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.members)
@@ -263,7 +263,7 @@
 
 // StatesPerSecond is how many states this gateway sends in a second, to all peers together.
 func (m *Manager) StatesPerSecond() float64 {
-	links := max(1, m.Links())
+	links := max(1, m.LinkCount())
 	return float64(links) / period(links).Seconds()
 }
 
