--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -291,7 +291,7 @@
 	f.gone[id] = true
 }
 
-func (f *fakeUpstream) Drop(context.Context, KVCopy) {}
+func (f *fakeUpstream) DropCopy(context.Context, KVCopy) {}
 
 func (f *fakeUpstream) Leaving(_ context.Context, s backends.Server) (bool, error) {
 	f.mu.Lock()
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -246,7 +246,7 @@
 func (r *Relay) drop(c copied) {
 	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
-	r.Upstream.Drop(ctx, c.KVCopy)
+	r.Upstream.DropCopy(ctx, c.KVCopy)
 	c.lease.Release(backends.ResultInconclusive, r.Now())
 }
 
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -144,8 +144,8 @@
 	// stream without an end. A handle may come with ErrNoRoom: then the run has
 	// stopped and its server keeps the memory.
 	CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
-	// Drop frees a copy that will not be used.
-	Drop(ctx context.Context, c KVCopy)
+	// DropCopy frees a copy that will not be used.
+	DropCopy(ctx context.Context, c KVCopy)
 	// CloseIdle closes the idle connections to an address, whose server has ended.
 	CloseIdle(address string)
 	// IsDown reports whether nothing listens at a server's address any more. It is false
