--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -141,7 +141,7 @@
 // place has the gateway choose an engine; one that gets none tries again in a while.
 func (f *fleet) place(g *generation, now time.Duration) {
 	g.lease = f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MostUsed: 0.97,
+		Service: svc, Tokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
 		MostPrompt: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
 	}, now)
 	if g.lease == nil {
@@ -162,7 +162,7 @@
 func (f *fleet) cover(g *generation, now time.Duration) {
 	l := f.regs[g.gateway].Acquire(Query{
 		Service: svc, Tokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
-		MostUsed: 0.5, MostOfAll: 0.5, Near: g.lease.Server.FailureDomain, Within: true, Draw: f.rng.Uint64(),
+		MaxMemoryUse: 0.5, MostOfAll: 0.5, Near: g.lease.Server.FailureDomain, Within: true, Draw: f.rng.Uint64(),
 	}, now)
 	if l == nil {
 		return
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -341,13 +341,13 @@
 func (m *move) target() *backends.Reservation {
 	r := m.relay
 	q := r.query(m.run.job)
-	q.Tokens, q.Tried, q.MostUsed = m.run.memory(), m.tried, copyRoom
+	q.Tokens, q.Tried, q.MaxMemoryUse = m.run.memory(), m.tried, copyRoom
 	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
 	q.Near = m.from.FailureDomain
 	first := q
 	first.Turns, first.Within = r.Peers.MoveTurns(m.from.FailureDomain), true
 	anyRoom := q
-	anyRoom.MostUsed = 0
+	anyRoom.MaxMemoryUse = 0
 	for _, q := range []backends.Query{first, q, anyRoom} {
 		if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
 			r.Peers.Notify()
