--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -81,7 +81,7 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 3 && len(n.group.links.Live()) == 2 }, "listed")
+		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 3 && len(n.group.links.LiveStates()) == 2 }, "listed")
 	}
 	pressAll(nodes, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
@@ -104,7 +104,7 @@
 	srv := s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 && len(n.group.links.Live()) == 2 }, "listed")
+		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 && len(n.group.links.LiveStates()) == 2 }, "listed")
 	}
 	nodes[2].door.SetFault(fleet.Reset)
 	know := func(limited int) {
@@ -145,7 +145,7 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 && len(n.group.links.Live()) == 2 }, "listed")
+		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 && len(n.group.links.LiveStates()) == 2 }, "listed")
 	}
 	s.fleet.Store.SetFault(fleet.Reset)
 	leaves.Say(fleet.SaysLeaving())
--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -66,7 +66,7 @@
 // reports whether any names one.
 func (g *group) namedVersions() (newer []string, heard bool) {
 	own := g.config.replica.Version()
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		heard = heard || s.GetConfigVersion() > 0
 		if s.GetConfigVersion() > own {
 			newer = append(newer, s.GetFrom().GetName())
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -74,7 +74,7 @@
 
 // Reading implements follow.Sharing.
 func (s *configSharing) Reading() bool {
-	return slices.ContainsFunc(s.links.Live(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
+	return slices.ContainsFunc(s.links.LiveStates(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
 }
 
 // announced notes a peer that follows the store.
@@ -114,7 +114,7 @@
 	announcers := slices.Clone(s.announcers)
 	s.mu.Unlock()
 	live := make(map[string]bool)
-	for _, p := range s.links.Live() {
+	for _, p := range s.links.LiveStates() {
 		live[p.GetFrom().GetName()] = true
 	}
 	for _, name := range announcers {
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -110,7 +110,7 @@
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	for _, n := range nodes {
 		n.knows()
-		n.eventually(func() bool { return len(n.group.links.Live()) == 1 }, "linked")
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == 1 }, "linked")
 	}
 	nodes[1].door.SetFault(fleet.Busy)
 	time.Sleep(time.Second)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -192,7 +192,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
-	a.eventually(func() bool { return len(a.group.links.Live()) == 1 && len(b.group.links.Live()) == 1 }, "linked")
+	a.eventually(func() bool { return len(a.group.links.LiveStates()) == 1 && len(b.group.links.LiveStates()) == 1 }, "linked")
 	a.eventually(func() bool { return a.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	a.door.SetFault(fleet.Busy)
 	time.Sleep(time.Second)
@@ -247,7 +247,7 @@
 	s := newSystem(t)
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c"), s.gateway("vm-d")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.Live()) == len(nodes)-1 }, "linked")
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(nodes)-1 }, "linked")
 	}
 	time.Sleep(1500 * time.Millisecond)
 	before := s.fleet.Store.Calls()
@@ -387,7 +387,7 @@
 	s.linkMbps = 1
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.Live()) == len(nodes)-1 }, "linked")
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(nodes)-1 }, "linked")
 	}
 	var more []string
 	for i := range 400 {
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -25,7 +25,7 @@
 // ended in which it followed the store before that.
 func linked(nodes ...*node) {
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.Live()) == len(nodes)-1 }, "linked")
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(nodes)-1 }, "linked")
 	}
 	time.Sleep(DefaultOptions().FeedTimeout + followSlack)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -213,7 +213,7 @@
 
 // AcceptingRequests implements relay.Others.
 func (g *group) AcceptingRequests() bool {
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return !s.GetStopping() })
+	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return !s.GetStopping() })
 }
 
 // Notify implements relay.Others.
@@ -253,7 +253,7 @@
 	if holdsUp(size*g.links.LinkCount(), g.linkMbps) {
 		return true
 	}
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return holdsUp(size, s.GetLinkMbps()) })
+	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return holdsUp(size, s.GetLinkMbps()) })
 }
 
 // holdsUp reports whether bytes take a link of some Mbit/s for too long.
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -51,7 +51,7 @@
 
 // Usage implements relay.Others.
 func (g *group) Usage(service string) (out []flow.Usage) {
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		for _, u := range s.GetUsages() {
 			if u.GetService() == service {
 				out = append(out, flow.Usage{Team: u.GetTeam(), Amount: float64(u.GetAmount())})
@@ -109,7 +109,7 @@
 
 // contenders lists the peers that have requests waiting for a service.
 func (g *group) contenders(service string) (out []flow.Contender) {
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		for _, q := range s.GetQueues() {
 			if q.GetService() == service {
 				out = append(out, flow.Contender{Name: s.GetFrom().GetName(), Waiting: int(q.GetWaiting()), Rank: int(q.GetRank()), WaitingAtRank: int(q.GetFirst())})
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -189,7 +189,7 @@
 	if others == 0 {
 		return 1
 	}
-	heard := float64(len(g.links.Live())) / float64(min(others, g.links.MaxLinks))
+	heard := float64(len(g.links.LiveStates())) / float64(min(others, g.links.MaxLinks))
 	return 1 + min(1, heard)*float64(others)
 }
 
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -131,7 +131,7 @@
 // as those that this gateway has linked to may not tell it anything yet.
 func (g *group) ahead(table string, starts bool) (out []string) {
 	f := g.followers[table]
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		for _, p := range s.GetPositions() {
 			if p.GetTable() == table && f.IsBehind(positionOf(p)) {
 				out = append(out, s.GetFrom().GetName())
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -286,8 +286,8 @@
 	return out
 }
 
-// Live lists the peers whose state is believed, by name.
-func (m *Manager) Live() []*peerv1.State {
+// LiveStates lists the peers whose state is believed, by name.
+func (m *Manager) LiveStates() []*peerv1.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []*peerv1.State
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -101,7 +101,7 @@
 	require.Eventually(t, func() bool { return earsB.heard() == 1 }, soon, time.Millisecond)
 	stopB()
 	require.Eventually(t, func() bool { return !earsA.hears("b") }, soon, time.Millisecond)
-	require.Empty(t, a.Live())
+	require.Empty(t, a.LiveStates())
 }
 
 // A peer whose process hangs takes pages until its windows are full. Telling it
