--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -293,7 +293,7 @@
 
 func (f *fakeUpstream) DropCopy(context.Context, KVCopy) {}
 
-func (f *fakeUpstream) Leaving(_ context.Context, s backends.Server) (bool, error) {
+func (f *fakeUpstream) IsLeaving(_ context.Context, s backends.Server) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaving[s.ID], nil
--- a/internal/relay/scout.go
+++ b/internal/relay/scout.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		wg.Go(func() {
-			leaving, err := r.Upstream.Leaving(ctx, s)
+			leaving, err := r.Upstream.IsLeaving(ctx, s)
 			if err != nil {
 				// A server that is busy or cut off says nothing of its plans.
 				r.Log.WithError(err).WithField("server", s.ID).Debug("server does not report")
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -151,8 +151,8 @@
 	// IsDown reports whether nothing listens at a server's address any more. It is false
 	// where that cannot be told.
 	IsDown(ctx context.Context, s backends.Server) bool
-	// Leaving asks a server whether it is about to end.
-	Leaving(ctx context.Context, s backends.Server) (bool, error)
+	// IsLeaving asks a server whether it is about to end.
+	IsLeaving(ctx context.Context, s backends.Server) (bool, error)
 }
 
 // Responder takes the one final answer to a request: Refuse, or Begin, any
