--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -142,7 +142,7 @@
 func (f *fleet) place(g *generation, now time.Duration) {
 	g.lease = f.regs[g.gateway].Acquire(Query{
 		Service: svc, Tokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
-		MostPrompt: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
+		MaxPromptPending: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
 	}, now)
 	if g.lease == nil {
 		f.at(now+5*tick, func() { f.place(g, now+5*tick) })
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -283,8 +283,8 @@
 	// MaxMemoryUse bounds the part of its memory that the server may have in use, the
 	// request included, MostPrompt the prompt tokens that it reads before; 0 is no
 	// bound.
-	MaxMemoryUse float64
-	MostPrompt   int
+	MaxMemoryUse     float64
+	MaxPromptPending int
 	// MostOfAll bounds the part of the memory that all servers of the service have in
 	// use together; 0 is no bound.
 	MostOfAll float64
@@ -322,7 +322,7 @@
 	if near == "" {
 		near = r.domain
 	}
-	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MostPrompt, SameDomainOnly: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
+	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
 	divided := cells.IsDivided(len(views), r.count)
 	if divided {
 		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -112,9 +112,9 @@
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
 	}
-	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}, MostPrompt: 1000}, 0))
+	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0))
 	r.SetRemote("other", nil)
-	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MostPrompt: 1000}, 0)
+	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0)
 	require.NotNil(t, l)
 	l.Release(ResultOK, 0)
 }
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -32,7 +32,7 @@
 	r.Put(bornAt("a", 200), 0)
 	require.Equal(t, []told{{"a", NoticeReported}, {"a", NoticeRestarted}}, *notices)
 	require.Equal(t, 1, r.Ready(svc))
-	lease := r.Acquire(Query{Service: svc, Tokens: 9000, Prompt: 3000, MaxMemoryUse: 0.9, MostPrompt: 100}, 0)
+	lease := r.Acquire(Query{Service: svc, Tokens: 9000, Prompt: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
 	require.Equal(t, Load{}, lease.Load)
 	require.Empty(t, r.Statuses(0))
--- a/internal/relay/lane_test.go
+++ b/internal/relay/lane_test.go
@@ -34,7 +34,7 @@
 			w.serve(request("/plan/x")).whole(t, event(1))
 		}
 		require.InEpsilon(t, speed, w.relay.readSpeed(), 0.1)
-		require.InEpsilon(t, speed/2, w.relay.engineQuery(&job{Request: request("/plan/x"), route: &routing.Route{}, outputs: newOutputs()}, 0).MostPrompt, 0.1)
+		require.InEpsilon(t, speed/2, w.relay.engineQuery(&job{Request: request("/plan/x"), route: &routing.Route{}, outputs: newOutputs()}, 0).MaxPromptPending, 0.1)
 	})
 }
 
