--- a/internal/peers/fetch.go
+++ b/internal/peers/fetch.go
@@ -33,15 +33,15 @@
 	maxParts = 10_000
 )
 
-// Taker takes an answer as it comes in. An error ends the fetch.
-type Taker interface {
+// AnswerHandler takes an answer as it comes in. An error ends the fetch.
+type AnswerHandler interface {
 	Head(*peerv1.Change) error
 	Part([]byte) error
 }
 
 // Fetch asks a peer for what this gateway is behind in. Errors: ErrNoLink, the taker's, or
 // why the peer's answer did not come to its end.
-func (m *Manager) Fetch(ctx context.Context, peer string, ask *peerv1.Fetch, taker Taker) error {
+func (m *Manager) Fetch(ctx context.Context, peer string, ask *peerv1.Fetch, taker AnswerHandler) error {
 	session := m.session(peer)
 	if session == nil {
 		return ErrNoLink
