--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -128,8 +128,8 @@
 var (
 	// ErrNoRun says that the server runs no such request.
 	ErrNoRun = errors.New("no such run")
-	// ErrMoveBusy says that the run is being copied by another call.
-	ErrMoveBusy = errors.New("run is being copied")
+	// ErrCopyInProgress says that the run is being copied by another call.
+	ErrCopyInProgress = errors.New("run is being copied")
 	// ErrNoRoom says that the target of a copy has no room or is unreachable.
 	ErrNoRoom = errors.New("no room for the copy")
 )
