--- a/backends/registry.go
+++ b/backends/registry.go
@@ -285,9 +285,9 @@
 	// bound.
 	MaxMemoryUse     float64
 	MaxPromptPending int
-	// MostOfAll bounds the part of the memory that all servers of the service have in
+	// MaxServiceMemoryUse bounds the part of the memory that all servers of the service have in
 	// use together; 0 is no bound.
-	MostOfAll float64
+	MaxServiceMemoryUse float64
 	// Tried are the servers that are not to be asked again.
 	Tried []string
 	// Near is the failure domain to prefer, the process's own if empty; Within drops
@@ -327,7 +327,7 @@
 	if divided {
 		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
-	if q.MostOfAll > 0 && placement.MemoryUtilization(req, views) > q.MostOfAll {
+	if q.MaxServiceMemoryUse > 0 && placement.MemoryUtilization(req, views) > q.MaxServiceMemoryUse {
 		return nil
 	}
 	draws := r.draws(len(views))
