--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -74,9 +74,9 @@
 	return f.failures == 0
 }
 
-// Answered is the store's steady clock when it last answered this process: now, while a
+// LastAnswer is the store's steady clock when it last answered this process: now, while a
 // long answer comes in.
-func (f *Follower) Answered() time.Duration {
+func (f *Follower) LastAnswer() time.Duration {
 	now, known := f.StoreTime()
 	if known && f.Reading() {
 		return now
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -175,7 +175,7 @@
 func (g *group) answered() time.Duration {
 	at := time.Duration(-1)
 	for _, table := range []string{operator.Table, directory.Table} {
-		if a := g.followers[table].Answered(); at < 0 || a < at {
+		if a := g.followers[table].LastAnswer(); at < 0 || a < at {
 			at = a
 		}
 	}
