--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -208,8 +208,8 @@
 	f.ReceivePage(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
-// Known implements relay.Others.
-func (g *group) Known() int { return g.links.Known() }
+// Count implements relay.Others.
+func (g *group) Count() int { return g.links.Known() }
 
 // AcceptingRequests implements relay.Others.
 func (g *group) AcceptingRequests() bool {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -165,7 +165,7 @@
 
 // turn is when this gateway writes a row that others may write as well.
 func (s *suspects) turn() time.Duration {
-	return saveSoonest + time.Duration(rand.Float64()*float64(s.group.Known())*float64(savePerGateway))
+	return saveSoonest + time.Duration(rand.Float64()*float64(s.group.Count())*float64(savePerGateway))
 }
 
 // learn changes the book, and tells peers, the relay and the store what follows from it;
@@ -296,7 +296,7 @@
 	}
 	s.learn("expired", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Expire(now) })
 	for _, row := range s.expiredRows(now) {
-		if rand.IntN(max(1, s.group.Known())) > 0 {
+		if rand.IntN(max(1, s.group.Count())) > 0 {
 			continue
 		}
 		if err := s.group.store.Remove(ctx, membersTable, suspectKey(row.record.ID), row.revision); err != nil {
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -40,7 +40,7 @@
 		r.budgets[service] = b
 	}
 	b.Ratio = cfg.RetryRatio
-	parts := r.Peers.Known()
+	parts := r.Peers.Count()
 	if parts == 0 {
 		parts = partsUnknown
 	}
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -53,7 +53,7 @@
 	usage  []flow.Usage
 }
 
-func (o *others) Known() int              { return o.known }
+func (o *others) Count() int              { return o.known }
 func (o *others) AcceptingRequests() bool { return o.taking }
 func (o *others) ConfigCurrent() bool     { return true }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -76,8 +76,8 @@
 
 // Peers tells of the other processes that serve callers.
 type Peers interface {
-	// Known counts the processes, this one included; 0 if not known.
-	Known() int
+	// Count counts the processes, this one included; 0 if not known.
+	Count() int
 	// ConfigCurrent reports whether they know no newer configuration than the one that this process
 	// started with.
 	ConfigCurrent() bool
