--- a/backends/registry.go
+++ b/backends/registry.go
@@ -290,10 +290,10 @@
 	MaxServiceMemoryUse float64
 	// Tried are the servers that are not to be asked again.
 	Tried []string
-	// Near is the failure domain to prefer, the process's own if empty; Within drops
+	// PreferredDomain is the failure domain to prefer, the process's own if empty; Within drops
 	// all others.
-	Near   string
-	Within bool
+	PreferredDomain string
+	Within          bool
 	// Regions are where the request may run.
 	Regions routing.Regions
 	// Clock is what cold servers are shared out by.
@@ -318,7 +318,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	views, list := r.views(q, now)
-	near := q.Near
+	near := q.PreferredDomain
 	if near == "" {
 		near = r.domain
 	}
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -343,7 +343,7 @@
 	q := r.query(m.run.job)
 	q.Tokens, q.Tried, q.MaxMemoryUse = m.run.memory(), m.tried, copyRoom
 	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
-	q.Near = m.from.FailureDomain
+	q.PreferredDomain = m.from.FailureDomain
 	first := q
 	first.Turns, first.Within = r.Peers.MoveTurns(m.from.FailureDomain), true
 	anyRoom := q
