--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -247,7 +247,7 @@
 		for _, synced := f.Position(); synced; _, synced = f.Position() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		page, told := f.Since(revision.Revision{})
+		page, told := f.ChangesSince(revision.Revision{})
 		require.True(t, told)
 		require.Len(t, page.Rows, 1)
 		require.EqualValues(t, 1, page.Revision.Version())
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -168,10 +168,10 @@
 	return !f.synced || !f.position().Has(p)
 }
 
-// Since gives what has changed after a revision, for another process. It is false where
+// ChangesSince gives what has changed after a revision, for another process. It is false where
 // rows are not kept, or there are none yet. While the table is read anew it gives what there
 // was: one that starts has nothing better than a store that has come back older.
-func (f *Follower) Since(known revision.Revision) (Page, bool) {
+func (f *Follower) ChangesSince(known revision.Revision) (Page, bool) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -38,7 +38,7 @@
 func (t *tableAnswers) answer(f *follow.Follower, since revision.Revision) (*peerv1.Change, [][]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	page, ok := f.Since(since)
+	page, ok := f.ChangesSince(since)
 	if !ok {
 		return nil, nil, errNoTable
 	}
