--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -76,8 +76,8 @@
 	return flow.NewTurns(self, g.contenders(service), rank, period)
 }
 
-// MoveTurns implements relay.Others.
-func (g *group) MoveTurns(domain string) *flow.Turns {
+// MigrationTurns implements relay.Others.
+func (g *group) MigrationTurns(domain string) *flow.Turns {
 	period, known := g.period()
 	movers := g.registry.CountRequestsAtLeaving(g.self.Name, domain)
 	if !known || len(movers) < 2 {
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -91,7 +91,7 @@
 
 func (o *others) SharedClock() pacing.SharedTime { return pacing.SharedTime{} }
 
-func (o *others) MoveTurns(string) *flow.Turns { return o.Turns("", 0) }
+func (o *others) MigrationTurns(string) *flow.Turns { return o.Turns("", 0) }
 
 func (o *others) set(turns *flow.Turns) {
 	o.mu.Lock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -95,9 +95,9 @@
 	// Turns is whose turn it is at the servers of a service for a request of some
 	// rank, nil while no other process has one waiting that is as urgent.
 	Turns(service string, rank int) *flow.Turns
-	// MoveTurns is whose turn it is to copy runs off the servers that leave a failure
+	// MigrationTurns is whose turn it is to copy runs off the servers that leave a failure
 	// domain, nil while only this process has such runs.
-	MoveTurns(domain string) *flow.Turns
+	MigrationTurns(domain string) *flow.Turns
 	// SharedClock is a clock that all processes go by.
 	SharedClock() pacing.SharedTime
 }
