--- a/backends/registry.go
+++ b/backends/registry.go
@@ -293,7 +293,7 @@
 	// PreferredDomain is the failure domain to prefer, the process's own if empty; Within drops
 	// all others.
 	PreferredDomain string
-	Within          bool
+	SameDomainOnly  bool
 	// Regions are where the request may run.
 	Regions routing.Regions
 	// Clock is what cold servers are shared out by.
@@ -322,7 +322,7 @@
 	if near == "" {
 		near = r.domain
 	}
-	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
+	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.SameDomainOnly, Regions: q.Regions, CopySpeed: q.CopySpeed}
 	divided := cells.IsDivided(len(views), r.count)
 	if divided {
 		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -45,7 +45,7 @@
 	q.Tokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
 	q.MaxMemoryUse, q.MaxServiceMemoryUse = coverRoom, coverOfAll
 	q.Copy, q.CopySpeed = true, e.CopySpeed()
-	q.PreferredDomain, q.Within = s.FailureDomain, true
+	q.PreferredDomain, q.SameDomainOnly = s.FailureDomain, true
 	return r.Registry.Acquire(q, r.Now())
 }
 
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -345,7 +345,7 @@
 	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
 	q.PreferredDomain = m.from.FailureDomain
 	first := q
-	first.Turns, first.Within = r.Peers.MigrationTurns(m.from.FailureDomain), true
+	first.Turns, first.SameDomainOnly = r.Peers.MigrationTurns(m.from.FailureDomain), true
 	anyRoom := q
 	anyRoom.MaxMemoryUse = 0
 	for _, q := range []backends.Query{first, q, anyRoom} {
