--- a/readers/readers.go
+++ b/readers/readers.go
@@ -136,8 +136,8 @@
 	// knows, by the part of its links that it hears something on. One that hears nobody
 	// is alone.
 	ProcessCount float64
-	// Draw is drawn from [0, 1).
-	Draw float64
+	// Random is drawn from [0, 1).
+	Random float64
 }
 
 // ShouldRead decides whether this process reads the store. One that does goes on until two
@@ -167,7 +167,7 @@
 func (r *Role) volunteer(l Inputs) bool {
 	since := min(max(l.Now-r.looked, 0), longestLook)
 	r.looked = l.Now
-	r.reading = l.ProcessCount <= 1 || l.Draw < volunteersPerSecond*since.Seconds()/l.ProcessCount
+	r.reading = l.ProcessCount <= 1 || l.Random < volunteersPerSecond*since.Seconds()/l.ProcessCount
 	return r.reading
 }
 
