--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -27,7 +27,7 @@
 // reply is what came of an attempt.
 type reply struct {
 	*attempt
-	answer *Answer
+	answer *Response
 	err    error
 	at     time.Duration
 }
--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -20,7 +20,7 @@
 	w.t.Helper()
 	w.server("a", modelService)
 	w.server("b", modelService)
-	w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+	w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 		require.Nil(w.t, a.ResumeFrom, "sent to the copy")
 		src := newSource()
 		go func() {
@@ -50,7 +50,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
 		w.server("b", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			w.registry.SetCordoned([]string{"zone-1"}, w.now())
 			return answer(500, "failed"), nil
 		}
@@ -74,7 +74,7 @@
 		}
 		w.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("north", routing.Regions{"north"}), route("south", routing.Regions{"south"})}}, func() {})
 		w.replica.Confirm(w.now())
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/north/x")).whole(t, "ok")
 		c := w.serve(request("/south/x"))
 		require.Equal(t, ReasonNoServer, c.refusal.Reason)
@@ -91,7 +91,7 @@
 		s := w.entry("a", deskService)
 		s.ColdFor = w.plain.ColdTime
 		w.registry.Put(s, w.now())
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		served, refused := 0, 0
@@ -123,7 +123,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
 		w.server("b", deskService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if len(w.up.servers()) > 1 {
 				require.NoError(t, a.Recheck())
 				return answer(200, "ok"), nil
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -22,7 +22,7 @@
 		w.server("a", modelService)
 		w.server("b", modelService)
 		old := newSource()
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom == nil {
 				require.NotEmpty(t, a.StandbyAddress)
 				require.NotEqual(t, a.Server.Address, a.StandbyAddress)
@@ -54,7 +54,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		w.server("b", modelService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom != nil {
 				return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 			}
@@ -105,7 +105,7 @@
 					w.relay.tellQueue(modelService, l, 1)
 					w.relay.tellQueue(modelService, l, -1)
 				}
-				w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+				w.up.send = func(context.Context, *Attempt) (*Response, error) {
 					src := newSource()
 					go func() {
 						src.write(events(1, 2))
@@ -132,7 +132,7 @@
 		for i := range engines {
 			w.server(fmt.Sprintf("e%02d", i), modelService)
 		}
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			src := newSource()
 			switch {
 			case a.ResumeFrom == nil:
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -66,7 +66,7 @@
 		w := newWorld(t, Config{RetryRatio: 0.2, RetryExtra: 86})
 		w.others.known = playGateways
 		w.relay.Peers = &nudger{w.others, func() { p.told(i) }}
-		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) { return p.send(ctx, i, a) }
+		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) { return p.send(ctx, i, a) }
 		for k := range playEngines {
 			s := w.entry(fmt.Sprint("e-", k), modelService)
 			s.Slots, s.FailureDomain = 24, fmt.Sprint("zone-", k%4)
@@ -77,7 +77,7 @@
 	return p
 }
 
-func (p *crashPlay) send(ctx context.Context, i int, a *Attempt) (*Answer, error) {
+func (p *crashPlay) send(ctx context.Context, i int, a *Attempt) (*Response, error) {
 	p.mu.Lock()
 	ended := p.ended[a.Server.ID]
 	if ended {
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -32,7 +32,7 @@
 // what happens to is up to the test.
 func (w *world) breaking(happens func()) {
 	body := newSource()
-	w.up.send = func(context.Context, *Attempt) (*Answer, error) { return body.answer(), nil }
+	w.up.send = func(context.Context, *Attempt) (*Response, error) { return body.answer(), nil }
 	go func() {
 		body.write(events(1, 3))
 		happens()
@@ -89,7 +89,7 @@
 		w.server("e1", modelService)
 		for _, ends := range []bool{false, true} {
 			body := newSource()
-			w.up.send = func(context.Context, *Attempt) (*Answer, error) { return body.answer(), nil }
+			w.up.send = func(context.Context, *Attempt) (*Response, error) { return body.answer(), nil }
 			go func() {
 				body.write(event(1))
 				if ends {
@@ -202,7 +202,7 @@
 // harmful has each server end under requests of a path, 50 ms after the first event; all
 // others are answered.
 func (w *world) harmful(path string) {
-	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+	w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 		if w.up.IsDown(ctx, a.Server) {
 			return nil, &NotRunError{Reason: NotRunUnreachable}
 		}
@@ -307,7 +307,7 @@
 		l := w.suspicious()
 		w.server("e1", modelService)
 		reads, answers := make(chan struct{}), newSource()
-		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 			if a.Request.ID == "reads" {
 				close(reads)
 				<-ctx.Done()
@@ -369,7 +369,7 @@
 		l := w.suspicious()
 		w.server("e1", modelService)
 		w.server("e2", modelService)
-		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 			body := newSource()
 			go func() {
 				if a.LastEventID != "" {
@@ -389,7 +389,7 @@
 		w.serve(r).whole(t, events(1, 2))
 		time.Sleep(2 * lateLook)
 		require.Equal(t, 1, l.known(r))
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			body := newSource()
 			go func() {
 				body.write(events(1, 2))
@@ -408,7 +408,7 @@
 		w := newWorld(t, Config{})
 		l := w.suspicious()
 		w.server("d1", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/safe/a")).whole(t, "ok")
 		require.Zero(t, l.looked)
 	})
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -212,7 +212,7 @@
 
 func (c *caller) Refuse(f Refusal) { c.refusal = &f }
 
-func (c *caller) Begin(a *Answer) error {
+func (c *caller) Begin(a *Response) error {
 	c.status = a.Status
 	return nil
 }
@@ -244,11 +244,11 @@
 	closed  []string
 	leaving map[string]bool
 	gone    map[string]bool
-	send    func(ctx context.Context, a *Attempt) (*Answer, error)
+	send    func(ctx context.Context, a *Attempt) (*Response, error)
 	move    func(ctx context.Context, from backends.Server, id, to string, final bool) (string, error)
 }
 
-func (f *fakeUpstream) Send(ctx context.Context, a *Attempt) (*Answer, error) {
+func (f *fakeUpstream) Send(ctx context.Context, a *Attempt) (*Response, error) {
 	f.mu.Lock()
 	f.sent = append(f.sent, a)
 	f.mu.Unlock()
@@ -315,8 +315,8 @@
 	return ids
 }
 
-func answer(status int, body string) *Answer {
-	return &Answer{Status: status, Length: int64(len(body)), Sealed: true, Body: io.NopCloser(strings.NewReader(body))}
+func answer(status int, body string) *Response {
+	return &Response{Status: status, Length: int64(len(body)), Sealed: true, Body: io.NopCloser(strings.NewReader(body))}
 }
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: t\n\n", n) }
@@ -340,8 +340,8 @@
 	return &source{r, w}
 }
 
-func (s *source) answer() *Answer {
-	return &Answer{Status: 200, Length: -1, Events: true, Sealed: true, Body: s.PipeReader}
+func (s *source) answer() *Response {
+	return &Response{Status: 200, Length: -1, Events: true, Sealed: true, Body: s.PipeReader}
 }
 
 // write passes bytes to the reader; a reader that has gone is no matter.
--- a/internal/relay/hedge_test.go
+++ b/internal/relay/hedge_test.go
@@ -14,7 +14,7 @@
 func hedged(t *testing.T, w *world, refuse bool, play func(src *source)) *caller {
 	w.server("a", modelService)
 	w.server("b", modelService)
-	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+	w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 		src := newSource()
 		if a.ResumeFrom == nil {
 			go play(src)
--- a/internal/relay/lane_test.go
+++ b/internal/relay/lane_test.go
@@ -21,7 +21,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		const speed = startSpeed / 4
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			time.Sleep(time.Duration(float64(a.Request.Generation.PromptTokens) / speed * float64(time.Second)))
 			s := newSource()
 			go func() {
@@ -47,7 +47,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		run := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return run.answer(), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return run.answer(), nil }
 		done := make(chan *caller)
 		go func() {
 			r := request("/plan/x")
@@ -74,7 +74,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		run := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return run.answer(), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return run.answer(), nil }
 		turns := func(period int64) *flow.Turns {
 			return &flow.Turns{Self: "self", Period: period, Contenders: []flow.Contender{{Name: "self", Waiting: 1}, {Name: "other", Waiting: 1}}}
 		}
@@ -115,7 +115,7 @@
 		w.registry.SetRemote("vm-2", full)
 		w.others.usage = []flow.Usage{{Team: "team-1", Amount: 1e6}, {Team: "x", Amount: 1}, {Team: "y", Amount: 1}}
 		order := make(chan string, 2)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			order <- a.Team
 			s := newSource()
 			go func() {
@@ -146,7 +146,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "a" {
 				time.Sleep(5 * time.Second)
 			}
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -31,7 +31,7 @@
 		s := w.server(fmt.Sprint("s", i), deskService)
 		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
 	}
-	w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+	w.up.send = func(context.Context, *Attempt) (*Response, error) {
 		time.Sleep(20 * time.Millisecond)
 		return answer(200, "ok"), nil
 	}
@@ -153,7 +153,7 @@
 		w.server("a", deskService)
 		s := w.server("b", deskService)
 		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true}, 0)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(500, "failed"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(500, "failed"), nil }
 		for range 3 {
 			begun := time.Now()
 			require.Equal(t, 500, w.serve(request("/safe/x")).status)
@@ -185,7 +185,7 @@
 		w.relay.HandleSignals(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
 		w.relay.HandleSignals(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
 		lost := false
-		w.up.send = func(_ context.Context, at *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, at *Attempt) (*Response, error) {
 			if at.Request.Path == "/safe/x" && !lost {
 				lost = true
 				return nil, io.ErrUnexpectedEOF
@@ -214,7 +214,7 @@
 		w.server("full", deskService)
 		s := w.server("limited", deskService)
 		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "full" {
 				return nil, &NotRunError{Reason: NotRunFull}
 			}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -39,7 +39,7 @@
 // offer is a server's answer, and the lease that counts the request there.
 type offer struct {
 	lease  *backends.Reservation
-	answer *Answer
+	answer *Response
 	// cut breaks the answer off.
 	cut context.CancelFunc
 	// cover counts the run's standing copy, nil without one.
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -82,19 +82,19 @@
 
 // whole is an answer, read to its end or to wholeUpTo bytes.
 type whole struct {
-	*Answer
+	*Response
 	body []byte
 	// more says that the body goes on.
 	more bool
 }
 
-func readWhole(a *Answer) (*whole, error) {
+func readWhole(a *Response) (*whole, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, wholeUpTo+1))
 	if err != nil {
 		a.Body.Close()
 		return nil, err
 	}
-	w := &whole{Answer: a, body: body, more: len(body) > wholeUpTo}
+	w := &whole{Response: a, body: body, more: len(body) > wholeUpTo}
 	if !w.more {
 		a.Body.Close()
 	}
@@ -114,7 +114,7 @@
 	if !w.more && w.Length < 0 {
 		w.Length = int64(len(w.body))
 	}
-	if out.Begin(w.Answer) != nil {
+	if out.Begin(w.Response) != nil {
 		out.Abort()
 		return OutcomeCallerGone
 	}
--- a/internal/relay/race_test.go
+++ b/internal/relay/race_test.go
@@ -13,11 +13,11 @@
 const raceTarget = 150 * time.Millisecond
 
 // racing is a world with two plain servers; play answers the n-th attempt.
-func racing(t *testing.T, cfg Config, play func(ctx context.Context, n int, a *Attempt) (*Answer, error)) *world {
+func racing(t *testing.T, cfg Config, play func(ctx context.Context, n int, a *Attempt) (*Response, error)) *world {
 	w := newWorld(t, cfg)
 	w.server("a", deskService)
 	w.server("b", deskService)
-	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+	w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 		w.up.mu.Lock()
 		n := len(w.up.sent)
 		w.up.mu.Unlock()
@@ -27,7 +27,7 @@
 }
 
 // hang answers nothing until the attempt is cut.
-func hang(ctx context.Context) (*Answer, error) {
+func hang(ctx context.Context) (*Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -36,7 +36,7 @@
 func TestRequestAtAHangingServerIsAnsweredInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cut := false
-		w := racing(t, Config{}, func(ctx context.Context, n int, _ *Attempt) (*Answer, error) {
+		w := racing(t, Config{}, func(ctx context.Context, n int, _ *Attempt) (*Response, error) {
 			if n == 1 {
 				defer func() { cut = true }()
 				return hang(ctx)
@@ -57,7 +57,7 @@
 // against a server.
 func TestSlowServerMayAnswerFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := racing(t, Config{}, func(ctx context.Context, n int, _ *Attempt) (*Answer, error) {
+		w := racing(t, Config{}, func(ctx context.Context, n int, _ *Attempt) (*Response, error) {
 			if n == 1 {
 				time.Sleep(raceTarget * 3 / 4)
 				return answer(200, "first"), nil
@@ -73,7 +73,7 @@
 
 func TestFailedAttemptOfARaceLeavesTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := racing(t, Config{}, func(_ context.Context, n int, _ *Attempt) (*Answer, error) {
+		w := racing(t, Config{}, func(_ context.Context, n int, _ *Attempt) (*Response, error) {
 			if n == 2 {
 				return nil, errReset
 			}
@@ -93,7 +93,7 @@
 		used bool
 	}{{"/once/x", false}, {"/safe/x", true}} {
 		synctest.Test(t, func(t *testing.T) {
-			w := racing(t, Config{}, func(ctx context.Context, n int, _ *Attempt) (*Answer, error) {
+			w := racing(t, Config{}, func(ctx context.Context, n int, _ *Attempt) (*Response, error) {
 				time.Sleep(2 * raceTarget)
 				return answer(200, "ok"), nil
 			})
@@ -112,7 +112,7 @@
 func TestCallerThatLeavesEndsBothAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := 0
-		w := racing(t, Config{}, func(ctx context.Context, _ int, _ *Attempt) (*Answer, error) {
+		w := racing(t, Config{}, func(ctx context.Context, _ int, _ *Attempt) (*Response, error) {
 			defer func() { ended++ }()
 			return hang(ctx)
 		})
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -24,7 +24,7 @@
 		w.server("a", deskService)
 		w.server("b", deskService)
 		first := ""
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if first == "" {
 				first = a.Server.ID
 				return nil, &NotRunError{Reason: NotRunFull}
@@ -44,7 +44,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
 		w.server("b", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, errReset }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return nil, errReset }
 		c := w.serve(request("/once/x"))
 		require.Len(t, w.up.sent, 1)
 		require.True(t, c.refusal.MayHaveRun)
@@ -60,7 +60,7 @@
 		w.server("a", deskService)
 		w.server("b", deskService)
 		tries := 0
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			tries++
 			if tries == 1 {
 				return nil, errReset
@@ -79,7 +79,7 @@
 		for _, id := range []string{"a", "b", "c"} {
 			w.server(id, deskService)
 		}
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if len(w.up.sent) == 1 {
 				return answer(500, "oops"), nil
 			}
@@ -88,7 +88,7 @@
 		w.serve(request("/safe/x")).whole(t, "ok")
 
 		w.up.sent = nil
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(500, "oops"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(500, "oops"), nil }
 		c := w.serve(request("/safe/x"))
 		require.Equal(t, 500, c.status)
 		require.Equal(t, "oops", c.body.String())
@@ -102,7 +102,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			a := answer(200, "forged")
 			a.Sealed = false
 			return a, nil
@@ -122,7 +122,7 @@
 		for _, id := range []string{"a", "b", "c", "d"} {
 			w.server(id, deskService)
 		}
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Reason: NotRunFull} }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return nil, &NotRunError{Reason: NotRunFull} }
 		const requests = 100
 		for range requests {
 			c := w.serve(request("/once/x"))
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{RevokeBound: 5 * time.Second})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
 		require.True(t, w.relay.Ready())
 
@@ -165,7 +165,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{RevokeBound: 5 * time.Second, ApplyBound: 2 * time.Second})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
 		w.suspend(10 * time.Second)
 		require.Equal(t, ReasonStale, w.serve(request("/once/x")).refusal.Reason)
@@ -196,7 +196,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(ctx context.Context, _ *Attempt) (*Answer, error) {
+		w.up.send = func(ctx context.Context, _ *Attempt) (*Response, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -228,7 +228,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &NotRunError{Reason: NotRunReplaced} }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return nil, &NotRunError{Reason: NotRunReplaced} }
 		w.serve(request("/once/x"))
 		listed, _ := w.registry.State(backends.Server{ID: "a"})
 		require.False(t, listed)
@@ -243,7 +243,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "a" {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -270,7 +270,7 @@
 				w.server(fmt.Sprint("gone-", i), deskService)
 			}
 			w.server("sound", deskService)
-			w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+			w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 				if a.Server.ID != "sound" {
 					return nil, &NotRunError{Reason: why}
 				}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -19,7 +19,7 @@
 		s := w.server(string(rune('a'+i)), service)
 		w.relay.HandleSignals(s, backends.Signals{Backoff: rest}, 0)
 	}
-	w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+	w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 	return w
 }
 
@@ -79,7 +79,7 @@
 		w := newWorld(t, Config{})
 		s := w.server("a", modelService)
 		src := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			go src.write(events(1, 1))
 			return src.answer(), nil
 		}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -31,7 +31,7 @@
 			}
 			return "h1", nil
 		}
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom == nil {
 				return old.answer(), nil
 			}
@@ -65,7 +65,7 @@
 		w := newWorld(t, Config{})
 		w.reborn("a", 100)
 		old := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return old.answer(), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return old.answer(), nil }
 		go func() {
 			old.write(events(1, 3))
 			time.Sleep(time.Second)
@@ -85,7 +85,7 @@
 		w := newWorld(t, Config{})
 		w.reborn("a", 100)
 		src := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return src.answer(), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return src.answer(), nil }
 		go func() {
 			for n := 1; n <= 40; n++ {
 				src.write(event(n))
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -101,7 +101,7 @@
 }
 
 // pump passes events on until the answer ends; nil is a clean end.
-func (s *session) pump(first *Answer, o *offer) error {
+func (s *session) pump(first *Response, o *offer) error {
 	events := newEventReader(o.answer.Body)
 	for {
 		event, err := events.next()
@@ -158,7 +158,7 @@
 	}
 }
 
-func (s *session) end(first *Answer) string {
+func (s *session) end(first *Response) string {
 	if !s.begun && s.out.Begin(first) != nil {
 		return OutcomeCallerGone
 	}
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -35,7 +35,7 @@
 		w.server("a", modelService)
 		old := newSource()
 		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom == nil {
 				return old.answer(), nil
 			}
@@ -69,7 +69,7 @@
 		w.server("a", modelService)
 		old := newSource()
 		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			next := newSource()
 			if a.ResumeFrom == nil {
 				w.server("b", modelService)
@@ -94,7 +94,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		old := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			go func() {
 				old.write(events(1, 2) + "id: 3\n")
 				old.breakOff()
@@ -115,7 +115,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		w.server("b", modelService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			s := newSource()
 			if a.LastEventID == "" {
 				go func() {
@@ -142,7 +142,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			s := newSource()
 			go s.write(event(1) + event(3))
 			return s.answer(), nil
@@ -164,7 +164,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		w.server("d", deskService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "d" {
 				return answer(200, "ok"), nil
 			}
@@ -203,7 +203,7 @@
 		w.server("a", modelService)
 		old := newSource()
 		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			next := newSource()
 			if a.ResumeFrom == nil {
 				go old.write(events(1, 2))
@@ -237,7 +237,7 @@
 		w.relay.Log = log
 		w.server("a", modelService)
 		run := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			time.Sleep(400 * time.Millisecond)
 			go func() {
 				run.write(event(1))
@@ -266,7 +266,7 @@
 		w.server("a", modelService)
 		run := newSource()
 		w.movable(run, time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom == nil {
 				return run.answer(), nil
 			}
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -80,8 +80,8 @@
 	Handle string
 }
 
-// Answer is a server's answer, head first.
-type Answer struct {
+// Response is a server's answer, head first.
+type Response struct {
 	Status int
 	Header []Field
 	// Length is the body's, -1 if the answer does not say.
@@ -138,7 +138,7 @@
 type Upstream interface {
 	// Send sends an attempt and waits for the answer's head. The attempt ends
 	// with ctx. Errors: *Refused, or one that leaves the outcome unknown.
-	Send(ctx context.Context, a *Attempt) (*Answer, error)
+	Send(ctx context.Context, a *Attempt) (*Response, error)
 	// CopyRun copies the memory of a run to the server at the address to; a later
 	// call copies what is new. A final call stops the run first and closes its
 	// stream without an end. A handle may come with ErrNoRoom: then the run has
@@ -159,7 +159,7 @@
 // number of Write, and End or Abort.
 type Responder interface {
 	Refuse(f Refusal)
-	Begin(a *Answer) error
+	Begin(a *Response) error
 	// Write passes bytes on at once.
 	Write(p []byte) error
 	End()
