--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -141,7 +141,7 @@
 // place has the gateway choose an engine; one that gets none tries again in a while.
 func (f *fleet) place(g *generation, now time.Duration) {
 	g.lease = f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
+		Service: svc, ExpectedTokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
 		MaxPromptPending: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
 	}, now)
 	if g.lease == nil {
@@ -161,7 +161,7 @@
 // free by what is known.
 func (f *fleet) cover(g *generation, now time.Duration) {
 	l := f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
+		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
 		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.lease.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
 	}, now)
 	if l == nil {
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -44,9 +44,9 @@
 
 // lease counts a request at a server; mu is held.
 func (r *Registry) lease(s *server, q Query, of int) *Reservation {
-	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.Tokens, Prompt: q.Prompt}}
+	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.ExpectedTokens, Prompt: q.Prompt}}
 	if q.Copy {
-		l.part.Copying = q.Tokens
+		l.part.Copying = q.ExpectedTokens
 	}
 	s.own = s.own.plus(l.part)
 	return l
@@ -146,5 +146,5 @@
 	if s == nil || s.gone {
 		return nil
 	}
-	return r.lease(s, Query{Tokens: tokens}, 1)
+	return r.lease(s, Query{ExpectedTokens: tokens}, 1)
 }
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -275,9 +275,9 @@
 // Query asks for a server.
 type Query struct {
 	Service string
-	// Tokens is the memory that the request is expected to need at its peak, Prompt
+	// ExpectedTokens is the memory that the request is expected to need at its peak, Prompt
 	// the prompt tokens that a server has to read before it answers.
-	Tokens, Prompt int
+	ExpectedTokens, Prompt int
 	// PromptSpeed is the prompt tokens a second that servers read.
 	PromptSpeed float64
 	// MaxMemoryUse bounds the part of its memory that the server may have in use, the
@@ -322,7 +322,7 @@
 	if near == "" {
 		near = r.domain
 	}
-	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.SameDomainOnly, Regions: q.Regions, CopySpeed: q.CopySpeed}
+	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.ExpectedTokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.SameDomainOnly, Regions: q.Regions, CopySpeed: q.CopySpeed}
 	divided := cells.IsDivided(len(views), r.count)
 	if divided {
 		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -42,7 +42,7 @@
 		return nil
 	}
 	q := r.query(j)
-	q.Tokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
+	q.ExpectedTokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
 	q.MaxMemoryUse, q.MaxServiceMemoryUse = coverRoom, coverOfAll
 	q.Copy, q.CopySpeed = true, e.CopySpeed()
 	q.PreferredDomain, q.SameDomainOnly = s.FailureDomain, true
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -341,7 +341,7 @@
 func (m *move) target() *backends.Reservation {
 	r := m.relay
 	q := r.query(m.run.job)
-	q.Tokens, q.Tried, q.MaxMemoryUse = m.run.memory(), m.tried, copyRoom
+	q.ExpectedTokens, q.Tried, q.MaxMemoryUse = m.run.memory(), m.tried, copyRoom
 	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
 	q.PreferredDomain = m.from.FailureDomain
 	first := q
