--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -141,7 +141,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.role.Readers(now, answered) {
-		out = append(out, &peerv1.Reader{Name: o.Name, FailureDomain: o.FailureDomain, LinkMbps: o.LinkMbps, AnsweredMs: o.Answered.Milliseconds()})
+		out = append(out, &peerv1.Reader{Name: o.Name, FailureDomain: o.FailureDomain, LinkMbps: o.LinkMbps, AnsweredMs: o.AnsweredAt.Milliseconds()})
 	}
 	return out
 }
@@ -156,7 +156,7 @@
 	for _, o := range list {
 		rs = append(rs, readers.Reader{
 			Name: o.GetName(), FailureDomain: o.GetFailureDomain(), LinkMbps: o.GetLinkMbps(),
-			Answered: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
+			AnsweredAt: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
 		})
 	}
 	r.mu.Lock()
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -35,8 +35,8 @@
 	Name, FailureDomain string
 	// LinkMbps is its bandwidth in Mbit/s, 0 if it is not known.
 	LinkMbps float64
-	// Answered is the store's steady clock when the store last answered it.
-	Answered time.Duration
+	// AnsweredAt is the store's steady clock when the store last answered it.
+	AnsweredAt time.Duration
 }
 
 // Choose picks those that read the store for all, by the same rule everywhere.
@@ -91,23 +91,23 @@
 // AddReports takes what another process knows.
 func (r *Role) AddReports(list []Reader, now time.Duration) {
 	for _, o := range list {
-		if o.Name == r.self.Name || !fresh(o, now) || o.Answered > now+ahead {
+		if o.Name == r.self.Name || !fresh(o, now) || o.AnsweredAt > now+ahead {
 			continue
 		}
-		if known, ok := r.others[o.Name]; !ok || o.Answered > known.Answered {
+		if known, ok := r.others[o.Name]; !ok || o.AnsweredAt > known.AnsweredAt {
 			r.others[o.Name] = o
 		}
 	}
 }
 
-func fresh(o Reader, now time.Duration) bool { return now-o.Answered < AnswerTimeout }
+func fresh(o Reader, now time.Duration) bool { return now-o.AnsweredAt < AnswerTimeout }
 
 // Readers lists those that read the store, as far as it is known here: what is told to
 // others. answered is when the store last answered this process.
 func (r *Role) Readers(now, answered time.Duration) []Reader {
 	list := r.alive(now)
 	self := r.self
-	self.Answered = answered
+	self.AnsweredAt = answered
 	if r.reading && fresh(self, now) {
 		list = append(list, self)
 	}
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -227,6 +227,6 @@
 // anything: it must not be counted on for ever.
 func TestReadersOfAnotherClockAreNotBelieved(t *testing.T) {
 	r := NewRole(reader("a", "z", 10))
-	r.AddReports([]Reader{{Name: "b", Answered: time.Hour}, {Name: "c", Answered: time.Hour}}, time.Minute)
+	r.AddReports([]Reader{{Name: "b", AnsweredAt: time.Hour}, {Name: "c", AnsweredAt: time.Hour}}, time.Minute)
 	require.Empty(t, r.Readers(time.Minute, 0))
 }
