--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -316,7 +316,7 @@
 }
 
 func answer(status int, body string) *Response {
-	return &Response{Status: status, Length: int64(len(body)), Sealed: true, Body: io.NopCloser(strings.NewReader(body))}
+	return &Response{Status: status, Length: int64(len(body)), Signed: true, Body: io.NopCloser(strings.NewReader(body))}
 }
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: t\n\n", n) }
@@ -341,7 +341,7 @@
 }
 
 func (s *source) answer() *Response {
-	return &Response{Status: 200, Length: -1, Events: true, Sealed: true, Body: s.PipeReader}
+	return &Response{Status: 200, Length: -1, Events: true, Signed: true, Body: s.PipeReader}
 }
 
 // write passes bytes to the reader; a reader that has gone is no matter.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -104,7 +104,7 @@
 		w.server("a", deskService)
 		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			a := answer(200, "forged")
-			a.Sealed = false
+			a.Signed = false
 			return a, nil
 		}
 		c := w.serve(request("/once/x"))
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -88,8 +88,8 @@
 	Length int64
 	// Events marks a stream.
 	Events bool
-	// Sealed marks an answer that bears the server's signature.
-	Sealed bool
+	// Signed marks an answer that bears the server's signature.
+	Signed bool
 	// Encoded marks a body that is not as the server made it.
 	Encoded bool
 	// Body ends with io.EOF only if it is whole.
