--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -141,7 +141,7 @@
 // place has the gateway choose an engine; one that gets none tries again in a while.
 func (f *fleet) place(g *generation, now time.Duration) {
 	g.lease = f.regs[g.gateway].Acquire(Query{
-		Service: svc, ExpectedTokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
+		Service: svc, ExpectedTokens: g.memory, PromptTokens: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
 		MaxPromptPending: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
 	}, now)
 	if g.lease == nil {
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -44,7 +44,7 @@
 
 // lease counts a request at a server; mu is held.
 func (r *Registry) lease(s *server, q Query, of int) *Reservation {
-	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.ExpectedTokens, Prompt: q.Prompt}}
+	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.ExpectedTokens, Prompt: q.PromptTokens}}
 	if q.Copy {
 		l.part.Copying = q.ExpectedTokens
 	}
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -25,7 +25,7 @@
 		r.SetRemote(fmt.Sprint("vm-", p), loads)
 	}
 	for b.Loop() {
-		if l := r.Acquire(Query{Service: svc, ExpectedTokens: 3000, Prompt: 2600, MaxMemoryUse: 0.97, MaxPromptPending: 3000, Draw: rng.Uint64()}, 0); l != nil {
+		if l := r.Acquire(Query{Service: svc, ExpectedTokens: 3000, PromptTokens: 2600, MaxMemoryUse: 0.97, MaxPromptPending: 3000, Draw: rng.Uint64()}, 0); l != nil {
 			l.Release(ResultInconclusive, 0)
 		}
 	}
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -275,9 +275,9 @@
 // Query asks for a server.
 type Query struct {
 	Service string
-	// ExpectedTokens is the memory that the request is expected to need at its peak, Prompt
+	// ExpectedTokens is the memory that the request is expected to need at its peak, PromptTokens
 	// the prompt tokens that a server has to read before it answers.
-	ExpectedTokens, Prompt int
+	ExpectedTokens, PromptTokens int
 	// PromptSpeed is the prompt tokens a second that servers read.
 	PromptSpeed float64
 	// MaxMemoryUse bounds the part of its memory that the server may have in use, the
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -124,7 +124,7 @@
 func TestLeaseCountsOnce(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]Server{entry("a")}, 0, 0)
-	l := r.Acquire(Query{Service: svc, ExpectedTokens: 5000, Prompt: 3000}, 0)
+	l := r.Acquire(Query{Service: svc, ExpectedTokens: 5000, PromptTokens: 3000}, 0)
 	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 5000, Prompt: 3000}}, r.Loads())
 	l.FinishPrompt()
 	l.FinishPrompt()
@@ -147,7 +147,7 @@
 	r.Reset(list, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Acquire(Query{Service: svc, ExpectedTokens: 4000, Prompt: 3000, Draw: 7}, 0).Release(ResultOK, 0)
+		r.Acquire(Query{Service: svc, ExpectedTokens: 4000, PromptTokens: 3000, Draw: 7}, 0).Release(ResultOK, 0)
 	}
 }
 
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -23,7 +23,7 @@
 	for range 3 {
 		r.Acquire(Query{Service: svc}, 0).Release(ResultLost, 0)
 	}
-	held := r.Acquire(Query{Service: svc, ExpectedTokens: 20000, Prompt: 9000}, 0)
+	held := r.Acquire(Query{Service: svc, ExpectedTokens: 20000, PromptTokens: 9000}, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, StartTime: 100}})
 	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2, StartTime: 100}}, 0)
 	r.MarkLeaving(bornAt("a", 100))
@@ -32,7 +32,7 @@
 	r.Put(bornAt("a", 200), 0)
 	require.Equal(t, []told{{"a", NoticeReported}, {"a", NoticeRestarted}}, *notices)
 	require.Equal(t, 1, r.Ready(svc))
-	lease := r.Acquire(Query{Service: svc, ExpectedTokens: 9000, Prompt: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
+	lease := r.Acquire(Query{Service: svc, ExpectedTokens: 9000, PromptTokens: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
 	require.Equal(t, Load{}, lease.Load)
 	require.Empty(t, r.Statuses(0))
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -257,7 +257,7 @@
 func (r *Relay) engineQuery(j *job, rank int) backends.Query {
 	speed := r.readSpeed()
 	q := r.query(j)
-	q.ExpectedTokens, q.Prompt, q.PromptSpeed = j.memory(0), j.prompt(), speed
+	q.ExpectedTokens, q.PromptTokens, q.PromptSpeed = j.memory(0), j.prompt(), speed
 	q.MaxMemoryUse, q.MaxPromptPending = mostUsed, int(speed*promptWait.Seconds())
 	q.Turns = r.Peers.Turns(j.service, rank)
 	return q
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -155,7 +155,7 @@
 	for {
 		if r.mayAsk(j, l, w) {
 			q := r.query(j)
-			q.ExpectedTokens, q.Prompt, q.Spill = j.memory(0), j.prompt(), true
+			q.ExpectedTokens, q.PromptTokens, q.Spill = j.memory(0), j.prompt(), true
 			if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
 				return lease, nil
 			}
