--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -228,7 +228,7 @@
 func (e *Entry) firstTry(team string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.budget(team).First()
+	e.budget(team).RecordFirstTry()
 }
 
 // Retries may add a fifth to a team's load, after a burst of ten.
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -6,7 +6,7 @@
 func (r *Relay) first(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).First()
+	r.budget(service).RecordFirstTry()
 }
 
 // repeat reports whether one more arrival is allowed.
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -15,8 +15,8 @@
 	begun  bool
 }
 
-// First notes a first try.
-func (b *Budget) First() {
+// RecordFirstTry notes a first try.
+func (b *Budget) RecordFirstTry() {
 	if !b.begun {
 		b.begun = true
 		b.tokens = b.Max
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -13,7 +13,7 @@
 	retries := 0
 	const tries = 1000
 	for range tries {
-		b.First()
+		b.RecordFirstTry()
 		for b.Take() {
 			retries++
 		}
