--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -341,7 +341,7 @@
 }
 
 func (s *source) answer() *Response {
-	return &Response{Status: 200, Length: -1, Events: true, Signed: true, Body: s.PipeReader}
+	return &Response{Status: 200, Length: -1, IsStream: true, Signed: true, Body: s.PipeReader}
 }
 
 // write passes bytes to the reader; a reader that has gone is no matter.
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -86,8 +86,8 @@
 	Header []Field
 	// Length is the body's, -1 if the answer does not say.
 	Length int64
-	// Events marks a stream.
-	Events bool
+	// IsStream marks a stream.
+	IsStream bool
 	// Signed marks an answer that bears the server's signature.
 	Signed bool
 	// Encoded marks a body that is not as the server made it.
