--- a/backends/lease.go
+++ b/backends/lease.go
@@ -44,7 +44,7 @@
 
 // lease counts a request at a server; mu is held.
 func (r *Registry) lease(s *server, q Query, of int) *Reservation {
-	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.ExpectedTokens, Prompt: q.PromptTokens}}
+	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, ExpectedTokens: q.ExpectedTokens, Prompt: q.PromptTokens}}
 	if q.Copy {
 		l.part.Copying = q.ExpectedTokens
 	}
@@ -76,7 +76,7 @@
 
 // SetExpectedTokens revises the memory that the request is expected to need.
 func (l *Reservation) SetExpectedTokens(tokens int) {
-	l.change(func(part Load) Load { return Load{Tokens: tokens - part.Tokens} })
+	l.change(func(part Load) Load { return Load{ExpectedTokens: tokens - part.ExpectedTokens} })
 }
 
 // overduePrompt stands for a prompt that a server does not begin to answer in time; it
--- a/backends/load.go
+++ b/backends/load.go
@@ -5,8 +5,8 @@
 // Load is requests at a server.
 type Load struct {
 	Running int
-	// Tokens is the memory that they are expected to need.
-	Tokens int
+	// ExpectedTokens is the memory that they are expected to need.
+	ExpectedTokens int
 	// Prompt is the prompt tokens of those that have not begun to answer: what a
 	// new request has to wait for.
 	Prompt int
@@ -18,11 +18,11 @@
 }
 
 func (l Load) plus(o Load) Load {
-	return Load{Running: l.Running + o.Running, Tokens: l.Tokens + o.Tokens, Prompt: l.Prompt + o.Prompt, Copying: l.Copying + o.Copying}
+	return Load{Running: l.Running + o.Running, ExpectedTokens: l.ExpectedTokens + o.ExpectedTokens, Prompt: l.Prompt + o.Prompt, Copying: l.Copying + o.Copying}
 }
 
 func (l Load) minus(o Load) Load {
-	return Load{Running: l.Running - o.Running, Tokens: l.Tokens - o.Tokens, Prompt: l.Prompt - o.Prompt, Copying: l.Copying - o.Copying}
+	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, Prompt: l.Prompt - o.Prompt, Copying: l.Copying - o.Copying}
 }
 
 // load is what is known of a server's load, here and at other processes.
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -20,7 +20,7 @@
 	for p := range 22 {
 		loads := make(map[string]Load)
 		for i := range 43 {
-			loads[fmt.Sprint("s-", i)] = Load{Running: 1, Tokens: rng.IntN(800), Prompt: rng.IntN(100)}
+			loads[fmt.Sprint("s-", i)] = Load{Running: 1, ExpectedTokens: rng.IntN(800), Prompt: rng.IntN(100)}
 		}
 		r.SetRemote(fmt.Sprint("vm-", p), loads)
 	}
@@ -48,7 +48,7 @@
 			loads := make(map[string]Load)
 			for _, s := range servers {
 				if rapid.Bool().Draw(t, "some") {
-					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Tokens: 10, StartTime: rapid.Int64Range(0, 1).Draw(t, "born")}
+					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), ExpectedTokens: 10, StartTime: rapid.Int64Range(0, 1).Draw(t, "born")}
 				}
 			}
 			r.SetRemote(p, loads)
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -96,7 +96,7 @@
 func (r *Relay) finishAttempt(j *job, p reply) (*offer, error) {
 	lease := p.lease
 	entry := j.log.WithFields(logrus.Fields{
-		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.Tokens,
+		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.ExpectedTokens,
 		"prompt": lease.Prompt, "of": lease.ServerCount,
 		"waited_ms": (p.SentAt - j.arrived).Milliseconds(), "answer_ms": (p.at - p.SentAt).Milliseconds(),
 	})
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -98,7 +98,7 @@
 				w.server("b", modelService)
 				w.server("c", modelService)
 				w.registry.SetRemote("vm-2", map[string]backends.Load{
-					"a": {Running: 2, Tokens: tt.used}, "b": {Running: 2, Tokens: tt.used}, "c": {Running: 2, Tokens: tt.full},
+					"a": {Running: 2, ExpectedTokens: tt.used}, "b": {Running: 2, ExpectedTokens: tt.used}, "c": {Running: 2, ExpectedTokens: tt.full},
 				})
 				if tt.crowded {
 					l := w.relay.lane(modelService)
--- a/internal/relay/lane_test.go
+++ b/internal/relay/lane_test.go
@@ -55,11 +55,11 @@
 			done <- w.serve(r)
 		}()
 		synctest.Wait()
-		before := w.registry.Loads()["a"].Tokens
+		before := w.registry.Loads()["a"].ExpectedTokens
 		require.Less(t, before, 3000+2*growthAhead)
 		run.write(events(1, 300))
 		synctest.Wait()
-		require.GreaterOrEqual(t, w.registry.Loads()["a"].Tokens, 3000+300*4)
+		require.GreaterOrEqual(t, w.registry.Loads()["a"].ExpectedTokens, 3000+300*4)
 		run.w.Close()
 		(<-done).whole(t, events(1, 300))
 		require.Empty(t, w.registry.Loads())
@@ -111,7 +111,7 @@
 		w.apply(2, teamKey, "key-2")
 		w.server("a", modelService)
 		// The engine has no room until the load of another gateway ends.
-		full := map[string]backends.Load{"a": {Running: 9, Tokens: 30000}}
+		full := map[string]backends.Load{"a": {Running: 9, ExpectedTokens: 30000}}
 		w.registry.SetRemote("vm-2", full)
 		w.others.usage = []flow.Usage{{Team: "team-1", Amount: 1e6}, {Team: "x", Amount: 1}, {Team: "y", Amount: 1}}
 		order := make(chan string, 2)
@@ -132,7 +132,7 @@
 		}
 		ask(teamKey)
 		ask("key-2")
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"a": {Running: 7, Tokens: 25000}})
+		w.registry.SetRemote("vm-2", map[string]backends.Load{"a": {Running: 7, ExpectedTokens: 25000}})
 		require.Equal(t, "team-2", <-order)
 		require.Equal(t, "team-1", <-order)
 		synctest.Wait()
@@ -161,7 +161,7 @@
 		go func() { first <- w.serve(request("/plan/x")) }()
 		time.Sleep(2 * time.Second)
 		w.server("b", modelService)
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"b": {Running: 5, Tokens: 20000}})
+		w.registry.SetRemote("vm-2", map[string]backends.Load{"b": {Running: 5, ExpectedTokens: 20000}})
 		w.serve(request("/plan/x")).whole(t, event(1))
 		require.Equal(t, []string{"a", "b"}, w.up.servers())
 		(<-first).whole(t, event(1))
