--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -222,7 +222,7 @@
 func (e *Entry) retryAllowed(team string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.budget(team).Take()
+	return e.budget(team).TryTake()
 }
 
 func (e *Entry) firstTry(team string) {
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -13,7 +13,7 @@
 func (r *Relay) repeat(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget(service).Take()
+	return r.budget(service).TryTake()
 }
 
 // spend counts an arrival that must not be refused: a run that has stopped at its
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -24,8 +24,8 @@
 	b.tokens = min(b.Max, b.tokens+b.Ratio)
 }
 
-// Take reports whether a retry is allowed, and uses it up.
-func (b *Budget) Take() bool {
+// TryTake reports whether a retry is allowed, and uses it up.
+func (b *Budget) TryTake() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -14,7 +14,7 @@
 	const tries = 1000
 	for range tries {
 		b.RecordFirstTry()
-		for b.Take() {
+		for b.TryTake() {
 			retries++
 		}
 	}
