--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -75,8 +75,8 @@
 
 var _ relay.Quarantine = (*suspects)(nil)
 
-// Any implements relay.Suspects.
-func (s *suspects) Any() bool { return s.any.Load() }
+// HasRecords implements relay.Suspects.
+func (s *suspects) HasRecords() bool { return s.any.Load() }
 
 // Quarantined implements relay.Suspects.
 func (s *suspects) Quarantined(id quarantine.ID) (time.Duration, bool) {
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -209,7 +209,7 @@
 // convicted reports whether a request is held. Where nothing is known of any, its content
 // is not looked at.
 func (r *Relay) convicted(j *job) (left time.Duration, held bool) {
-	if !r.Quarantine.Any() {
+	if !r.Quarantine.HasRecords() {
 		return 0, false
 	}
 	return r.Quarantine.Quarantined(j.id())
@@ -241,7 +241,7 @@
 // servers do not end under it. An answer that was put together from several servers says
 // nothing of the kind, as those before the last may have ended.
 func (r *Relay) answered(j *job) {
-	if r.Quarantine.Any() && !j.broken && j.LastEventID == "" {
+	if r.Quarantine.HasRecords() && !j.broken && j.LastEventID == "" {
 		r.Quarantine.Answered(j.id())
 	}
 }
@@ -259,7 +259,7 @@
 // noSuspects knows of none.
 type noSuspects struct{}
 
-func (noSuspects) Any() bool                                       { return false }
+func (noSuspects) HasRecords() bool                                { return false }
 func (noSuspects) Quarantined(quarantine.ID) (time.Duration, bool) { return 0, false }
 func (noSuspects) TrialDue(quarantine.ID) bool                     { return false }
 func (noSuspects) StartTrial(quarantine.ID) bool                   { return false }
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -133,7 +133,7 @@
 	looked int
 }
 
-func (l *ledger) Any() bool {
+func (l *ledger) HasRecords() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.book.Len() > 0
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -57,8 +57,8 @@
 // Quarantine remembers under which requests servers have ended, here and at all other
 // processes.
 type Quarantine interface {
-	// Any reports whether anything is known of any request.
-	Any() bool
+	// HasRecords reports whether anything is known of any request.
+	HasRecords() bool
 	// Quarantined reports whether a request must not be sent to servers, and for how much longer.
 	Quarantined(id quarantine.ID) (left time.Duration, held bool)
 	// TrialDue reports whether a request that is held is to be tried.
