--- a/backends/lease.go
+++ b/backends/lease.go
@@ -44,7 +44,7 @@
 
 // lease counts a request at a server; mu is held.
 func (r *Registry) lease(s *server, q Query, of int) *Reservation {
-	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, ExpectedTokens: q.ExpectedTokens, Prompt: q.PromptTokens}}
+	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, ExpectedTokens: q.ExpectedTokens, PromptTokens: q.PromptTokens}}
 	if q.Copy {
 		l.part.Copying = q.ExpectedTokens
 	}
@@ -54,7 +54,7 @@
 
 // FinishPrompt notes that the server has read the prompt.
 func (l *Reservation) FinishPrompt() {
-	l.change(func(part Load) Load { return Load{Prompt: -part.Prompt} })
+	l.change(func(part Load) Load { return Load{PromptTokens: -part.PromptTokens} })
 }
 
 // FinishCopy notes that the copy that the lease was taken for is complete.
@@ -88,10 +88,10 @@
 // is sent there waits too: it gets no more until it begins.
 func (l *Reservation) MarkPromptOverdue() {
 	l.change(func(part Load) Load {
-		if part.Prompt == 0 {
+		if part.PromptTokens == 0 {
 			return Load{}
 		}
-		return Load{Prompt: overduePrompt - part.Prompt}
+		return Load{PromptTokens: overduePrompt - part.PromptTokens}
 	})
 }
 
--- a/backends/load.go
+++ b/backends/load.go
@@ -7,9 +7,9 @@
 	Running int
 	// ExpectedTokens is the memory that they are expected to need.
 	ExpectedTokens int
-	// Prompt is the prompt tokens of those that have not begun to answer: what a
+	// PromptTokens is the prompt tokens of those that have not begun to answer: what a
 	// new request has to wait for.
-	Prompt int
+	PromptTokens int
 	// Copying is the tokens of memory that are being copied to the server: a further
 	// copy waits on its link behind them.
 	Copying int
@@ -18,11 +18,11 @@
 }
 
 func (l Load) plus(o Load) Load {
-	return Load{Running: l.Running + o.Running, ExpectedTokens: l.ExpectedTokens + o.ExpectedTokens, Prompt: l.Prompt + o.Prompt, Copying: l.Copying + o.Copying}
+	return Load{Running: l.Running + o.Running, ExpectedTokens: l.ExpectedTokens + o.ExpectedTokens, PromptTokens: l.PromptTokens + o.PromptTokens, Copying: l.Copying + o.Copying}
 }
 
 func (l Load) minus(o Load) Load {
-	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, Prompt: l.Prompt - o.Prompt, Copying: l.Copying - o.Copying}
+	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, PromptTokens: l.PromptTokens - o.PromptTokens, Copying: l.Copying - o.Copying}
 }
 
 // load is what is known of a server's load, here and at other processes.
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -20,7 +20,7 @@
 	for p := range 22 {
 		loads := make(map[string]Load)
 		for i := range 43 {
-			loads[fmt.Sprint("s-", i)] = Load{Running: 1, ExpectedTokens: rng.IntN(800), Prompt: rng.IntN(100)}
+			loads[fmt.Sprint("s-", i)] = Load{Running: 1, ExpectedTokens: rng.IntN(800), PromptTokens: rng.IntN(100)}
 		}
 		r.SetRemote(fmt.Sprint("vm-", p), loads)
 	}
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -108,7 +108,7 @@
 func TestRemoteLoadsCount(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.SetRemote("other", map[string]Load{"a": {Running: 3, ExpectedTokens: 9000, Prompt: 2000}})
+	r.SetRemote("other", map[string]Load{"a": {Running: 3, ExpectedTokens: 9000, PromptTokens: 2000}})
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
 	}
@@ -125,7 +125,7 @@
 	r, _ := newRegistry()
 	r.Reset([]Server{entry("a")}, 0, 0)
 	l := r.Acquire(Query{Service: svc, ExpectedTokens: 5000, PromptTokens: 3000}, 0)
-	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000, Prompt: 3000}}, r.Loads())
+	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000, PromptTokens: 3000}}, r.Loads())
 	l.FinishPrompt()
 	l.FinishPrompt()
 	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000}}, r.Loads())
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -24,7 +24,7 @@
 		r.Acquire(Query{Service: svc}, 0).Release(ResultLost, 0)
 	}
 	held := r.Acquire(Query{Service: svc, ExpectedTokens: 20000, PromptTokens: 9000}, 0)
-	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, ExpectedTokens: 20000, Prompt: 9000, StartTime: 100}})
+	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, ExpectedTokens: 20000, PromptTokens: 9000, StartTime: 100}})
 	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2, StartTime: 100}}, 0)
 	r.MarkLeaving(bornAt("a", 100))
 	require.Zero(t, r.Ready(svc))
@@ -38,7 +38,7 @@
 	require.Empty(t, r.Statuses(0))
 	held.Release(ResultLost, 0)
 	require.Empty(t, r.Statuses(0), "a request of the earlier life that ends late says nothing of this one")
-	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 9000, Prompt: 3000, StartTime: 200}}, r.Loads())
+	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 9000, PromptTokens: 3000, StartTime: 200}}, r.Loads())
 }
 
 // Messages of a server's earlier life arrive late: an entry that was written before its
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -97,7 +97,7 @@
 	lease := p.lease
 	entry := j.log.WithFields(logrus.Fields{
 		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.ExpectedTokens,
-		"prompt": lease.Prompt, "of": lease.ServerCount,
+		"prompt": lease.PromptTokens, "of": lease.ServerCount,
 		"waited_ms": (p.SentAt - j.arrived).Milliseconds(), "answer_ms": (p.at - p.SentAt).Milliseconds(),
 	})
 	if p.err != nil {
@@ -113,7 +113,7 @@
 	j.answering.Store(true)
 	lease.FinishPrompt()
 	if p.ResumeFrom == nil {
-		r.prompted(lease.Prompt+j.prompt(), p.at-p.SentAt)
+		r.prompted(lease.PromptTokens+j.prompt(), p.at-p.SentAt)
 	}
 	entry.WithField("status", p.answer.Status).Info("sent")
 	return &offer{lease: lease, answer: p.answer, cut: p.cut}, nil
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -44,7 +44,7 @@
 	}
 	t := time.AfterFunc(wait, func() {
 		late()
-		j.log.WithFields(logrus.Fields{"server": lease.Server.ID, "after_ms": wait.Milliseconds(), "prompt": lease.Prompt}).Info("server does not begin to answer")
+		j.log.WithFields(logrus.Fields{"server": lease.Server.ID, "after_ms": wait.Milliseconds(), "prompt": lease.PromptTokens}).Info("server does not begin to answer")
 		r.Peers.Notify()
 	})
 	return func() { t.Stop() }
@@ -55,7 +55,7 @@
 // requests sent beside them waited 3 to 7 s for room, one after the other, while other
 // engines had some.
 func (r *Relay) overdueAfter(j *job, lease *backends.Reservation) time.Duration {
-	usual := time.Duration(float64(lease.Prompt+j.prompt()) / r.readSpeed() * float64(time.Second))
+	usual := time.Duration(float64(lease.PromptTokens+j.prompt()) / r.readSpeed() * float64(time.Second))
 	return overdueTimes*usual + overdueSlack
 }
 
