--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -9,9 +9,9 @@
 	"kingcupplank.example/kingcup/platform/operator"
 )
 
-// Queued implements relay.Others. What others act on is told at once: that there is
+// ReportQueue implements relay.Others. What others act on is told at once: that there is
 // a queue, or that something more urgent waits there than before.
-func (g *group) Queued(service string, q flow.Contender) {
+func (g *group) ReportQueue(service string, q flow.Contender) {
 	q.Name = g.self.Name
 	g.mu.Lock()
 	was := g.queues[service]
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -22,8 +22,8 @@
 	s.server(fleet.ModelService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0))
-	a.group.Queued(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, WaitingAtRank: 3})
-	b.group.Queued(fleet.ModelService, flow.Contender{Waiting: 1, Rank: 1, WaitingAtRank: 1})
+	a.group.ReportQueue(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, WaitingAtRank: 3})
+	b.group.ReportQueue(fleet.ModelService, flow.Contender{Waiting: 1, Rank: 1, WaitingAtRank: 1})
 	sees := func(n *node, other string) func() bool {
 		return func() bool {
 			list := n.group.contenders(fleet.ModelService)
@@ -43,8 +43,8 @@
 	}
 	require.Equal(t, 3, b.group.Turns(fleet.ModelService, 2).Reserved)
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0), "what is more urgent needs no turn")
-	a.group.Queued(fleet.ModelService, flow.Contender{})
-	b.group.Queued(fleet.ModelService, flow.Contender{})
+	a.group.ReportQueue(fleet.ModelService, flow.Contender{})
+	b.group.ReportQueue(fleet.ModelService, flow.Contender{})
 	a.eventually(func() bool { return a.group.Turns(fleet.ModelService, 1) == nil }, "nobody waits")
 }
 
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -69,7 +69,7 @@
 	return o.nudges
 }
 
-func (o *others) Queued(_ string, q flow.Contender) {
+func (o *others) ReportQueue(_ string, q flow.Contender) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.queued = q.Waiting
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -130,7 +130,7 @@
 	l.unplaced += change
 	l.crowded = r.Now()
 	rank, first := l.queue.HeadRank(r.Now())
-	r.Peers.Queued(service, flow.Contender{Waiting: l.unplaced, Rank: rank, WaitingAtRank: first})
+	r.Peers.ReportQueue(service, flow.Contender{Waiting: l.unplaced, Rank: rank, WaitingAtRank: first})
 }
 
 // toldTeams is how many teams' usage is told to others. The surges that matter are of
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -86,8 +86,8 @@
 	// Notify has them told at once of what has changed here: a generation, or a copy of
 	// one, was put on an engine, or a server fails.
 	Notify()
-	// Queued tells them what waits here for a service; the name is left out.
-	Queued(service string, q flow.Contender)
+	// ReportQueue tells them what waits here for a service; the name is left out.
+	ReportQueue(service string, q flow.Contender)
 	// Used tells them what the teams that use a service most have used here, and
 	// Usage is what they tell.
 	Used(service string, top []flow.Usage)
