--- a/backends/lease.go
+++ b/backends/lease.go
@@ -46,7 +46,7 @@
 func (r *Registry) lease(s *server, q Query, of int) *Reservation {
 	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, ExpectedTokens: q.ExpectedTokens, PromptTokens: q.PromptTokens}}
 	if q.Copy {
-		l.part.Copying = q.ExpectedTokens
+		l.part.CopyTokens = q.ExpectedTokens
 	}
 	s.own = s.own.plus(l.part)
 	return l
@@ -59,7 +59,7 @@
 
 // FinishCopy notes that the copy that the lease was taken for is complete.
 func (l *Reservation) FinishCopy() {
-	l.change(func(part Load) Load { return Load{Copying: -part.Copying} })
+	l.change(func(part Load) Load { return Load{CopyTokens: -part.CopyTokens} })
 }
 
 // change adds to what the request is to the server's load, unless it is over.
--- a/backends/load.go
+++ b/backends/load.go
@@ -10,19 +10,19 @@
 	// PromptTokens is the prompt tokens of those that have not begun to answer: what a
 	// new request has to wait for.
 	PromptTokens int
-	// Copying is the tokens of memory that are being copied to the server: a further
+	// CopyTokens is the tokens of memory that are being copied to the server: a further
 	// copy waits on its link behind them.
-	Copying int
+	CopyTokens int
 	// StartTime is the life of the server that has the load, see Server.
 	StartTime int64
 }
 
 func (l Load) plus(o Load) Load {
-	return Load{Running: l.Running + o.Running, ExpectedTokens: l.ExpectedTokens + o.ExpectedTokens, PromptTokens: l.PromptTokens + o.PromptTokens, Copying: l.Copying + o.Copying}
+	return Load{Running: l.Running + o.Running, ExpectedTokens: l.ExpectedTokens + o.ExpectedTokens, PromptTokens: l.PromptTokens + o.PromptTokens, CopyTokens: l.CopyTokens + o.CopyTokens}
 }
 
 func (l Load) minus(o Load) Load {
-	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, PromptTokens: l.PromptTokens - o.PromptTokens, Copying: l.Copying - o.Copying}
+	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, PromptTokens: l.PromptTokens - o.PromptTokens, CopyTokens: l.CopyTokens - o.CopyTokens}
 }
 
 // load is what is known of a server's load, here and at other processes.
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -392,7 +392,7 @@
 		r.scratch = append(r.scratch, placement.Server{
 			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.regions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
 			Running: load.Running, Slots: s.Slots,
-			MemoryForecast: uint64(max(0, load.ExpectedTokens)), PromptPending: max(0, load.PromptTokens), CopyPending: max(0, load.Copying), MemoryTotal: uint64(traits.MemoryTokens),
+			MemoryForecast: uint64(max(0, load.ExpectedTokens)), PromptPending: max(0, load.PromptTokens), CopyPending: max(0, load.CopyTokens), MemoryTotal: uint64(traits.MemoryTokens),
 			FailureRate: s.failureRate(now), Avoid: now < s.avoidUntil || s.suspectUntil > 0 || r.losing(s, now) || r.restsElsewhere(s), BackingOff: now < s.restUntil, Cold: now < s.coldUntil, Paced: paced, Down: r.ended(s, now),
 		})
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -100,7 +100,7 @@
 	for id, l := range g.registry.Loads() {
 		s.Loads = append(s.Loads, &peerv1.Load{
 			Server: id, Running: uint32(l.Running), Tokens: uint64(max(0, l.ExpectedTokens)),
-			Prompt: uint64(max(0, l.PromptTokens)), Copying: uint64(max(0, l.Copying)), Born: l.StartTime,
+			Prompt: uint64(max(0, l.PromptTokens)), Copying: uint64(max(0, l.CopyTokens)), Born: l.StartTime,
 		})
 	}
 	for id, l := range g.registry.Statuses(clock.SinceBoot()) {
@@ -179,7 +179,7 @@
 	loads := make(map[string]backends.Load, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads[l.GetServer()] = backends.Load{
-			Running: int(l.GetRunning()), ExpectedTokens: int(l.GetTokens()), PromptTokens: int(l.GetPrompt()), Copying: int(l.GetCopying()), StartTime: l.GetBorn(),
+			Running: int(l.GetRunning()), ExpectedTokens: int(l.GetTokens()), PromptTokens: int(l.GetPrompt()), CopyTokens: int(l.GetCopying()), StartTime: l.GetBorn(),
 		}
 	}
 	g.registry.SetRemote(peer, loads)
