--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -42,8 +42,8 @@
 	return out
 }
 
-// Used implements relay.Others.
-func (g *group) Used(service string, top []flow.Usage) {
+// ReportUsage implements relay.Others.
+func (g *group) ReportUsage(service string, top []flow.Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.used[service] = usages{top, clock.SinceBoot()}
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -54,7 +54,7 @@
 	s := newSystem(t)
 	s.server(fleet.ModelService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
-	a.group.Used(fleet.ModelService, []flow.Usage{{Team: "large", Amount: 5000}})
+	a.group.ReportUsage(fleet.ModelService, []flow.Usage{{Team: "large", Amount: 5000}})
 	b.eventually(func() bool {
 		told := b.group.Usage(fleet.ModelService)
 		return len(told) == 1 && told[0].Team == "large" && told[0].Amount > 4000
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -81,7 +81,7 @@
 	return o.turns
 }
 
-func (o *others) Used(string, []flow.Usage) {}
+func (o *others) ReportUsage(string, []flow.Usage) {}
 
 func (o *others) Usage(string) []flow.Usage {
 	o.mu.Lock()
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -147,7 +147,7 @@
 	l.shares.Charge(j.team, amount, now)
 	top := l.shares.Top(toldTeams, now)
 	l.mu.Unlock()
-	r.Peers.Used(j.service, top)
+	r.Peers.ReportUsage(j.service, top)
 }
 
 // level is how far a request's team is above an equal share.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -88,9 +88,9 @@
 	Notify()
 	// ReportQueue tells them what waits here for a service; the name is left out.
 	ReportQueue(service string, q flow.Contender)
-	// Used tells them what the teams that use a service most have used here, and
+	// ReportUsage tells them what the teams that use a service most have used here, and
 	// Usage is what they tell.
-	Used(service string, top []flow.Usage)
+	ReportUsage(service string, top []flow.Usage)
 	Usage(service string) []flow.Usage
 	// Turns is whose turn it is at the servers of a service for a request of some
 	// rank, nil while no other process has one waiting that is as urgent.
