--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -157,7 +157,7 @@
 // that cannot wait.
 func TestLimitedServerGetsNoCopies(t *testing.T) {
 	r, s := limitedRegistry()
-	q := Query{Service: svc, Copy: true}
+	q := Query{Service: svc, ForCopy: true}
 	lease := r.Acquire(q, time.Second)
 	require.NotNil(t, lease)
 	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 5}, 0, time.Second)
@@ -204,7 +204,7 @@
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{Backoff: time.Second}, 0, 2*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{}, 500*time.Millisecond, 3*time.Second), "an answer to an earlier request")
 	require.Nil(t, r.Acquire(Query{Service: svc}, 3900*time.Millisecond))
-	require.Nil(t, r.Acquire(Query{Service: svc, Copy: true}, 3900*time.Millisecond))
+	require.Nil(t, r.Acquire(Query{Service: svc, ForCopy: true}, 3900*time.Millisecond))
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
 	lease.Release(ResultOK, 4*time.Second)
--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -161,7 +161,7 @@
 // free by what is known.
 func (f *fleet) cover(g *generation, now time.Duration) {
 	l := f.regs[g.gateway].Acquire(Query{
-		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
+		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, ForCopy: true, CopySpeed: 18_000,
 		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.lease.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
 	}, now)
 	if l == nil {
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -45,7 +45,7 @@
 // lease counts a request at a server; mu is held.
 func (r *Registry) lease(s *server, q Query, of int) *Reservation {
 	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, ExpectedTokens: q.ExpectedTokens, PromptTokens: q.PromptTokens}}
-	if q.Copy {
+	if q.ForCopy {
 		l.part.CopyTokens = q.ExpectedTokens
 	}
 	s.own = s.own.plus(l.part)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -304,9 +304,9 @@
 	// Spill lets servers of other cells be taken where the own one has none with room.
 	// What is sent there by others is not known.
 	Spill bool
-	// Copy asks for a server to copy a run's memory to; CopySpeed is the tokens of
+	// ForCopy asks for a server to copy a run's memory to; CopySpeed is the tokens of
 	// memory a second that a server's link takes.
-	Copy      bool
+	ForCopy   bool
 	CopySpeed float64
 	// Draw is random.
 	Draw uint64
@@ -339,7 +339,7 @@
 		req.IsOwnTurn, req.Reserved, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
 	}
 	policy := r.policy
-	if q.Copy {
+	if q.ForCopy {
 		policy = r.copies
 	}
 	i := policy.BestOf(draws, req, views, q.Draw)
@@ -388,7 +388,7 @@
 	for _, s := range list {
 		load := r.load(s)
 		// A copy of a run leads to requests that cannot wait for their turn.
-		paced := q.Copy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.Clock, now)
+		paced := q.ForCopy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.Clock, now)
 		r.scratch = append(r.scratch, placement.Server{
 			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.regions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
 			Running: load.Running, Slots: s.Slots,
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -44,7 +44,7 @@
 	q := r.query(j)
 	q.ExpectedTokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
 	q.MaxMemoryUse, q.MaxServiceMemoryUse = coverRoom, coverOfAll
-	q.Copy, q.CopySpeed = true, e.CopySpeed()
+	q.ForCopy, q.CopySpeed = true, e.CopySpeed()
 	q.PreferredDomain, q.SameDomainOnly = s.FailureDomain, true
 	return r.Registry.Acquire(q, r.Now())
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -342,7 +342,7 @@
 	r := m.relay
 	q := r.query(m.run.job)
 	q.ExpectedTokens, q.Tried, q.MaxMemoryUse = m.run.memory(), m.tried, copyRoom
-	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
+	q.ForCopy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
 	q.PreferredDomain = m.from.FailureDomain
 	first := q
 	first.Turns, first.SameDomainOnly = r.Peers.MigrationTurns(m.from.FailureDomain), true
