--- a/backends/registry.go
+++ b/backends/registry.go
@@ -360,7 +360,7 @@
 // SetPlace says which of how many cells this process is in, and which others send to the same
 // servers. It reports whether the cell is news.
 func (r *Registry) SetPlace(p cells.Place) bool {
-	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.All)
+	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	news := r.cell != p.OwnCell || r.count != p.Count
--- a/cells/cells.go
+++ b/cells/cells.go
@@ -35,8 +35,8 @@
 	// Self is its name, Own its cell of Count.
 	Self           string
 	OwnCell, Count int
-	// CellPeers names the others of its cell, All all others.
-	CellPeers, All []string
+	// CellPeers names the others of its cell, AllPeers all others.
+	CellPeers, AllPeers []string
 }
 
 // Links picks the processes that one tells of its load, by the same rule everywhere: those of
@@ -47,7 +47,7 @@
 	place.OwnCell = IndexOf(Hash(self.Name), place.Count)
 	var inside, outside []subset.Item
 	for _, it := range all {
-		place.All = append(place.All, it.Name)
+		place.AllPeers = append(place.AllPeers, it.Name)
 		if IndexOf(Hash(it.Name), place.Count) == place.OwnCell {
 			inside = append(inside, it)
 			place.CellPeers = append(place.CellPeers, it.Name)
