--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -134,8 +134,8 @@
 	r.count(team, burn.StallTime, d <= stallAfter)
 }
 
-// Attempt implements relay.Observer.
-func (r *Recorder) Attempt(service, result string) {
+// AttemptFailed implements relay.Observer.
+func (r *Recorder) AttemptFailed(service, result string) {
 	r.attempts.WithLabelValues(service, result).Inc()
 }
 
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -354,6 +354,6 @@
 func (noObserver) Finished(string, string, routing.Kind, string)         {}
 func (noObserver) FirstByte(string, string, routing.Kind, time.Duration) {}
 func (noObserver) Pause(string, time.Duration)                           {}
-func (noObserver) Attempt(string, string)                                {}
+func (noObserver) AttemptFailed(string, string)                          {}
 func (noObserver) Migrated(string)                                       {}
 func (noObserver) ServerCrashed(string)                                  {}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -84,7 +84,7 @@
 	j.tried = append(j.tried, id)
 	var refused *NotRunError
 	if errors.As(err, &refused) {
-		r.Observer.Attempt(j.service, string(refused.Reason))
+		r.Observer.AttemptFailed(j.service, string(refused.Reason))
 		lease.Release(resultOf(refused.Reason), r.Now())
 		r.unreached(j, refused.Reason)
 		if refused.Reason == NotRunReplaced {
@@ -100,7 +100,7 @@
 		lease.Release(backends.ResultInconclusive, r.Now())
 		return r.refuse(j, ReasonDeadline)
 	}
-	r.Observer.Attempt(j.service, "lost")
+	r.Observer.AttemptFailed(j.service, "lost")
 	lease.Release(backends.ResultLost, r.Now())
 	r.Peers.Notify()
 	r.broke(ctx, j, lease.Server)
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -38,7 +38,7 @@
 			if w.failed() {
 				o.lease.Release(backends.ResultFailed, r.Now())
 				if j.mayRepeat() && !w.more {
-					r.Observer.Attempt(j.service, "server error")
+					r.Observer.AttemptFailed(j.service, "server error")
 					j.tried = append(j.tried, o.lease.Server.ID)
 					spare, j.hasAnswer = w, true
 					continue
@@ -56,7 +56,7 @@
 		if err != nil {
 			r.broke(ctx, j, o.lease.Server)
 		}
-		r.Observer.Attempt(j.service, "spoilt")
+		r.Observer.AttemptFailed(j.service, "spoilt")
 		o.lease.Release(backends.ResultFailed, r.Now())
 		j.tried = append(j.tried, o.lease.Server.ID)
 		j.log.WithError(err).WithField("server", o.lease.Server.ID).WithField("status", o.answer.Status).Warn("answer is spoilt")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -36,7 +36,7 @@
 	Finished(team, service string, kind routing.Kind, outcome string)
 	FirstByte(team, service string, kind routing.Kind, d time.Duration)
 	Pause(team string, d time.Duration)
-	Attempt(service, result string)
+	AttemptFailed(service, result string)
 	Migrated(result string)
 	// ServerCrashed is told of a server that has ended under requests.
 	ServerCrashed(service string)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -45,7 +45,7 @@
 			return r.giveUp(ctx, j, *r.refuse(j, ReasonSpoilt), out)
 		}
 		o.answer.Body.Close()
-		r.Observer.Attempt(j.service, "server error")
+		r.Observer.AttemptFailed(j.service, "server error")
 		o, refusal = r.place(ctx, j, j.LastEventID)
 	}
 	if refusal != nil {
