--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -59,7 +59,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for now := from; now < to; now += 10 * time.Millisecond {
 		for _, r := range c.regs {
-			q := Query{Service: svc, Draw: rng.Uint64(), Clock: pacing.SharedTime{Now: now, Known: true}, Spill: true}
+			q := Query{Service: svc, Draw: rng.Uint64(), SharedTime: pacing.SharedTime{Now: now, Known: true}, Spill: true}
 			lease := r.Acquire(q, now)
 			if lease == nil {
 				continue
@@ -216,7 +216,7 @@
 				now := time.Duration(0)
 				for b.Loop() {
 					now += time.Millisecond
-					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), Clock: pacing.SharedTime{Now: now, Known: true}}, now); l != nil {
+					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), SharedTime: pacing.SharedTime{Now: now, Known: true}}, now); l != nil {
 						l.Release(ResultOK, now)
 					}
 				}
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -296,8 +296,8 @@
 	SameDomainOnly  bool
 	// Regions are where the request may run.
 	Regions routing.Regions
-	// Clock is what cold servers are shared out by.
-	Clock pacing.SharedTime
+	// SharedTime is what cold servers are shared out by.
+	SharedTime pacing.SharedTime
 	// Turns bounds the choice to servers where it is this process's turn, nil for
 	// all.
 	Turns *flow.Turns
@@ -352,7 +352,7 @@
 	}
 	s := list[i]
 	if l := s.bound(r.traits(q.Service), now); l.Rate > 0 {
-		s.pacer.Sent(r.share(len(list)), l, q.Clock, now)
+		s.pacer.Sent(r.share(len(list)), l, q.SharedTime, now)
 	}
 	return r.lease(s, q, len(list))
 }
@@ -388,7 +388,7 @@
 	for _, s := range list {
 		load := r.load(s)
 		// A copy of a run leads to requests that cannot wait for their turn.
-		paced := q.ForCopy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.Clock, now)
+		paced := q.ForCopy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.SharedTime, now)
 		r.scratch = append(r.scratch, placement.Server{
 			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.regions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
 			Running: load.Running, Slots: s.Slots,
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -207,7 +207,7 @@
 
 // query asks for a server for a request.
 func (r *Relay) query(j *job) backends.Query {
-	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, Clock: r.Peers.SharedClock(), Draw: rand.Uint64()}
+	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, SharedTime: r.Peers.SharedClock(), Draw: rand.Uint64()}
 }
 
 // cordoned refuses a request whose servers are all in cordoned failure domains: waiting does
