--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -239,7 +239,7 @@
 	})
 	inCells := divided.play()
 	partial := newFleet(func(self subset.Item, all []subset.Item) ([]subset.Item, cells.Place) {
-		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, Count: 1}
+		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, CellCount: 1}
 	})
 	drawn := partial.play()
 	t.Logf("late: %.3f in cells, %.3f with links drawn from all", inCells, drawn)
@@ -259,7 +259,7 @@
 		all = append(all, s)
 	}
 	r.Reset(all, 0, 0)
-	r.SetPlace(cells.Place{OwnCell: 0, Count: count})
+	r.SetPlace(cells.Place{OwnCell: 0, CellCount: count})
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
 	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
 	require.NotNil(t, l)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -363,8 +363,8 @@
 	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := r.cell != p.OwnCell || r.count != p.Count
-	r.cell, r.count = p.OwnCell, p.Count
+	news := r.cell != p.OwnCell || r.count != p.CellCount
+	r.cell, r.count = p.OwnCell, p.CellCount
 	r.inCell, r.inAll = inCell, inAll
 	return news
 }
--- a/cells/cells.go
+++ b/cells/cells.go
@@ -33,8 +33,8 @@
 // Place is where a process stands among the others.
 type Place struct {
 	// Self is its name, Own its cell of Count.
-	Self           string
-	OwnCell, Count int
+	Self               string
+	OwnCell, CellCount int
 	// CellPeers names the others of its cell, AllPeers all others.
 	CellPeers, AllPeers []string
 }
@@ -43,12 +43,12 @@
 // its own cell, at most so many, and some of the others, by which tables are known in all
 // cells. all does not hold the process itself.
 func Links(self subset.Item, all []subset.Item, most int) (links []subset.Item, place Place) {
-	place = Place{Self: self.Name, Count: Count(len(all) + 1)}
-	place.OwnCell = IndexOf(Hash(self.Name), place.Count)
+	place = Place{Self: self.Name, CellCount: Count(len(all) + 1)}
+	place.OwnCell = IndexOf(Hash(self.Name), place.CellCount)
 	var inside, outside []subset.Item
 	for _, it := range all {
 		place.AllPeers = append(place.AllPeers, it.Name)
-		if IndexOf(Hash(it.Name), place.Count) == place.OwnCell {
+		if IndexOf(Hash(it.Name), place.CellCount) == place.OwnCell {
 			inside = append(inside, it)
 			place.CellPeers = append(place.CellPeers, it.Name)
 		} else {
