--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -128,8 +128,8 @@
 // ServerCrashed implements relay.Observer.
 func (r *Recorder) ServerCrashed(service string) { r.ended.WithLabelValues(service).Inc() }
 
-// Pause implements relay.Observer.
-func (r *Recorder) Pause(team string, d time.Duration) {
+// EventPause implements relay.Observer.
+func (r *Recorder) EventPause(team string, d time.Duration) {
 	r.pause.Observe(d.Seconds())
 	r.count(team, burn.StallTime, d <= stallAfter)
 }
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -353,7 +353,7 @@
 
 func (noObserver) Finished(string, string, routing.Kind, string)         {}
 func (noObserver) FirstByte(string, string, routing.Kind, time.Duration) {}
-func (noObserver) Pause(string, time.Duration)                           {}
+func (noObserver) EventPause(string, time.Duration)                      {}
 func (noObserver) AttemptFailed(string, string)                          {}
 func (noObserver) Migrated(string)                                       {}
 func (noObserver) ServerCrashed(string)                                  {}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,7 +35,7 @@
 type Observer interface {
 	Finished(team, service string, kind routing.Kind, outcome string)
 	FirstByte(team, service string, kind routing.Kind, d time.Duration)
-	Pause(team string, d time.Duration)
+	EventPause(team string, d time.Duration)
 	AttemptFailed(service, result string)
 	Migrated(result string)
 	// ServerCrashed is told of a server that has ended under requests.
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -151,7 +151,7 @@
 // notePause takes note of the time between two events.
 func (s *session) notePause(d time.Duration) {
 	s.job.progress.longest = max(s.job.progress.longest, d)
-	s.Observer.Pause(s.job.team, d)
+	s.Observer.EventPause(s.job.team, d)
 	s.paused(d)
 	if most := s.job.route.MaxPause; most > 0 && d > most {
 		s.job.log.WithFields(logrus.Fields{"server": s.run.host(), "after": s.seq.last, "pause_ms": d.Milliseconds()}).Info("stream stalled")
