--- a/backends/pace.go
+++ b/backends/pace.go
@@ -68,7 +68,7 @@
 	// them take of this process, Next how long it is at the least until one takes a request.
 	Bounded   bool
 	PerSecond float64
-	Next      time.Duration
+	RateWait  time.Duration
 	// Resting reports that there is one that takes any number once it has rested for Rest.
 	Resting bool
 	Rest    time.Duration
@@ -108,8 +108,8 @@
 }
 
 func (p *Availability) bounds(perSecond float64, next time.Duration) {
-	if !p.Bounded || next < p.Next {
-		p.Next = next
+	if !p.Bounded || next < p.RateWait {
+		p.RateWait = next
 	}
 	p.Bounded = true
 	p.PerSecond += perSecond
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -84,7 +84,7 @@
 	}
 	l.mu.Lock()
 	l.queue.SetRate(p.PerSecond)
-	turn := p.Next + l.queue.EstimateWait(w, now)
+	turn := p.RateWait + l.queue.EstimateWait(w, now)
 	l.mu.Unlock()
 	if p.Resting {
 		turn = min(turn, p.Rest)
