--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -57,7 +57,7 @@
 
 // reads decides for a follower of a table; see readers.Role.Reads.
 func (r *readerRole) reads(now time.Duration, reached bool) bool {
-	look := readers.Inputs{Now: now, Reached: reached, ProcessCount: r.group.crowd(), Random: rand.Float64()}
+	look := readers.Inputs{Now: now, StoreReached: reached, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	was := r.role.Reading()
@@ -71,7 +71,7 @@
 	if without > 0 && without < joinPatience && !r.joined.Load() {
 		return false
 	}
-	look := readers.Inputs{Now: now, Reached: true, ProcessCount: r.group.crowd(), Random: rand.Float64()}
+	look := readers.Inputs{Now: now, StoreReached: true, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	switch {
 	case without > 0 && r.first.Load():
 		look.ProcessCount = 1
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -130,8 +130,8 @@
 type Inputs struct {
 	// Now is the store's steady clock, as near as it is known here.
 	Now time.Duration
-	// Reached says that the store answered the last call of this process.
-	Reached bool
+	// StoreReached says that the store answered the last call of this process.
+	StoreReached bool
 	// ProcessCount is how many processes are in the same place, this one included: those that it
 	// knows, by the part of its links that it hears something on. One that hears nobody
 	// is alone.
@@ -145,7 +145,7 @@
 // readers, or where it is better than one of them; of many that could, few try at a time.
 func (r *Role) ShouldRead(l Inputs) bool {
 	others := r.alive(l.Now)
-	if r.reading && !l.Reached {
+	if r.reading && !l.StoreReached {
 		r.reading = false
 	}
 	if r.reading {
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -105,7 +105,7 @@
 func (f *fleet) look(i int, r *Role) {
 	was := r.Reading()
 	reached := !(was && f.unreached[i])
-	reads := r.ShouldRead(Inputs{Now: f.now, Reached: reached, ProcessCount: float64(f.alive()), Random: f.rng.Float64()})
+	reads := r.ShouldRead(Inputs{Now: f.now, StoreReached: reached, ProcessCount: float64(f.alive()), Random: f.rng.Float64()})
 	if reads && !was {
 		f.tried[i]++
 	}
@@ -220,7 +220,7 @@
 // A process that no other reaches reads for itself at once.
 func TestLoneProcessReads(t *testing.T) {
 	r := NewRole(reader("a", "z", 10))
-	require.True(t, r.ShouldRead(Inputs{Now: time.Minute, Reached: true, ProcessCount: 1, Random: 0.99}))
+	require.True(t, r.ShouldRead(Inputs{Now: time.Minute, StoreReached: true, ProcessCount: 1, Random: 0.99}))
 }
 
 // What is told of a reader from before the store's clock began anew looks newer than
