--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -104,7 +104,7 @@
 // proper reports whether the answer is the server's own, as it made it. A success
 // without the server's signature, or recoded on its way, is not.
 func (w *whole) proper() bool {
-	return w.Status >= 300 || w.Signed && !w.Encoded
+	return w.Status >= 300 || w.Signed && !w.Recoded
 }
 
 func (w *whole) failed() bool { return w.Status >= 500 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -58,7 +58,7 @@
 // streams reports whether the answer is a stream of the server's own.
 func (o *offer) streams() bool {
 	a := o.answer
-	return a.Status == http.StatusOK && a.IsStream && a.Signed && !a.Encoded
+	return a.Status == http.StatusOK && a.IsStream && a.Signed && !a.Recoded
 }
 
 func (s *session) relay(ctx context.Context, o *offer) string {
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -90,8 +90,8 @@
 	IsStream bool
 	// Signed marks an answer that bears the server's signature.
 	Signed bool
-	// Encoded marks a body that is not as the server made it.
-	Encoded bool
+	// Recoded marks a body that is not as the server made it.
+	Recoded bool
 	// Body ends with io.EOF only if it is whole.
 	Body io.ReadCloser
 }
