--- a/backends/pace.go
+++ b/backends/pace.go
@@ -74,8 +74,8 @@
 	Rest    time.Duration
 }
 
-// Later reports whether servers take requests later only.
-func (p Availability) Later() bool { return !p.Open && (p.Bounded || p.Resting) }
+// MustWait reports whether servers take requests later only.
+func (p Availability) MustWait() bool { return !p.Open && (p.Bounded || p.Resting) }
 
 // Availability tells at what rate servers of a service take requests that must stay in some regions.
 func (r *Registry) Availability(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Availability) {
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -38,7 +38,7 @@
 // standInLine has a request wait for its turn where no server takes any number, and refuses it
 // if that comes too late. It returns nil otherwise.
 func (r *Relay) standInLine(j *job, l *line, w *flow.Waiter, p backends.Availability) *Refusal {
-	if !p.Later() {
+	if !p.MustWait() {
 		return nil
 	}
 	if j.ran == 0 {
