--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -60,7 +60,7 @@
 	look := readers.Inputs{Now: now, StoreReached: reached, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
+	was := r.role.IsReading()
 	reads := r.role.ShouldRead(look)
 	r.changed(was, reads, look.ProcessCount)
 	return reads
@@ -80,7 +80,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
+	was := r.role.IsReading()
 	turn := r.role.MayTryStore(look)
 	r.changed(was, turn, look.ProcessCount)
 	return turn
@@ -115,7 +115,7 @@
 		return
 	}
 	r.mu.Lock()
-	reading := r.role.Reading()
+	reading := r.role.IsReading()
 	r.mu.Unlock()
 	if reading && r.told.CompareAndSwap(false, true) {
 		r.spread()
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -50,7 +50,7 @@
 func reading(nodes []*node) (out []*node) {
 	for _, n := range nodes {
 		n.group.role.mu.Lock()
-		if n.group.role.role.Reading() {
+		if n.group.role.role.IsReading() {
 			out = append(out, n)
 		}
 		n.group.role.mu.Unlock()
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -85,8 +85,8 @@
 // NewRole returns the role of a process that does not read yet.
 func NewRole(self Reader) *Role { return &Role{self: self, others: make(map[string]Reader)} }
 
-// Reading reports whether the process reads the store.
-func (r *Role) Reading() bool { return r.reading }
+// IsReading reports whether the process reads the store.
+func (r *Role) IsReading() bool { return r.reading }
 
 // AddReports takes what another process knows.
 func (r *Role) AddReports(list []Reader, now time.Duration) {
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -103,7 +103,7 @@
 }
 
 func (f *fleet) look(i int, r *Role) {
-	was := r.Reading()
+	was := r.IsReading()
 	reached := !(was && f.unreached[i])
 	reads := r.ShouldRead(Inputs{Now: f.now, StoreReached: reached, ProcessCount: float64(f.alive()), Random: f.rng.Float64()})
 	if reads && !was {
@@ -125,7 +125,7 @@
 
 func (f *fleet) reading() (out []Reader) {
 	for i, r := range f.roles {
-		if r.Reading() && !f.dead[i] {
+		if r.IsReading() && !f.dead[i] {
 			out = append(out, r.self)
 		}
 	}
@@ -169,7 +169,7 @@
 			f := newFleet(n, seed)
 			f.play(3 * time.Second)
 			for i, r := range f.roles {
-				f.dead[i] = r.Reading()
+				f.dead[i] = r.IsReading()
 			}
 			before := f.tries()
 			f.play(AnswerTimeout + 500*time.Millisecond)
@@ -208,12 +208,12 @@
 	f := newFleet(103, 3)
 	f.play(3 * time.Second)
 	for i, r := range f.roles {
-		f.unreached[i] = r.Reading()
+		f.unreached[i] = r.IsReading()
 	}
 	f.play(3 * time.Second)
 	require.Len(t, f.reading(), Count)
 	for i, r := range f.roles {
-		require.False(t, f.unreached[i] && r.Reading())
+		require.False(t, f.unreached[i] && r.IsReading())
 	}
 }
 
