--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -313,7 +313,7 @@
 	if left, barred := r.barred(j); barred {
 		return nil, &Refusal{Reason: ReasonHarmful, RetryAfter: left, Content: j.id().String()}
 	}
-	j.deadline = time.Now().Add(allowed(req.Wait, route.Timeout))
+	j.deadline = time.Now().Add(allowed(req.Timeout, route.Timeout))
 	if r.outlasts(j) {
 		return nil, &Refusal{Reason: ReasonStopping, RetryAfter: r.moveOn()}
 	}
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -40,9 +40,9 @@
 	// Header is what passes through to the server.
 	Header []Field
 	Body   []byte
-	// Wait is how long the caller waits for the answer, 0 if it did not say.
-	Wait time.Duration
-	Key  string
+	// Timeout is how long the caller waits for the answer, 0 if it did not say.
+	Timeout time.Duration
+	Key     string
 	// LastEventID is the last event that the caller has of a stream, empty if none.
 	LastEventID string
 	// Generation is nil for plain requests.
