--- a/backends/pace.go
+++ b/backends/pace.go
@@ -69,13 +69,13 @@
 	Bounded   bool
 	PerSecond float64
 	RateWait  time.Duration
-	// Resting reports that there is one that takes any number once it has rested for Rest.
-	Resting bool
-	Rest    time.Duration
+	// HasBackingOff reports that there is one that takes any number once it has rested for Rest.
+	HasBackingOff bool
+	Rest          time.Duration
 }
 
 // MustWait reports whether servers take requests later only.
-func (p Availability) MustWait() bool { return !p.Open && (p.Bounded || p.Resting) }
+func (p Availability) MustWait() bool { return !p.Open && (p.Bounded || p.HasBackingOff) }
 
 // Availability tells at what rate servers of a service take requests that must stay in some regions.
 func (r *Registry) Availability(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Availability) {
@@ -101,10 +101,10 @@
 }
 
 func (p *Availability) rests(rest time.Duration) {
-	if !p.Resting || rest < p.Rest {
+	if !p.HasBackingOff || rest < p.Rest {
 		p.Rest = rest
 	}
-	p.Resting = true
+	p.HasBackingOff = true
 }
 
 func (p *Availability) bounds(perSecond float64, next time.Duration) {
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -86,7 +86,7 @@
 	l.queue.SetRate(p.PerSecond)
 	turn := p.RateWait + l.queue.EstimateWait(w, now)
 	l.mu.Unlock()
-	if p.Resting {
+	if p.HasBackingOff {
 		turn = min(turn, p.Rest)
 	}
 	return turn
