--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -94,7 +94,7 @@
 	for _, m := range all {
 		list = append(list, readers.Reader{Name: m.Name, FailureDomain: m.FailureDomain, LinkMbps: m.LinkMbps})
 	}
-	first := slices.ContainsFunc(readers.First(list, firstReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
+	first := slices.ContainsFunc(readers.InitialReaders(list, firstReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
 	r.first.Store(first)
 }
 
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -60,9 +60,9 @@
 	return live[:Count]
 }
 
-// First picks n of many processes that read the store first when all start: those that would
+// InitialReaders picks n of many processes that read the store first when all start: those that would
 // be chosen, and those that would be chosen without them, and so on.
-func First(all []Reader, n int) (out []Reader) {
+func InitialReaders(all []Reader, n int) (out []Reader) {
 	rest := slices.Clone(all)
 	for len(out) < n && len(rest) > 0 {
 		for _, c := range Choose(rest) {
