--- a/internal/relay/lane_test.go
+++ b/internal/relay/lane_test.go
@@ -126,7 +126,7 @@
 		}
 		ask := func(key string) {
 			r := request("/plan/x")
-			r.Key = key
+			r.APIKey = key
 			go w.serve(r)
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -331,9 +331,9 @@
 	if r.KeysStale(age) || !r.Peers.ConfigCurrent() {
 		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 	}
-	team := cfg.Team(j.Key)
+	team := cfg.Team(j.APIKey)
 	if team == nil {
-		if j.Key != "" && r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
+		if j.APIKey != "" && r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
 			return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
 		return &Refusal{Reason: ReasonKey}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -150,7 +150,7 @@
 		require.False(t, c.refusal.MayHaveRun)
 		require.False(t, w.relay.Ready())
 		open := request("/open/x")
-		open.Key = ""
+		open.APIKey = ""
 		w.serve(open).whole(t, "ok")
 
 		w.apply(2, "other-key")
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -42,7 +42,7 @@
 	Body   []byte
 	// Timeout is how long the caller waits for the answer, 0 if it did not say.
 	Timeout time.Duration
-	Key     string
+	APIKey  string
 	// LastEventID is the last event that the caller has of a stream, empty if none.
 	LastEventID string
 	// Generation is nil for plain requests.
