--- a/backends/pace.go
+++ b/backends/pace.go
@@ -71,7 +71,7 @@
 	RateWait  time.Duration
 	// HasBackingOff reports that there is one that takes any number once it has rested for Rest.
 	HasBackingOff bool
-	Rest          time.Duration
+	BackoffWait   time.Duration
 }
 
 // MustWait reports whether servers take requests later only.
@@ -101,8 +101,8 @@
 }
 
 func (p *Availability) rests(rest time.Duration) {
-	if !p.HasBackingOff || rest < p.Rest {
-		p.Rest = rest
+	if !p.HasBackingOff || rest < p.BackoffWait {
+		p.BackoffWait = rest
 	}
 	p.HasBackingOff = true
 }
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -227,10 +227,10 @@
 // resting refuses a request whose engines all rest for longer than it can wait, nil otherwise.
 func (r *Relay) resting(j *job, w *flow.Waiter) *Refusal {
 	p := r.paceOf(j)
-	if !p.MustWait() || p.Bounded || r.Now()+p.Rest <= w.DispatchDeadline {
+	if !p.MustWait() || p.Bounded || r.Now()+p.BackoffWait <= w.DispatchDeadline {
 		return nil
 	}
-	return r.refuseInLine(j, p, p.Rest)
+	return r.refuseInLine(j, p, p.BackoffWait)
 }
 
 // spillAfter is how long a request waits for an engine of its own gateway's cell before it
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -80,14 +80,14 @@
 // wait estimates how long a request waits for its turn.
 func (l *line) wait(w *flow.Waiter, p backends.Availability, now time.Duration) time.Duration {
 	if !p.Bounded {
-		return p.Rest
+		return p.BackoffWait
 	}
 	l.mu.Lock()
 	l.queue.SetRate(p.PerSecond)
 	turn := p.RateWait + l.queue.EstimateWait(w, now)
 	l.mu.Unlock()
 	if p.HasBackingOff {
-		turn = min(turn, p.Rest)
+		turn = min(turn, p.BackoffWait)
 	}
 	return turn
 }
