--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -75,8 +75,8 @@
 	// MinCallInterval is the least time between two calls, so that a busy table is read in
 	// batches.
 	MinCallInterval time.Duration
-	// Called is told why each call to the store is made; it may be nil.
-	Called func(Reason)
+	// OnCall is told why each call to the store is made; it may be nil.
+	OnCall func(Reason)
 	// Restored is told when the store has come back from a copy; it may be nil.
 	Restored func()
 	// Keep has the rows kept, for Follower.Since.
@@ -206,8 +206,8 @@
 	f.tried = f.now()
 	reason := f.reason()
 	f.mu.Unlock()
-	if f.cfg.Called != nil {
-		f.cfg.Called(reason)
+	if f.cfg.OnCall != nil {
+		f.cfg.OnCall(reason)
 	}
 	if !synced {
 		return f.readWhole(ctx)
