--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,9 +20,9 @@
 
 // Config tunes a Relay.
 type Config struct {
-	// RevokeBound is how long after its removal a key may still be served, 0 for
+	// RevokeTimeout is how long after its removal a key may still be served, 0 for
 	// no bound.
-	RevokeBound time.Duration
+	RevokeTimeout time.Duration
 	// ApplyBound is how long a new version may take to be in force.
 	ApplyBound time.Duration
 	// RetryRatio is the repeats allowed for each request, RetryExtra those that
@@ -348,7 +348,7 @@
 // KeysStale reports whether a configuration confirmed age ago is too old to
 // trust keys.
 func (r *Relay) KeysStale(age time.Duration) bool {
-	bound := r.cfg.Load().RevokeBound
+	bound := r.cfg.Load().RevokeTimeout
 	return bound > 0 && age > time.Duration(revokeMargin*float64(bound))
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -138,7 +138,7 @@
 // configuration in force still has it.
 func TestKeysAreNotTrustedWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{RevokeBound: 5 * time.Second})
+		w := newWorld(t, Config{RevokeTimeout: 5 * time.Second})
 		w.server("a", deskService)
 		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
@@ -163,7 +163,7 @@
 // serve the key, nor be ready, before its view has been confirmed again.
 func TestSuspendedVMTrustsNoKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{RevokeBound: 5 * time.Second, ApplyBound: 2 * time.Second})
+		w := newWorld(t, Config{RevokeTimeout: 5 * time.Second, ApplyBound: 2 * time.Second})
 		w.server("a", deskService)
 		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
