--- a/backends/pace.go
+++ b/backends/pace.go
@@ -62,8 +62,8 @@
 
 // Availability is at what rate the servers of a service take requests of this process.
 type Availability struct {
-	// Open reports that there is a server that takes any number.
-	Open bool
+	// HasUnlimited reports that there is a server that takes any number.
+	HasUnlimited bool
 	// Bounded reports that there is one that takes a bounded rate: PerSecond is what all of
 	// them take of this process, Next how long it is at the least until one takes a request.
 	Bounded   bool
@@ -75,7 +75,7 @@
 }
 
 // MustWait reports whether servers take requests later only.
-func (p Availability) MustWait() bool { return !p.Open && (p.Bounded || p.HasBackingOff) }
+func (p Availability) MustWait() bool { return !p.HasUnlimited && (p.Bounded || p.HasBackingOff) }
 
 // Availability tells at what rate servers of a service take requests that must stay in some regions.
 func (r *Registry) Availability(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Availability) {
@@ -89,7 +89,7 @@
 		l, rest := s.bound(traits, now), max(0, s.restUntil-now)
 		switch {
 		case l.Rate <= 0 && rest == 0:
-			p.Open = true
+			p.HasUnlimited = true
 		case l.Rate <= 0:
 			p.rests(rest)
 		case r.inOwnCell(s, len(list)):
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -32,7 +32,7 @@
 // that may have run asks out of line, as it would hold up the others for the few servers that are
 // left to it. The line is of no use once a server takes any number.
 func (r *Relay) mayAsk(j *job, l *line, w *flow.Waiter) bool {
-	return j.ran > 0 || l.isNext(w, r.Now()) || r.paceOf(j).Open
+	return j.ran > 0 || l.isNext(w, r.Now()) || r.paceOf(j).HasUnlimited
 }
 
 // standInLine has a request wait for its turn where no server takes any number, and refuses it
