--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -77,8 +77,8 @@
 	MinCallInterval time.Duration
 	// OnCall is told why each call to the store is made; it may be nil.
 	OnCall func(Reason)
-	// Restored is told when the store has come back from a copy; it may be nil.
-	Restored func()
+	// OnRestored is told when the store has come back from a copy; it may be nil.
+	OnRestored func()
 	// Keep has the rows kept, for Follower.Since.
 	Keep bool
 }
@@ -314,8 +314,8 @@
 	f.mu.Unlock()
 	if restored {
 		page.Outage = max(page.Outage, restoredOutage)
-		if f.cfg.Restored != nil {
-			f.cfg.Restored()
+		if f.cfg.OnRestored != nil {
+			f.cfg.OnRestored()
 		}
 		f.log.WithFields(logrus.Fields{"era": page.Revision.Era(), "before": was.Version(), "after": page.Revision.Version(), "rows": len(page.Rows)}).Warn("store has come back from a copy")
 	}
--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -277,7 +277,7 @@
 // at all.
 func TestStoreThatComesBackOlderIsCountedOnce(t *testing.T) {
 	restored := 0
-	f := New(Config{Name: "t", Restored: func() { restored++ }}, nil, newTable(), nil, func() time.Duration { return time.Minute }, quiet())
+	f := New(Config{Name: "t", OnRestored: func() { restored++ }}, nil, newTable(), nil, func() time.Duration { return time.Minute }, quiet())
 	f.Seed(Page{Revision: revision.At(0, 9), Clock: time.Second}, time.Minute)
 	require.Zero(t, restored)
 	f.Seed(Page{Revision: revision.At(1, 4), Clock: 2 * time.Second}, time.Minute)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -252,9 +252,9 @@
 func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, shared follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
 		Name: table, PollTimeout: wait, MinCallInterval: gap,
-		OnCall:   func(r follow.Reason) { g.group.costs.called(table, string(r)) },
-		Restored: func() { g.group.costs.restored(table) },
-		Keep:     g.group.answers[table] != nil,
+		OnCall:     func(r follow.Reason) { g.group.costs.called(table, string(r)) },
+		OnRestored: func() { g.group.costs.restored(table) },
+		Keep:       g.group.answers[table] != nil,
 	}
 	f := follow.New(cfg, g.store.Table(table), sink, shared, clock.SinceBoot, g.log)
 	g.group.followers[table] = f
