--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -151,7 +151,7 @@
 
 func relayConfig(set *settings.Settings) relay.Config {
 	return relay.Config{
-		RevokeTimeout: set.Bounds.Revoke, ApplyBound: set.Bounds.ApplyConfig,
+		RevokeTimeout: set.Bounds.Revoke, ApplyTimeout: set.Bounds.ApplyConfig,
 		RetryRatio: set.Bounds.RetryRatio, RetryExtra: set.Bounds.RetryExtra,
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,8 +23,8 @@
 	// RevokeTimeout is how long after its removal a key may still be served, 0 for
 	// no bound.
 	RevokeTimeout time.Duration
-	// ApplyBound is how long a new version may take to be in force.
-	ApplyBound time.Duration
+	// ApplyTimeout is how long a new version may take to be in force.
+	ApplyTimeout time.Duration
 	// RetryRatio is the repeats allowed for each request, RetryExtra those that
 	// all processes together have besides.
 	RetryRatio float64
@@ -292,7 +292,7 @@
 	route := cfg.Match(req.Host, req.Path)
 	if route == nil {
 		// Behind its time this process may not know a route that others serve.
-		if r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
+		if r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
 			return nil, &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
 		return nil, &Refusal{Reason: ReasonNoRoute}
@@ -333,7 +333,7 @@
 	}
 	team := cfg.Team(j.APIKey)
 	if team == nil {
-		if j.APIKey != "" && r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
+		if j.APIKey != "" && r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
 			return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
 		return &Refusal{Reason: ReasonKey}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -163,7 +163,7 @@
 // serve the key, nor be ready, before its view has been confirmed again.
 func TestSuspendedVMTrustsNoKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{RevokeTimeout: 5 * time.Second, ApplyBound: 2 * time.Second})
+		w := newWorld(t, Config{RevokeTimeout: 5 * time.Second, ApplyTimeout: 2 * time.Second})
 		w.server("a", deskService)
 		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
@@ -181,7 +181,7 @@
 // final for the caller; another VM knows the route, so the caller is sent back.
 func TestUnknownRouteIsNotFinalWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{ApplyBound: 2 * time.Second})
+		w := newWorld(t, Config{ApplyTimeout: 2 * time.Second})
 		require.Equal(t, ReasonNoRoute, w.serve(request("/new/x")).refusal.Reason)
 		time.Sleep(3 * time.Second)
 		c := w.serve(request("/new/x"))
