--- a/backends/pace.go
+++ b/backends/pace.go
@@ -64,18 +64,20 @@
 type Availability struct {
 	// HasUnlimited reports that there is a server that takes any number.
 	HasUnlimited bool
-	// Bounded reports that there is one that takes a bounded rate: PerSecond is what all of
+	// HasRateLimited reports that there is one that takes a bounded rate: PerSecond is what all of
 	// them take of this process, Next how long it is at the least until one takes a request.
-	Bounded   bool
-	PerSecond float64
-	RateWait  time.Duration
+	HasRateLimited bool
+	PerSecond      float64
+	RateWait       time.Duration
 	// HasBackingOff reports that there is one that takes any number once it has rested for Rest.
 	HasBackingOff bool
 	BackoffWait   time.Duration
 }
 
 // MustWait reports whether servers take requests later only.
-func (p Availability) MustWait() bool { return !p.HasUnlimited && (p.Bounded || p.HasBackingOff) }
+func (p Availability) MustWait() bool {
+	return !p.HasUnlimited && (p.HasRateLimited || p.HasBackingOff)
+}
 
 // Availability tells at what rate servers of a service take requests that must stay in some regions.
 func (r *Registry) Availability(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Availability) {
@@ -108,9 +110,9 @@
 }
 
 func (p *Availability) bounds(perSecond float64, next time.Duration) {
-	if !p.Bounded || next < p.RateWait {
+	if !p.HasRateLimited || next < p.RateWait {
 		p.RateWait = next
 	}
-	p.Bounded = true
+	p.HasRateLimited = true
 	p.PerSecond += perSecond
 }
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -227,7 +227,7 @@
 // resting refuses a request whose engines all rest for longer than it can wait, nil otherwise.
 func (r *Relay) resting(j *job, w *flow.Waiter) *Refusal {
 	p := r.paceOf(j)
-	if !p.MustWait() || p.Bounded || r.Now()+p.BackoffWait <= w.DispatchDeadline {
+	if !p.MustWait() || p.HasRateLimited || r.Now()+p.BackoffWait <= w.DispatchDeadline {
 		return nil
 	}
 	return r.refuseInLine(j, p, p.BackoffWait)
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -79,7 +79,7 @@
 
 // wait estimates how long a request waits for its turn.
 func (l *line) wait(w *flow.Waiter, p backends.Availability, now time.Duration) time.Duration {
-	if !p.Bounded {
+	if !p.HasRateLimited {
 		return p.BackoffWait
 	}
 	l.mu.Lock()
@@ -105,7 +105,7 @@
 // refuseInLine refuses a request that would have its turn too late.
 func (r *Relay) refuseInLine(j *job, p backends.Availability, turn time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoRoom)
-	if p.Bounded {
+	if p.HasRateLimited {
 		turn = min(turn, latestReturn)
 	}
 	if !f.MayHaveRun {
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -164,7 +164,7 @@
 			return nil, refusal
 		}
 		poll, until := roomPoll, j.arrived+j.patience()
-		if pace := r.paceOf(j); pace.Bounded || pace.HasBackingOff {
+		if pace := r.paceOf(j); pace.HasRateLimited || pace.HasBackingOff {
 			if j.hasAnswer {
 				return nil, r.refuse(j, ReasonNoRoom)
 			}
