--- a/backends/advice.go
+++ b/backends/advice.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// MostLimit bounds the requests a second that a server may name as its limit. A higher number
+// MaxRateLimit bounds the requests a second that a server may name as its limit. A higher number
 // says nothing.
-const MostLimit = 1e6
+const MaxRateLimit = 1e6
 
 // MostRest bounds the time for which a server that asks for rest gets none. It is asked again
 // then, and may ask for more.
@@ -120,7 +120,7 @@
 // it is news that the server names a limit, or none. What is kept is the newest that anybody
 // knows, in whatever order it is told.
 func (l *limit) hear(t RateLimitReport, now time.Duration) (news bool) {
-	if !t.Known || t.Age < 0 || t.Named && !(t.PerSecond >= 0 && t.PerSecond <= MostLimit) {
+	if !t.Known || t.Age < 0 || t.Named && !(t.PerSecond >= 0 && t.PerSecond <= MaxRateLimit) {
 		return false
 	}
 	asOf := now - t.Age
