--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -79,8 +79,8 @@
 	OnCall func(Reason)
 	// OnRestored is told when the store has come back from a copy; it may be nil.
 	OnRestored func()
-	// Keep has the rows kept, for Follower.Since.
-	Keep bool
+	// KeepRows has the rows kept, for Follower.Since.
+	KeepRows bool
 }
 
 // Reason is why a process calls the store.
@@ -158,7 +158,7 @@
 		cfg: cfg, feed: feed, sink: sink, sharing: sharing, now: now,
 		log: log.WithField("table", cfg.Name), offered: make(chan struct{}, 1),
 	}
-	if cfg.Keep {
+	if cfg.KeepRows {
 		f.kept = &rows{}
 	}
 	return f
--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -234,7 +234,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
-		f, _ := beginWith(t, Config{Name: "t", PollTimeout: testWait, Keep: true}, store, sink, nil)
+		f, _ := beginWith(t, Config{Name: "t", PollTimeout: testWait, KeepRows: true}, store, sink, nil)
 		time.Sleep(time.Second)
 		store.mu.Lock()
 		store.slow = 500 * time.Millisecond
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -254,7 +254,7 @@
 		Name: table, PollTimeout: wait, MinCallInterval: gap,
 		OnCall:     func(r follow.Reason) { g.group.costs.called(table, string(r)) },
 		OnRestored: func() { g.group.costs.restored(table) },
-		Keep:       g.group.answers[table] != nil,
+		KeepRows:   g.group.answers[table] != nil,
 	}
 	f := follow.New(cfg, g.store.Table(table), sink, shared, clock.SinceBoot, g.log)
 	g.group.followers[table] = f
