--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -16,8 +16,8 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// Field is a header line that passes through unchanged.
-type Field struct{ Name, Value string }
+// HeaderField is a header line that passes through unchanged.
+type HeaderField struct{ Name, Value string }
 
 // Generation is what a caller says of a request to a model engine.
 type Generation struct {
@@ -38,7 +38,7 @@
 	// Target is the request target as the caller wrote it.
 	Target string
 	// Header is what passes through to the server.
-	Header []Field
+	Header []HeaderField
 	Body   []byte
 	// Timeout is how long the caller waits for the answer, 0 if it did not say.
 	Timeout time.Duration
@@ -83,7 +83,7 @@
 // Response is a server's answer, head first.
 type Response struct {
 	Status int
-	Header []Field
+	Header []HeaderField
 	// Length is the body's, -1 if the answer does not say.
 	Length int64
 	// IsStream marks a stream.
