--- a/backends/advice.go
+++ b/backends/advice.go
@@ -6,9 +6,9 @@
 // says nothing.
 const MaxRateLimit = 1e6
 
-// MostRest bounds the time for which a server that asks for rest gets none. It is asked again
+// MaxBackoff bounds the time for which a server that asks for rest gets none. It is asked again
 // then, and may ask for more.
-const MostRest = time.Hour
+const MaxBackoff = time.Hour
 
 // Signals is what a server says of itself in the head of an answer.
 type Signals struct {
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -208,7 +208,7 @@
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
 	lease.Release(ResultOK, 4*time.Second)
-	r.ApplySignals(s, Signals{Backoff: MostRest}, 0, 5*time.Second)
+	r.ApplySignals(s, Signals{Backoff: MaxBackoff}, 0, 5*time.Second)
 	again := s
 	again.StartTime = 2
 	r.Put(again, 6*time.Second)
