--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -264,7 +264,7 @@
 	f.take(page, begun)
 	f.applying.Unlock()
 	if f.sharing != nil {
-		f.sharing.Share(Shared{Page: page, Since: since})
+		f.sharing.Share(SharedPage{Page: page, Since: since})
 	}
 	return nil
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -194,7 +194,7 @@
 
 type fixedSharing struct {
 	reads   func(reached bool) bool
-	shared  func(Shared)
+	shared  func(SharedPage)
 	reading bool
 	// fetch is nil where no peer serves the table.
 	fetch func() (Page, error)
@@ -212,7 +212,7 @@
 }
 
 func (f fixedSharing) IsReader(reached bool) bool { return f.reads(reached) }
-func (f fixedSharing) Share(s Shared)             { f.shared(s) }
+func (f fixedSharing) Share(s SharedPage)         { f.shared(s) }
 
 func quiet() logrus.FieldLogger {
 	log := logrus.New()
@@ -311,14 +311,14 @@
 		var peer atomic.Pointer[Follower]
 		begin(t, store, reader, fixedSharing{
 			reads: func(bool) bool { return true },
-			shared: func(s Shared) {
+			shared: func(s SharedPage) {
 				if f := peer.Load(); f != nil && !silent.Load() {
 					f.ReceivePage(s)
 				}
 			},
 		})
 		synctest.Wait()
-		f, now := begin(t, far, other, fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}})
+		f, now := begin(t, far, other, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		peer.Store(f)
 		time.Sleep(10 * time.Millisecond)
 		require.Equal(t, 1, far.called())
@@ -342,11 +342,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
-		f, _ := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}})
+		f, _ := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		store.put("a", "2")
 		store.put("b", "1")
-		f.ReceivePage(Shared{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 3), Clock: time.Since(store.start), Rows: []Row{{Key: "b", Value: []byte("1"), Revision: revision.At(0, 3)}}}})
+		f.ReceivePage(SharedPage{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 3), Clock: time.Since(store.start), Rows: []Row{{Key: "b", Value: []byte("1"), Revision: revision.At(0, 3)}}}})
 		time.Sleep(10 * time.Millisecond)
 		require.Equal(t, "2", sink.get("a"))
 		require.Equal(t, "1", sink.get("b"))
@@ -359,14 +359,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
-		f, _ := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}})
+		f, _ := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		row := func(v string, version uint64) Page {
 			rev := revision.At(0, version)
 			return Page{Revision: rev, Clock: time.Since(store.start), Rows: []Row{{Key: "a", Value: []byte(v), Revision: rev}}}
 		}
-		f.ReceivePage(Shared{Since: revision.At(0, 1), Page: row("3", 3)})
-		f.ReceivePage(Shared{Since: revision.At(0, 1), Page: row("2", 2)})
+		f.ReceivePage(SharedPage{Since: revision.At(0, 1), Page: row("3", 3)})
+		f.ReceivePage(SharedPage{Since: revision.At(0, 1), Page: row("2", 2)})
 		require.Equal(t, "3", sink.get("a"))
 	})
 }
@@ -393,7 +393,7 @@
 			store.put("a", "1")
 			fetched := 0
 			f, now := begin(t, store, sink, fixedSharing{
-				reads: func(bool) bool { return false }, shared: func(Shared) {},
+				reads: func(bool) bool { return false }, shared: func(SharedPage) {},
 				fetch: func() (Page, error) {
 					fetched++
 					if !serves {
@@ -406,7 +406,7 @@
 			time.Sleep(10 * time.Millisecond)
 			store.put("a", "2")
 			before := store.called()
-			f.ReceivePage(Shared{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 2), Clock: time.Since(store.start)}})
+			f.ReceivePage(SharedPage{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 2), Clock: time.Since(store.start)}})
 			time.Sleep(10 * time.Millisecond)
 			require.Equal(t, "2", sink.get("a"))
 			require.Equal(t, 1, fetched)
@@ -423,7 +423,7 @@
 func TestBeingBehindIsNoReasonToReadTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		f, _ := begin(t, store, newTable(), fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}})
+		f, _ := begin(t, store, newTable(), fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		before := store.called()
 		for range 5 {
@@ -440,7 +440,7 @@
 func TestLongAnswerAtAPeerIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		begin(t, store, newTable(), fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}, reading: true})
+		begin(t, store, newTable(), fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}, reading: true})
 		time.Sleep(readingPatience - 100*time.Millisecond)
 		require.Equal(t, 1, store.called())
 		time.Sleep(2 * testWait)
@@ -459,7 +459,7 @@
 		log.SetOutput(io.Discard)
 		start, suspended := time.Now(), atomic.Int64{}
 		now := func() time.Duration { return time.Since(start) + time.Duration(suspended.Load()) }
-		f := New(Config{Name: "t", PollTimeout: testWait}, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}}, now, log)
+		f := New(Config{Name: "t", PollTimeout: testWait}, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}}, now, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go f.Run(ctx)
--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
-		f, now := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}})
+		f, now := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		calls := store.called()
 		for range 600 {
@@ -171,7 +171,7 @@
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
 		f, now := begin(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return false }, shared: func(Shared) {},
+			reads: func(bool) bool { return false }, shared: func(SharedPage) {},
 			fetch: func() (Page, error) { return Page{}, errAway },
 		})
 		time.Sleep(10 * time.Millisecond)
@@ -191,7 +191,7 @@
 		store.setAway(true)
 		old := Page{Whole: true, Revision: revision.At(0, 7), Clock: time.Second, Rows: []Row{{Key: "a", Value: []byte("1"), Revision: revision.At(0, 7)}}}
 		f, now := begin(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return false }, shared: func(Shared) {},
+			reads: func(bool) bool { return false }, shared: func(SharedPage) {},
 			fetch: func() (Page, error) { return old, nil },
 		})
 		time.Sleep(5 * time.Second)
@@ -211,7 +211,7 @@
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
 		begin(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return true }, shared: func(Shared) {},
+			reads: func(bool) bool { return true }, shared: func(SharedPage) {},
 			fetch: func() (Page, error) {
 				return Page{Revision: revision.At(0, 2), Changed: revision.At(0, 2), Clock: time.Since(store.start), Rows: []Row{{Key: "a", Value: []byte("2"), Revision: revision.At(0, 2)}}}, nil
 			},
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -9,8 +9,8 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// Shared is a page as one process passes it on to others.
-type Shared struct {
+// SharedPage is a page as one process passes it on to others.
+type SharedPage struct {
 	Page
 	// Since is the revision that the page goes on from.
 	Since revision.Revision
@@ -35,7 +35,7 @@
 	// processes that ask, few may at the same time.
 	MayCallStore(without time.Duration) bool
 	// Share passes on a page that was read.
-	Share(s Shared)
+	Share(s SharedPage)
 	// Reading reports whether another process says that a long answer of the store is
 	// coming in there.
 	Reading() bool
@@ -94,7 +94,7 @@
 
 // ReceivePage takes a page that another process has read. One that leaves a gap is not
 // taken; the changes between are then fetched, or read from the store.
-func (f *Follower) ReceivePage(s Shared) {
+func (f *Follower) ReceivePage(s SharedPage) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -65,7 +65,7 @@
 }
 
 // Share implements follow.Sharing: of changes only their revision is announced.
-func (s *configSharing) Share(p follow.Shared) {
+func (s *configSharing) Share(p follow.SharedPage) {
 	if len(p.Rows) > 0 {
 		p.Since, p.Rows = p.Revision, nil
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -396,8 +396,8 @@
 	s.fleet.Configure(fleet.Key, more...)
 	last := nodes[len(nodes)-1]
 	last.eventually(func() bool { return last.do(plain("/extra-399/a")).status == http.StatusOK }, "in force")
-	require.True(t, nodes[0].group.tooLong(follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 40000)}}}}))
-	require.False(t, nodes[0].group.tooLong(follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 500)}}}}))
+	require.True(t, nodes[0].group.tooLong(follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 40000)}}}}))
+	require.False(t, nodes[0].group.tooLong(follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 500)}}}}))
 }
 
 // The platform moves the store to another address and changes a bound while the
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -91,8 +91,8 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.linkMbps = 1000
 	wide := s.gateway("vm-a")
-	page := func(size int) follow.Shared {
-		return follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, size)}}}}
+	page := func(size int) follow.SharedPage {
+		return follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, size)}}}}
 	}
 	require.False(t, wide.group.tooLong(page(100_000)))
 	thin, _ := s.thin("vm-b", 10)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -205,7 +205,7 @@
 	if p.GetTable() == operator.Table {
 		g.config.announced(peer)
 	}
-	f.ReceivePage(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
+	f.ReceivePage(follow.SharedPage{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
 // Count implements relay.Others.
@@ -245,7 +245,7 @@
 // tooLong reports whether a page would hold up this VM's link, which passes it to every
 // peer, or a peer's: a wide link takes at once what a thin one takes seconds for, longer
 // than a frame may take to be written, and the link would be given up with it.
-func (g *group) tooLong(p follow.Shared) bool {
+func (g *group) tooLong(p follow.SharedPage) bool {
 	size := 0
 	for _, r := range p.Rows {
 		size += len(r.Value) + rowOverhead
@@ -263,7 +263,7 @@
 
 // Share implements follow.Sharing. Of a page that is too long only its revision is
 // told; the peers notice the gap and read it from the store.
-func (s sharing) Share(p follow.Shared) {
+func (s sharing) Share(p follow.SharedPage) {
 	s.role.answered()
 	page := &peerv1.Page{
 		Table: s.table, Since: p.Since.Wire(), Revision: p.Revision.Wire(),
