--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -121,7 +121,7 @@
 
 // noMove refuses every copy.
 func noMove(context.Context, backends.Server, string, string, bool) (string, error) {
-	return "", ErrNoRoom
+	return "", ErrNoCapacity
 }
 
 // ledger is what is known of suspects by one process alone. It implements Suspects.
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -323,7 +323,7 @@
 			return true
 		}
 		lease.Release(backends.ResultInconclusive, m.relay.Now())
-		if !errors.Is(err, ErrNoRoom) {
+		if !errors.Is(err, ErrNoCapacity) {
 			return false
 		}
 		m.tried = append(m.tried, lease.Server.ID)
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -130,8 +130,8 @@
 	ErrNoRun = errors.New("no such run")
 	// ErrCopyInProgress says that the run is being copied by another call.
 	ErrCopyInProgress = errors.New("run is being copied")
-	// ErrNoRoom says that the target of a copy has no room or is unreachable.
-	ErrNoRoom = errors.New("no room for the copy")
+	// ErrNoCapacity says that the target of a copy has no room or is unreachable.
+	ErrNoCapacity = errors.New("no room for the copy")
 )
 
 // Upstream reaches backend servers. Implementations are safe for concurrent use.
