--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -124,7 +124,7 @@
 	loads := f.regs[i].Loads()
 	f.at(now+heardAfter, func() {
 		for _, j := range f.heard[i] {
-			f.regs[j].SetRemote(fmt.Sprint(i), loads)
+			f.regs[j].SetRemoteLoads(fmt.Sprint(i), loads)
 		}
 	})
 }
--- a/backends/load.go
+++ b/backends/load.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// SetRemote replaces what another process has told of its load; nil forgets it.
-func (r *Registry) SetRemote(process string, loads map[string]Load) {
+// SetRemoteLoads replaces what another process has told of its load; nil forgets it.
+func (r *Registry) SetRemoteLoads(process string, loads map[string]Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.addTold(r.remote[process], Load.minus)
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -22,7 +22,7 @@
 		for i := range 43 {
 			loads[fmt.Sprint("s-", i)] = Load{Running: 1, ExpectedTokens: rng.IntN(800), PromptTokens: rng.IntN(100)}
 		}
-		r.SetRemote(fmt.Sprint("vm-", p), loads)
+		r.SetRemoteLoads(fmt.Sprint("vm-", p), loads)
 	}
 	for b.Loop() {
 		if l := r.Acquire(Query{Service: svc, ExpectedTokens: 3000, PromptTokens: 2600, MaxMemoryUse: 0.97, MaxPromptPending: 3000, Draw: rng.Uint64()}, 0); l != nil {
@@ -41,7 +41,7 @@
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			p := rapid.SampledFrom(processes).Draw(t, "process")
 			if rapid.IntRange(0, 3).Draw(t, "silent") == 0 {
-				r.SetRemote(p, nil)
+				r.SetRemoteLoads(p, nil)
 				delete(last, p)
 				continue
 			}
@@ -51,7 +51,7 @@
 					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), ExpectedTokens: 10, StartTime: rapid.Int64Range(0, 1).Draw(t, "born")}
 				}
 			}
-			r.SetRemote(p, loads)
+			r.SetRemoteLoads(p, loads)
 			last[p] = loads
 		}
 		for _, id := range servers {
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -108,12 +108,12 @@
 func TestRemoteLoadsCount(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.SetRemote("other", map[string]Load{"a": {Running: 3, ExpectedTokens: 9000, PromptTokens: 2000}})
+	r.SetRemoteLoads("other", map[string]Load{"a": {Running: 3, ExpectedTokens: 9000, PromptTokens: 2000}})
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
 	}
 	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0))
-	r.SetRemote("other", nil)
+	r.SetRemoteLoads("other", nil)
 	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0)
 	require.NotNil(t, l)
 	l.Release(ResultOK, 0)
@@ -160,7 +160,7 @@
 	r.Reset([]Server{entry("a"), entry("b"), far}, 0, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b", "far"}}, 0)
 	defer lease.Release(ResultInconclusive, 0)
-	r.SetRemote("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
+	r.SetRemoteLoads("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
 	require.Empty(t, r.CountRequestsAtLeaving("vm-1", "zone-1"))
 	leaving := entry("a")
 	leaving.Leaving = true
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -24,7 +24,7 @@
 		r.Acquire(Query{Service: svc}, 0).Release(ResultLost, 0)
 	}
 	held := r.Acquire(Query{Service: svc, ExpectedTokens: 20000, PromptTokens: 9000}, 0)
-	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, ExpectedTokens: 20000, PromptTokens: 9000, StartTime: 100}})
+	r.SetRemoteLoads("vm-2", map[string]Load{"a": {Running: 5, ExpectedTokens: 20000, PromptTokens: 9000, StartTime: 100}})
 	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2, StartTime: 100}}, 0)
 	r.MarkLeaving(bornAt("a", 100))
 	require.Zero(t, r.Ready(svc))
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -167,7 +167,7 @@
 // State implements peers.Receiver.
 func (g *group) State(peer string, s *peerv1.State) {
 	if s == nil {
-		g.registry.SetRemote(peer, nil)
+		g.registry.SetRemoteLoads(peer, nil)
 		g.registry.SetRemoteStatuses(peer, nil, clock.SinceBoot())
 		return
 	}
@@ -182,7 +182,7 @@
 			Running: int(l.GetRunning()), ExpectedTokens: int(l.GetTokens()), PromptTokens: int(l.GetPrompt()), CopyTokens: int(l.GetCopying()), StartTime: l.GetBorn(),
 		}
 	}
-	g.registry.SetRemote(peer, loads)
+	g.registry.SetRemoteLoads(peer, loads)
 	g.role.hear(s.GetReaders())
 	g.positionsHeard(s.GetPositions())
 	g.configNamed(s)
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -97,7 +97,7 @@
 				w.server("a", modelService)
 				w.server("b", modelService)
 				w.server("c", modelService)
-				w.registry.SetRemote("vm-2", map[string]backends.Load{
+				w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{
 					"a": {Running: 2, ExpectedTokens: tt.used}, "b": {Running: 2, ExpectedTokens: tt.used}, "c": {Running: 2, ExpectedTokens: tt.full},
 				})
 				if tt.crowded {
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -46,7 +46,7 @@
 	loads, losses := w.registry.Loads(), w.registry.Statuses(w.now())
 	for k, o := range p.worlds {
 		if k != i {
-			o.registry.SetRemote(fmt.Sprint("vm-", i), loads)
+			o.registry.SetRemoteLoads(fmt.Sprint("vm-", i), loads)
 			o.registry.SetRemoteStatuses(fmt.Sprint("vm-", i), losses, o.now())
 		}
 	}
--- a/internal/relay/lane_test.go
+++ b/internal/relay/lane_test.go
@@ -112,7 +112,7 @@
 		w.server("a", modelService)
 		// The engine has no room until the load of another gateway ends.
 		full := map[string]backends.Load{"a": {Running: 9, ExpectedTokens: 30000}}
-		w.registry.SetRemote("vm-2", full)
+		w.registry.SetRemoteLoads("vm-2", full)
 		w.others.usage = []flow.Usage{{Team: "team-1", Amount: 1e6}, {Team: "x", Amount: 1}, {Team: "y", Amount: 1}}
 		order := make(chan string, 2)
 		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
@@ -132,7 +132,7 @@
 		}
 		ask(teamKey)
 		ask("key-2")
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"a": {Running: 7, ExpectedTokens: 25000}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"a": {Running: 7, ExpectedTokens: 25000}})
 		require.Equal(t, "team-2", <-order)
 		require.Equal(t, "team-1", <-order)
 		synctest.Wait()
@@ -161,7 +161,7 @@
 		go func() { first <- w.serve(request("/plan/x")) }()
 		time.Sleep(2 * time.Second)
 		w.server("b", modelService)
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"b": {Running: 5, ExpectedTokens: 20000}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"b": {Running: 5, ExpectedTokens: 20000}})
 		w.serve(request("/plan/x")).whole(t, event(1))
 		require.Equal(t, []string{"a", "b"}, w.up.servers())
 		(<-first).whole(t, event(1))
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -254,7 +254,7 @@
 		go func() { first <- w.serve(request("/once/x")) }()
 		time.Sleep(600 * time.Millisecond)
 		w.server("b", deskService)
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"b": {Running: 3}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"b": {Running: 3}})
 		require.Equal(t, http.StatusOK, w.serve(request("/once/x")).status)
 		require.Equal(t, []string{"a", "b"}, w.up.servers())
 		require.True(t, (<-first).refusal.MayHaveRun)
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -283,7 +283,7 @@
 		synctest.Wait()
 		w.server("empty", modelService)
 		w.server("fuller", modelService)
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"fuller": {Running: 2, ExpectedTokens: 8000}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"fuller": {Running: 2, ExpectedTokens: 8000}})
 		turns := &flow.Turns{Self: "self", Contenders: []flow.Contender{{Name: "self", Waiting: 1}, {Name: "vm-2", Waiting: 3}}}
 		for turns.IsOwnTurn("empty") != mine("empty") || turns.IsOwnTurn("fuller") != mine("fuller") {
 			turns.Period++
