--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -251,7 +251,7 @@
 		require.True(t, told)
 		require.Len(t, page.Rows, 1)
 		require.EqualValues(t, 1, page.Revision.Version())
-		last, known := f.Last()
+		last, known := f.LastPosition()
 		require.True(t, known)
 		require.Equal(t, page.Revision, last.Revision)
 		require.GreaterOrEqual(t, time.Since(store.start)-last.Clock, 500*time.Millisecond, "no newer than it is")
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -93,9 +93,9 @@
 	return f.position(), f.synced
 }
 
-// Last is how far the sink is, also while its table is read anew; false before the first. What
+// LastPosition is how far the sink is, also while its table is read anew; false before the first. What
 // it says of time stays true: the copy gets no newer meanwhile.
-func (f *Follower) Last() (Position, bool) {
+func (f *Follower) LastPosition() (Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.position(), f.filled
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -197,7 +197,7 @@
 // answer implements peers.Deps.Answer.
 func (s *configSharing) answer(ask *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
 	// The position comes first: the version read behind it is complete up to there.
-	position, ok := s.followers[operator.Table].Last()
+	position, ok := s.followers[operator.Table].LastPosition()
 	if !ok {
 		return nil, nil, errNoTable
 	}
