--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -336,7 +336,7 @@
 		if j.APIKey != "" && r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
 			return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
-		return &Refusal{Reason: ReasonKey}
+		return &Refusal{Reason: ReasonBadKey}
 	}
 	j.team, j.regions = team.Name, j.regions.Within(team.Regions)
 	if team.Ranked {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -154,7 +154,7 @@
 		w.serve(open).whole(t, "ok")
 
 		w.apply(2, "other-key")
-		require.Equal(t, ReasonKey, w.serve(request("/once/x")).refusal.Reason)
+		require.Equal(t, ReasonBadKey, w.serve(request("/once/x")).refusal.Reason)
 	})
 }
 
@@ -172,7 +172,7 @@
 		require.Equal(t, ReasonStale, w.serve(request("/new/x")).refusal.Reason)
 		require.False(t, w.relay.Ready())
 		w.apply(2, "other-key")
-		require.Equal(t, ReasonKey, w.serve(request("/once/x")).refusal.Reason)
+		require.Equal(t, ReasonBadKey, w.serve(request("/once/x")).refusal.Reason)
 		require.True(t, w.relay.Ready())
 	})
 }
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -174,7 +174,7 @@
 const (
 	ReasonNoConfig  Reason = "no configuration yet"
 	ReasonNoRoute   Reason = "no such route"
-	ReasonKey       Reason = "no or unknown key"
+	ReasonBadKey    Reason = "no or unknown key"
 	ReasonStale     Reason = "configuration not confirmed"
 	ReasonNoServer  Reason = "no server takes requests"
 	ReasonNoRoom    Reason = "servers have no room"
