--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -174,7 +174,7 @@
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second), "once")
 	r.Put(s, 2*time.Second)
 	require.Zero(t, r.Ready(svc))
-	r.Reset(nil, 10*time.Second, 12*time.Second)
+	r.ReplaceAll(nil, 10*time.Second, 12*time.Second)
 	r.Put(s, 13*time.Second)
 	require.Zero(t, r.Ready(svc))
 	again := s
--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -82,7 +82,7 @@
 	f.heard = make([][]int, gateways)
 	for i, self := range all {
 		r := New(self.FailureDomain, func(string) Traits { return Traits{MemoryTokens: engineMemory} }, func(Server, LeaveReason) {})
-		r.Reset(f.servers, 0, 0)
+		r.ReplaceAll(f.servers, 0, 0)
 		others := append(append([]subset.Item{}, all[:i]...), all[i+1:]...)
 		links, place := linked(self, others)
 		r.SetPlace(place)
@@ -108,7 +108,7 @@
 		f.start()
 	}
 	for _, r := range f.regs {
-		r.Reset(f.servers, 0, now)
+		r.ReplaceAll(f.servers, 0, now)
 	}
 }
 
@@ -258,7 +258,7 @@
 		s.Leaving = cells.IndexOf(cells.Hash(s.ID), count) == 0
 		all = append(all, s)
 	}
-	r.Reset(all, 0, 0)
+	r.ReplaceAll(all, 0, 0)
 	r.SetPlace(cells.Place{OwnCell: 0, CellCount: count})
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
 	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Reset replaces the directory. outage is how long it was silent before.
-func (r *Registry) Reset(list []Server, outage, now time.Duration) {
+// ReplaceAll replaces the directory. outage is how long it was silent before.
+func (r *Registry) ReplaceAll(list []Server, outage, now time.Duration) {
 	r.mu.Lock()
 	left := r.reset(list, outage, now)
 	r.mu.Unlock()
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -36,7 +36,7 @@
 // late entry that still says "ready" does not bring it back.
 func TestLeavingIsToldOnce(t *testing.T) {
 	r, notices := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b"), entry("c")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b"), entry("c")}, 0, 0)
 	leaving := entry("a")
 	leaving.Leaving = true
 	r.Put(leaving, 0)
@@ -56,8 +56,8 @@
 // and gone after.
 func TestLapsedEntryHasAGrace(t *testing.T) {
 	r, notices := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.Reset([]Server{entry("a")}, 5*time.Second, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a")}, 5*time.Second, 0)
 	require.Equal(t, 2, r.Ready(svc))
 	for range 5 {
 		require.Equal(t, "a", r.pick(t, 0))
@@ -68,7 +68,7 @@
 	require.Equal(t, []told{{"b", NoticeVanished}}, *notices)
 	require.Equal(t, 1, r.Ready(svc))
 
-	r.Reset(nil, 5*time.Second, 10*time.Second)
+	r.ReplaceAll(nil, 5*time.Second, 10*time.Second)
 	r.Put(entry("a"), 11*time.Second)
 	r.Expire(20 * time.Second)
 	require.Equal(t, 1, r.Ready(svc))
@@ -78,7 +78,7 @@
 // tried again when the failures are old; else it would never come back.
 func TestFailingServerIsAvoidedForAWhile(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 5 {
 		l := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
 		l.Release(ResultFailed, 0)
@@ -96,7 +96,7 @@
 // the next goes elsewhere even if others are busier.
 func TestLostConnectionsWeighMore(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(ResultLost, 0)
 	for range 3 {
 		defer r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0).Release(ResultOK, 0)
@@ -107,7 +107,7 @@
 // Loads that other processes tell of count like the own, until they are forgotten.
 func TestRemoteLoadsCount(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	r.SetRemoteLoads("other", map[string]Load{"a": {Running: 3, ExpectedTokens: 9000, PromptTokens: 2000}})
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
@@ -123,7 +123,7 @@
 // part of it once.
 func TestLeaseCountsOnce(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a")}, 0, 0)
 	l := r.Acquire(Query{Service: svc, ExpectedTokens: 5000, PromptTokens: 3000}, 0)
 	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000, PromptTokens: 3000}}, r.Loads())
 	l.FinishPrompt()
@@ -144,7 +144,7 @@
 	for i := range 50 {
 		list = append(list, entry(string(rune('A'+i))))
 	}
-	r.Reset(list, 0, 0)
+	r.ReplaceAll(list, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Acquire(Query{Service: svc, ExpectedTokens: 4000, PromptTokens: 3000, Draw: 7}, 0).Release(ResultOK, 0)
@@ -157,7 +157,7 @@
 	r, _ := newRegistry()
 	far := entry("far")
 	far.FailureDomain = "zone-2"
-	r.Reset([]Server{entry("a"), entry("b"), far}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b"), far}, 0, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b", "far"}}, 0)
 	defer lease.Release(ResultInconclusive, 0)
 	r.SetRemoteLoads("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
@@ -174,7 +174,7 @@
 // may be cut off from a sound server. After a second it is tried again.
 func TestLostRequestsCountForAll(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 6 {
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
@@ -197,7 +197,7 @@
 // any other once it has been sound for a while.
 func TestServerThatLosesAgainIsLeftForLonger(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 6 {
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
@@ -223,7 +223,7 @@
 // A process is cut off from its peers and finds out by itself: two lost in a row.
 func TestTwoOwnLossesAreEnough(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 8 {
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -19,7 +19,7 @@
 // load of all processes) says nothing of the new one, and would keep them away.
 func TestNewLifeIsBelievedAfresh(t *testing.T) {
 	r, notices := newRegistry()
-	r.Reset([]Server{bornAt("a", 100)}, 0, 0)
+	r.ReplaceAll([]Server{bornAt("a", 100)}, 0, 0)
 	for range 3 {
 		r.Acquire(Query{Service: svc}, 0).Release(ResultLost, 0)
 	}
@@ -48,12 +48,12 @@
 	r, notices := newRegistry()
 	old, now := bornAt("a", 100), bornAt("a", 200)
 	now.Address = "elsewhere:1"
-	r.Reset([]Server{old}, 0, 0)
+	r.ReplaceAll([]Server{old}, 0, 0)
 	r.Put(now, 0)
 	late := old
 	late.Leaving = true
 	r.Put(late, 0)
-	r.Reset([]Server{late}, 0, 0)
+	r.ReplaceAll([]Server{late}, 0, 0)
 	r.MarkLeaving(old)
 	r.MarkReplaced(old)
 	require.Nil(t, r.ReserveAt(old, 100))
@@ -68,7 +68,7 @@
 // read anew; it must take them at once. One that has left stays away.
 func TestServerWhoseEntryIsBackTakesRequests(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a")}, 0, 0)
 	held := r.Acquire(Query{Service: svc}, 0)
 	r.Remove("a", 0, 0)
 	require.Zero(t, r.Ready(svc))
@@ -88,14 +88,14 @@
 // readable one comes, and its runs are left where they are.
 func TestUnreadableEntryWithholdsItsServer(t *testing.T) {
 	r, notices := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	held := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
 	defer held.Release(ResultOK, 0)
 	r.Put(Server{ID: "a", Unreadable: true}, 0)
 	r.Put(Server{ID: "never heard of", Unreadable: true}, 0)
 	require.Equal(t, 1, r.Ready(svc))
 	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0))
-	r.Reset([]Server{{ID: "a", Unreadable: true}, entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{{ID: "a", Unreadable: true}, entry("b")}, 0, 0)
 	require.Empty(t, *notices)
 	r.Put(entry("a"), 0)
 	require.Equal(t, 2, r.Ready(svc))
