--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -67,8 +67,8 @@
 	return f.now() - f.offset, f.offsetKnown
 }
 
-// Reached reports whether the store answered this process last.
-func (f *Follower) Reached() bool {
+// StoreReached reports whether the store answered this process last.
+func (f *Follower) StoreReached() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failures == 0
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -157,7 +157,7 @@
 
 func (g *group) reached() bool {
 	for _, f := range g.followers {
-		if !f.Reached() {
+		if !f.StoreReached() {
 			return false
 		}
 	}
