--- a/backends/advice.go
+++ b/backends/advice.go
@@ -56,9 +56,9 @@
 
 // RateLimitReport is what a process knows of the limit that a server names.
 type RateLimitReport struct {
-	// Known reports that it knows something, Named that the server names a limit.
-	Known, Named bool
-	PerSecond    float64
+	// Known reports that it knows something, Limited that the server names a limit.
+	Known, Limited bool
+	PerSecond      float64
 	// Age is how long ago it was so.
 	Age time.Duration
 }
@@ -82,7 +82,7 @@
 	if !l.named && now >= l.tellUntil {
 		return RateLimitReport{}
 	}
-	return RateLimitReport{Known: true, Named: l.named, PerSecond: l.perSecond, Age: now - l.asOf}
+	return RateLimitReport{Known: true, Limited: l.named, PerSecond: l.perSecond, Age: now - l.asOf}
 }
 
 // name notes that the server names a limit, and reports whether that is news.
@@ -120,18 +120,18 @@
 // it is news that the server names a limit, or none. What is kept is the newest that anybody
 // knows, in whatever order it is told.
 func (l *limit) hear(t RateLimitReport, now time.Duration) (news bool) {
-	if !t.Known || t.Age < 0 || t.Named && !(t.PerSecond >= 0 && t.PerSecond <= MaxRateLimit) {
+	if !t.Known || t.Age < 0 || t.Limited && !(t.PerSecond >= 0 && t.PerSecond <= MaxRateLimit) {
 		return false
 	}
 	asOf := now - t.Age
 	if asOf <= l.asOf {
-		if t.Named && !l.named {
+		if t.Limited && !l.named {
 			l.tellUntil = now + liftedFor
 		}
 		return false
 	}
 	switch {
-	case !t.Named:
+	case !t.Limited:
 		return l.lift(asOf, now)
 	case l.named && asOf < l.asOf+fresher:
 		return false
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -108,14 +108,14 @@
 func TestSpoiltWordsOfPeersChangeNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
 	for _, l := range []RateLimitReport{
-		{Named: true, PerSecond: 3}, {Known: true, Named: true, PerSecond: -1}, {Known: true, Named: true, PerSecond: math.NaN()},
-		{Known: true, Named: true, PerSecond: math.Inf(1)}, {Known: true, Named: true, PerSecond: 3, Age: -time.Second},
+		{Limited: true, PerSecond: 3}, {Known: true, Limited: true, PerSecond: -1}, {Known: true, Limited: true, PerSecond: math.NaN()},
+		{Known: true, Limited: true, PerSecond: math.Inf(1)}, {Known: true, Limited: true, PerSecond: 3, Age: -time.Second},
 	} {
 		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: l, StartTime: s.StartTime}}, time.Minute))
-		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
+		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Limited: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
 		require.Zero(t, r.CountRateLimited())
 	}
-	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
+	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Limited: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
 	require.Equal(t, 1, r.CountRateLimited())
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -128,7 +128,7 @@
 		l := losses[t.ID].RateLimit
 		g.log.WithFields(logrus.Fields{
 			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
-			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
+			"named": l.Limited, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
 		}).Info("a peer tells of a server's limit")
 	}
 	if len(news) > 0 {
@@ -139,7 +139,7 @@
 func lossOf(server string, l backends.ServerStatus) *peerv1.Loss {
 	out := &peerv1.Loss{Server: server, InARow: uint32(l.ConsecutiveLosses), Ended: l.Down, Leaving: l.Leaving, Resting: l.BackingOff, Born: l.StartTime}
 	if l.RateLimit.Known {
-		out.Limit = &peerv1.Limit{Named: l.RateLimit.Named, PerSecond: l.RateLimit.PerSecond, AgeMs: l.RateLimit.Age.Milliseconds()}
+		out.Limit = &peerv1.Limit{Named: l.RateLimit.Limited, PerSecond: l.RateLimit.PerSecond, AgeMs: l.RateLimit.Age.Milliseconds()}
 	}
 	return out
 }
@@ -150,7 +150,7 @@
 func lossFrom(l *peerv1.Loss) backends.ServerStatus {
 	out := backends.ServerStatus{ConsecutiveLosses: int(l.GetInARow()), Down: l.GetEnded(), Leaving: l.GetLeaving(), BackingOff: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
-		out.RateLimit = backends.RateLimitReport{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
+		out.RateLimit = backends.RateLimitReport{Known: true, Limited: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
 	return out
 }
