--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -200,7 +200,7 @@
 	fetch func() (Page, error)
 }
 
-func (f fixedSharing) Reading() bool { return f.reading }
+func (f fixedSharing) IsPeerReading() bool { return f.reading }
 
 func (f fixedSharing) MayCallStore(time.Duration) bool { return true }
 
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -36,9 +36,9 @@
 	MayCallStore(without time.Duration) bool
 	// Share passes on a page that was read.
 	Share(s SharedPage)
-	// Reading reports whether another process says that a long answer of the store is
+	// IsPeerReading reports whether another process says that a long answer of the store is
 	// coming in there.
-	Reading() bool
+	IsPeerReading() bool
 }
 
 // silentSlack is how much longer than a call may wait nothing may be heard before
@@ -73,7 +73,7 @@
 // silent reports whether too little is heard of others to live on them; mu is held.
 func (f *Follower) silent() bool {
 	age := f.now() - f.made
-	return age > f.cfg.PollTimeout+silentSlack && (age > readingPatience || !f.sharing.Reading())
+	return age > f.cfg.PollTimeout+silentSlack && (age > readingPatience || !f.sharing.IsPeerReading())
 }
 
 // Reading reports whether a long answer is coming in here.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -72,8 +72,8 @@
 	sharing{s.group, operator.Table}.Share(p)
 }
 
-// Reading implements follow.Sharing.
-func (s *configSharing) Reading() bool {
+// IsPeerReading implements follow.Sharing.
+func (s *configSharing) IsPeerReading() bool {
 	return slices.ContainsFunc(s.links.LiveStates(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -232,8 +232,8 @@
 	table string
 }
 
-// Reading implements follow.Sharing.
-func (s sharing) Reading() bool { return false }
+// IsPeerReading implements follow.Sharing.
+func (s sharing) IsPeerReading() bool { return false }
 
 // shareTime is the time of a VM's link that passing a page on may take. Beyond it callers
 // would wait behind the page: 64 KB for 28 peers take 1.5 s of a link of 10 Mbit/s.
