--- a/sched/sched.go
+++ b/sched/sched.go
@@ -53,20 +53,20 @@
 // Waiting reports whether the job is queued or paused.
 func (j *Job) Waiting() bool { return j.state == stateQueued || j.state == statePaused }
 
-// Verdict is the answer to an offered job.
-type Verdict uint8
+// Admission is the answer to an offered job.
+type Admission uint8
 
 // The verdicts.
 const (
 	// Queue means that a later Start or Refuse action follows.
-	Queue Verdict = iota
+	Queue Admission = iota
 	// Refuse means that the job is forgotten; it did not run.
 	Refuse
 )
 
 // Decision answers Offer.
 type Decision struct {
-	Verdict Verdict
+	Verdict Admission
 	// RetryAfter says when a refused caller should come back.
 	RetryAfter time.Duration
 }
