--- a/backends/load.go
+++ b/backends/load.go
@@ -130,8 +130,8 @@
 // StatusChange is news that another process has told of a server.
 type StatusChange struct {
 	Server
-	// Limit reports that it is of its limit.
-	Limit bool
+	// RateLimitChanged reports that it is of its limit.
+	RateLimitChanged bool
 }
 
 // SetRemoteStatuses replaces what another process has told of what is wrong with servers; nil forgets
@@ -158,7 +158,7 @@
 			left = s.report(left, NoticeTold)
 		}
 		if limitNews := s.limit.hear(l.RateLimit, now); limitNews || leavingNews {
-			news = append(news, StatusChange{Server: s.Server, Limit: limitNews})
+			news = append(news, StatusChange{Server: s.Server, RateLimitChanged: limitNews})
 		}
 	}
 	r.mu.Unlock()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -122,7 +122,7 @@
 // pass passes on what a peer has told of servers that is news here.
 func (g *group) pass(peer string, losses map[string]backends.ServerStatus, news []backends.StatusChange) {
 	for _, t := range news {
-		if !t.Limit {
+		if !t.RateLimitChanged {
 			continue
 		}
 		l := losses[t.ID].RateLimit
