--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -76,8 +76,8 @@
 	return age > f.cfg.PollTimeout+silentSlack && (age > readingPatience || !f.sharing.IsPeerReading())
 }
 
-// Reading reports whether a long answer is coming in here.
-func (f *Follower) Reading() bool { return f.reading.Load() }
+// IsReading reports whether a long answer is coming in here.
+func (f *Follower) IsReading() bool { return f.reading.Load() }
 
 // leanPoll is how often a process that lives on others looks whether it still may.
 const leanPoll = 100 * time.Millisecond
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -78,7 +78,7 @@
 // long answer comes in.
 func (f *Follower) LastAnswer() time.Duration {
 	now, known := f.StoreTime()
-	if known && f.Reading() {
+	if known && f.IsReading() {
 		return now
 	}
 	f.mu.Lock()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -94,7 +94,7 @@
 	s := &peerv1.State{
 		From:     &peerv1.Member{Name: g.self.Name, Address: g.self.Address, FailureDomain: g.self.FailureDomain},
 		Stopping: g.stopping.Load(), StoreReached: g.reached(),
-		ConfigVersion: g.ownVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].Reading(),
+		ConfigVersion: g.ownVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].IsReading(),
 		Positions: g.positions(), Readers: g.role.list(),
 	}
 	for id, l := range g.registry.Loads() {
