--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -113,11 +113,11 @@
 	j.contrib = p.contribution(j)
 	if wait := p.wait(t, j); !p.cfg.Disabled.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
 		j.state = stateDone
-		return Decision{Verdict: Refuse, RetryAfter: p.retryAfter(j, wait)}
+		return Decision{Admission: Refuse, RetryAfter: p.retryAfter(j, wait)}
 	}
 	j.state = stateQueued
 	p.enqueue(t, j)
-	return Decision{Verdict: Queue}
+	return Decision{Admission: Queue}
 }
 
 func (p *Forecasting) contribution(j *Job) contribution {
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -66,7 +66,7 @@
 
 // Decision answers Offer.
 type Decision struct {
-	Verdict Admission
+	Admission Admission
 	// RetryAfter says when a refused caller should come back.
 	RetryAfter time.Duration
 }
