--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -339,7 +339,7 @@
 		return &Refusal{Reason: ReasonBadKey}
 	}
 	j.team, j.regions = team.Name, j.regions.Within(team.Regions)
-	if team.Ranked {
+	if team.HasPriority {
 		j.priority = team.Priority
 	}
 	return nil
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -159,13 +159,13 @@
 	Name string
 	Keys []string
 	// Priority goes before the route's if Ranked.
-	Priority int
-	Ranked   bool
+	Priority    int
+	HasPriority bool
 	// Regions are where the team's requests may run.
 	Regions Regions
 }
 
 // equal reports whether two teams say the same.
 func (t *Team) equal(o *Team) bool {
-	return t == o || t.Name == o.Name && t.Priority == o.Priority && t.Ranked == o.Ranked && slices.Equal(t.Keys, o.Keys) && slices.Equal(t.Regions, o.Regions)
+	return t == o || t.Name == o.Name && t.Priority == o.Priority && t.HasPriority == o.HasPriority && slices.Equal(t.Keys, o.Keys) && slices.Equal(t.Regions, o.Regions)
 }
