--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -77,8 +77,8 @@
 	InitialSuspects func() *peerv1.Suspects
 	// MaxLinks bounds the peers of its own cell that this gateway tells.
 	MaxLinks int
-	// Placed is told where this gateway stands among the others; it may be nil.
-	Placed func(cells.Place)
+	// OnPlaced is told where this gateway stands among the others; it may be nil.
+	OnPlaced func(cells.Place)
 	// Forgotten is told of members that have not been reached for long.
 	Forgotten func(Member)
 	// Sent is told of the bytes that go to a peer, by cause; it may be nil.
@@ -241,8 +241,8 @@
 	for _, it := range links {
 		out = append(out, m.book[it.Name])
 	}
-	if m.Placed != nil {
-		m.Placed(place)
+	if m.OnPlaced != nil {
+		m.OnPlaced(place)
 	}
 	return out
 }
