--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -58,7 +58,7 @@
 	j.arrived, j.emitted, j.state = now, j.EmittedBefore, stateQueued
 	b.queue = append(b.queue, j)
 	b.stats.Queued++
-	return Decision{Admission: Queue}
+	return Decision{Admission: Queued}
 }
 
 // Adopt implements Policy.
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -117,7 +117,7 @@
 	}
 	j.state = stateQueued
 	p.enqueue(t, j)
-	return Decision{Admission: Queue}
+	return Decision{Admission: Queued}
 }
 
 func (p *Forecasting) contribution(j *Job) contribution {
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -58,8 +58,8 @@
 
 // The verdicts.
 const (
-	// Queue means that a later Start or Refuse action follows.
-	Queue Admission = iota
+	// Queued means that a later Start or Refuse action follows.
+	Queued Admission = iota
 	// Refuse means that the job is forgotten; it did not run.
 	Refuse
 )
