--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -163,7 +163,7 @@
 	read := r.readTime(j)
 	run := read + time.Duration(longer*float64(j.events(0))*float64(r.usualPause()))
 	lastBy := j.arrived + j.left() - run
-	if s := j.route.Silence; s > 0 {
+	if s := j.route.EventTimeout; s > 0 {
 		lastBy = min(lastBy, j.arrived+time.Duration(silenceShare*float64(s))-read)
 	}
 	return &flow.Waiter{
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -56,9 +56,9 @@
 	Target time.Duration
 	// MaxPause is the longest pause between two events of a stream on time.
 	MaxPause time.Duration
-	// Silence is how long callers wait for the first or the next event of a stream
+	// EventTimeout is how long callers wait for the first or the next event of a stream
 	// before they leave; 0 if they do not.
-	Silence time.Duration
+	EventTimeout time.Duration
 	// Servers is the most backend servers that may run one attempt of a caller.
 	Servers int
 	// Priority ranks requests; 0 is the most urgent.
@@ -78,7 +78,7 @@
 		return true
 	}
 	return r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Kind == o.Kind &&
-		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.Silence == o.Silence &&
+		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
 		r.Servers == o.Servers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
 		slices.Equal(r.Split, o.Split) && slices.Equal(r.Regions, o.Regions)
 }
