--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -76,7 +76,7 @@
 	var d net.Dialer
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
-		State: g.state, Receiver: g, Answer: g.answer, Log: log, Forgotten: g.forgotten,
+		State: g.state, Receiver: g, Answer: g.answer, Log: log, OnForgotten: g.forgotten,
 		Sent: costs.toPeer, MaxLinks: mostLinks, OnPlaced: g.placed, InitialSuspects: g.suspects.greet,
 	})
 	return g
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -41,7 +41,7 @@
 		delete(m.book, n.Name)
 	}
 	m.Log.WithField("peer", n.Name).Info("peer is forgotten")
-	go m.Forgotten(n.Member)
+	go m.OnForgotten(n.Member)
 }
 
 // talk dials a member and tells it states and pages until the link breaks.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -79,8 +79,8 @@
 	MaxLinks int
 	// OnPlaced is told where this gateway stands among the others; it may be nil.
 	OnPlaced func(cells.Place)
-	// Forgotten is told of members that have not been reached for long.
-	Forgotten func(Member)
+	// OnForgotten is told of members that have not been reached for long.
+	OnForgotten func(Member)
 	// Sent is told of the bytes that go to a peer, by cause; it may be nil.
 	Sent func(Cause, int)
 	Log  logrus.FieldLogger
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -65,7 +65,7 @@
 		State: func() *peerv1.State {
 			return &peerv1.State{From: &peerv1.Member{Name: self.Name, Address: self.Address, FailureDomain: self.FailureDomain}}
 		},
-		Receiver: e, Log: log, Forgotten: func(Member) {}, MaxLinks: DefaultLinks,
+		Receiver: e, Log: log, OnForgotten: func(Member) {}, MaxLinks: DefaultLinks,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
