--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -96,7 +96,7 @@
 	}
 	g := a.newGeneration(start)
 	decision := a.policy.Offer(a.now(), g.job)
-	if decision.Admission == sched.Refuse {
+	if decision.Admission == sched.Refused {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, decision.RetryAfter, "queue of team %s is too long", g.job.Team)
 	}
 	a.enter(g)
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -104,7 +104,7 @@
 		PromptTokens: a.Prompt, MaxTokens: MaxTokens, EmittedBefore: a.Emitted, Urgent: a.Emitted > 0,
 	}
 	s.out.class(t).Offered++
-	if d := s.policy.Offer(s.now, j); d.Admission == sched.Refuse {
+	if d := s.policy.Offer(s.now, j); d.Admission == sched.Refused {
 		s.out.class(t).Refused++
 		return
 	}
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -113,7 +113,7 @@
 	j.contrib = p.contribution(j)
 	if wait := p.wait(t, j); !p.cfg.Disabled.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
 		j.state = stateDone
-		return Decision{Admission: Refuse, RetryAfter: p.retryAfter(j, wait)}
+		return Decision{Admission: Refused, RetryAfter: p.retryAfter(j, wait)}
 	}
 	j.state = stateQueued
 	p.enqueue(t, j)
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -25,7 +25,7 @@
 
 func (w *world) offer(j *Job, length int) {
 	w.length[j] = length
-	if w.p.Offer(w.now, j).Admission == Refuse {
+	if w.p.Offer(w.now, j).Admission == Refused {
 		w.ended++
 		return
 	}
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -60,8 +60,8 @@
 const (
 	// Queued means that a later Start or Refuse action follows.
 	Queued Admission = iota
-	// Refuse means that the job is forgotten; it did not run.
-	Refuse
+	// Refused means that the job is forgotten; it did not run.
+	Refused
 )
 
 // Decision answers Offer.
