--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -64,7 +64,7 @@
 // canMove reports whether the run can be moved and is lost otherwise.
 func (u *run) canMove() bool {
 	e := u.job.engine
-	return e != nil && e.Moves && u.job.Generation != nil && !u.job.route.Resumable
+	return e != nil && e.SupportsMigration && u.job.Generation != nil && !u.job.route.Resumable
 }
 
 func (u *run) delivered(p progress, id string, now time.Duration) {
