--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -77,7 +77,7 @@
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
 		State: g.state, Receiver: g, Answer: g.answer, Log: log, OnForgotten: g.forgotten,
-		Sent: costs.toPeer, MaxLinks: mostLinks, OnPlaced: g.placed, InitialSuspects: g.suspects.greet,
+		OnSent: costs.toPeer, MaxLinks: mostLinks, OnPlaced: g.placed, InitialSuspects: g.suspects.greet,
 	})
 	return g
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -81,9 +81,9 @@
 	OnPlaced func(cells.Place)
 	// OnForgotten is told of members that have not been reached for long.
 	OnForgotten func(Member)
-	// Sent is told of the bytes that go to a peer, by cause; it may be nil.
-	Sent func(Cause, int)
-	Log  logrus.FieldLogger
+	// OnSent is told of the bytes that go to a peer, by cause; it may be nil.
+	OnSent func(Cause, int)
+	Log    logrus.FieldLogger
 }
 
 // Cause is what bytes between gateways are for.
@@ -99,8 +99,8 @@
 )
 
 func (m *Manager) sent(c Cause, bytes int) {
-	if m.Sent != nil {
-		m.Sent(c, bytes)
+	if m.OnSent != nil {
+		m.OnSent(c, bytes)
 	}
 }
 
