--- a/sched/sched.go
+++ b/sched/sched.go
@@ -71,13 +71,13 @@
 	RetryAfter time.Duration
 }
 
-// Verb is what an Action asks for.
-type Verb uint8
+// ActionKind is what an Action asks for.
+type ActionKind uint8
 
 // The verbs.
 const (
 	// Start the job, or continue it if it was paused.
-	Start Verb = iota
+	Start ActionKind = iota
 	// Pause the job: take it off the engine and keep its tokens.
 	Pause
 	// Expire answers a job that never ran as not run.
@@ -86,7 +86,7 @@
 
 // Action is one thing for the caller to carry out.
 type Action struct {
-	Verb       Verb
+	Verb       ActionKind
 	Job        *Job
 	RetryAfter time.Duration
 }
