--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -199,7 +199,7 @@
 	if e := s.Engine; e != nil {
 		out.Engine = &peerv1.Engine{
 			Slots: int64(e.Slots), MemoryTokens: int64(e.MemoryTokens), BytesPerToken: int64(e.BytesPerToken),
-			LinkMbps: e.LinkMbps, TokensPerEvent: int64(e.TokensPerEvent), Moves: e.SupportsMigration, Backups: e.Backups, CopyTtl: int64(e.CopyTTL),
+			LinkMbps: e.LinkMbps, TokensPerEvent: int64(e.TokensPerEvent), Moves: e.SupportsMigration, Backups: e.SupportsStandby, CopyTtl: int64(e.CopyTTL),
 		}
 	}
 	return out
@@ -210,7 +210,7 @@
 	if e := s.GetEngine(); e != nil {
 		out.Engine = &routing.Engine{
 			Slots: int(e.GetSlots()), MemoryTokens: int(e.GetMemoryTokens()), BytesPerToken: int(e.GetBytesPerToken()),
-			LinkMbps: e.GetLinkMbps(), TokensPerEvent: int(e.GetTokensPerEvent()), SupportsMigration: e.GetMoves(), Backups: e.GetBackups(),
+			LinkMbps: e.GetLinkMbps(), TokensPerEvent: int(e.GetTokensPerEvent()), SupportsMigration: e.GetMoves(), SupportsStandby: e.GetBackups(),
 			CopyTTL: time.Duration(e.GetCopyTtl()),
 		}
 	}
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -35,7 +35,7 @@
 // 30 ms.
 func (r *Relay) cover(j *job, s backends.Server) *backends.Reservation {
 	e := j.engine
-	if e == nil || !e.Backups || j.Generation == nil || j.route.Resumable {
+	if e == nil || !e.SupportsStandby || j.Generation == nil || j.route.Resumable {
 		return nil
 	}
 	if time.Duration(j.events(0))*r.usualPause() < coverFrom || r.lane(j.service).crowdedSince(r.Now()-coverAfter) {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -120,8 +120,8 @@
 	LinkMbps float64
 	// TokensPerEvent is the number of tokens that one event holds.
 	TokensPerEvent int
-	// SupportsMigration and Backups say what the engines can do with a run's memory.
-	SupportsMigration, Backups bool
+	// SupportsMigration and SupportsStandby say what the engines can do with a run's memory.
+	SupportsMigration, SupportsStandby bool
 	// CopyTTL is how long a copy waits to be used.
 	CopyTTL time.Duration
 }
