--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -36,7 +36,7 @@
 		switch newer, heard := g.namedVersions(); {
 		case len(newer) > 0:
 			g.askConfig(ctx, newer)
-		case g.links.Known() == 1:
+		case g.links.KnownCount() == 1:
 			g.setAgreed("no peer is known")
 		case heard:
 			g.setAgreed("peers name no newer version")
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -75,7 +75,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			g.log.WithFields(g.costs.take()).WithFields(logrus.Fields{"peers_known": g.links.Known() - 1, "peers_heard": len(g.links.LiveStates())}).Info("costs of control")
+			g.log.WithFields(g.costs.take()).WithFields(logrus.Fields{"peers_known": g.links.KnownCount() - 1, "peers_heard": len(g.links.LiveStates())}).Info("costs of control")
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -215,7 +215,7 @@
 		_, confirmed := rep.Current()
 		return (clock.SinceBoot() - confirmed).Seconds()
 	})
-	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
+	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.KnownCount() - 1) })
 	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.LiveStates())) })
 	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
 	rec.RegisterGauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -61,7 +61,7 @@
 	for tries := 0; ctx.Err() == nil; tries++ {
 		err := g.announce(ctx)
 		if err == nil {
-			g.log.WithField("peers", g.links.Known()-1).Info("joined the gateways")
+			g.log.WithField("peers", g.links.KnownCount()-1).Info("joined the gateways")
 			return
 		}
 		g.log.WithError(err).WithField("try", tries+1).Warn("cannot join the gateways yet")
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -209,7 +209,7 @@
 }
 
 // Count implements relay.Others.
-func (g *group) Count() int { return g.links.Known() }
+func (g *group) Count() int { return g.links.KnownCount() }
 
 // AcceptingRequests implements relay.Others.
 func (g *group) AcceptingRequests() bool {
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -76,7 +76,7 @@
 	case without > 0 && r.first.Load():
 		look.ProcessCount = 1
 	case without > 0:
-		look.ProcessCount = float64(r.group.links.Known()) * max(0, 1-without.Seconds()/startPatience.Seconds())
+		look.ProcessCount = float64(r.group.links.KnownCount()) * max(0, 1-without.Seconds()/startPatience.Seconds())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +185,7 @@
 // crowd is how many gateways are in the same place as this one: those that it knows, by the
 // part of its links that it hears something on.
 func (g *group) crowd() float64 {
-	others := g.links.Known() - 1
+	others := g.links.KnownCount() - 1
 	if others == 0 {
 		return 1
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -247,8 +247,8 @@
 	return out
 }
 
-// Known counts the gateways that this one has heard of, itself included.
-func (m *Manager) Known() int {
+// KnownCount counts the gateways that this one has heard of, itself included.
+func (m *Manager) KnownCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.book) + 1
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -96,7 +96,7 @@
 	b, earsB, stopB := begin(t, "b")
 	a.AddMembers([]Member{b.self, a.self})
 	require.Eventually(t, func() bool { return earsA.hears("b") && earsB.hears("a") }, soon, time.Millisecond)
-	require.Equal(t, 2, a.Known())
+	require.Equal(t, 2, a.KnownCount())
 	a.BroadcastPage(&peerv1.Page{Table: "t"})
 	require.Eventually(t, func() bool { return earsB.heard() == 1 }, soon, time.Millisecond)
 	stopB()
