--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -24,39 +24,39 @@
 // and arrives after.
 func TestAnswerThatWasOvertakenLiftsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	require.True(t, r.ApplySignals(s, Signals{Limited: true, Limit: 3}, 1*time.Second, 2*time.Second).Limited)
-	require.Equal(t, News{}, r.ApplySignals(s, Signals{Limited: true, Limit: 2}, 1*time.Second, 3*time.Second), "named before")
+	require.True(t, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 1*time.Second, 2*time.Second).RateLimitSet)
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 2}, 1*time.Second, 3*time.Second), "named before")
 	for _, begun := range []time.Duration{0, time.Second, 3 * time.Second} {
 		require.Equal(t, News{}, r.ApplySignals(s, Signals{}, begun, 4*time.Second), "asked at %v", begun)
-		require.Equal(t, 1, r.Limited())
+		require.Equal(t, 1, r.CountRateLimited())
 	}
-	require.Equal(t, News{Lifted: true}, r.ApplySignals(s, Signals{}, 3100*time.Millisecond, 4*time.Second))
-	require.Zero(t, r.Limited())
+	require.Equal(t, News{RateLimitRemoved: true}, r.ApplySignals(s, Signals{}, 3100*time.Millisecond, 4*time.Second))
+	require.Zero(t, r.CountRateLimited())
 }
 
 // Guards against a limit that outlives the server that named it.
 func TestNewLifeKnowsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	r.ApplySignals(s, Signals{Limited: true, Limit: 3}, 0, time.Second)
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
 	again := s
 	again.StartTime = 2
 	r.Put(again, 2*time.Second)
-	require.Zero(t, r.Limited())
-	require.Equal(t, News{}, r.ApplySignals(s, Signals{Limited: true}, 0, 3*time.Second), "an answer of the life before")
-	require.Zero(t, r.Limited())
+	require.Zero(t, r.CountRateLimited())
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true}, 0, 3*time.Second), "an answer of the life before")
+	require.Zero(t, r.CountRateLimited())
 }
 
 // Guards against a line for each answer of a server whose headers mean nothing, and against
 // such an answer lifting a limit.
 func TestUnreadableAdviceIsToldOnceALife(t *testing.T) {
 	r, s := limitedRegistry()
-	r.ApplySignals(s, Signals{Limited: true, Limit: 3}, 0, time.Second)
-	spoilt := Signals{LimitUnreadable: true, Unreadable: []string{"a header"}}
-	require.Equal(t, News{Unreadable: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
+	spoilt := Signals{RateLimitInvalid: true, InvalidHeaders: []string{"a header"}}
+	require.Equal(t, News{FirstInvalid: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
-	require.Equal(t, 1, r.Limited())
-	other := Signals{Unreadable: []string{"another header"}}
-	require.Equal(t, News{Lifted: true}, r.ApplySignals(s, other, 6*time.Second, 7*time.Second), "it names no limit")
+	require.Equal(t, 1, r.CountRateLimited())
+	other := Signals{InvalidHeaders: []string{"another header"}}
+	require.Equal(t, News{RateLimitRemoved: true}, r.ApplySignals(s, other, 6*time.Second, 7*time.Second), "it names no limit")
 }
 
 // Guards against gateways that disagree for ever on a limit because they hear of it in another
@@ -80,7 +80,7 @@
 			i := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				newest = Signals{Limited: true, Limit: float64(rapid.IntRange(0, 1).Draw(t, "limit"))}
+				newest = Signals{HasRateLimit: true, RateLimit: float64(rapid.IntRange(0, 1).Draw(t, "limit"))}
 				regs[i].ApplySignals(s, newest, now, now)
 			case 1:
 				newest = Signals{}
@@ -99,7 +99,7 @@
 			}
 		}
 		for i, r := range regs {
-			require.Equal(t, newest.Limited, r.Limited() == 1, "gateway %d", i)
+			require.Equal(t, newest.HasRateLimit, r.CountRateLimited() == 1, "gateway %d", i)
 		}
 	})
 }
@@ -107,16 +107,16 @@
 // Guards against what a peer tells that cannot be meant being taken over.
 func TestSpoiltWordsOfPeersChangeNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	for _, l := range []ToldLimit{
-		{Named: true, PerSecond: 3}, {Known: true, Named: true, PerSecond: -1}, {Known: true, Named: true, PerSecond: math.NaN()},
-		{Known: true, Named: true, PerSecond: math.Inf(1)}, {Known: true, Named: true, PerSecond: 3, Age: -time.Second},
+	for _, l := range []RateLimitReport{
+		{Limited: true, PerSecond: 3}, {Known: true, Limited: true, PerSecond: -1}, {Known: true, Limited: true, PerSecond: math.NaN()},
+		{Known: true, Limited: true, PerSecond: math.Inf(1)}, {Known: true, Limited: true, PerSecond: 3, Age: -time.Second},
 	} {
-		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {Limit: l, StartTime: s.StartTime}}, time.Minute))
-		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {Limit: ToldLimit{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
-		require.Zero(t, r.Limited())
+		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: l, StartTime: s.StartTime}}, time.Minute))
+		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Limited: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
+		require.Zero(t, r.CountRateLimited())
 	}
-	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
-	require.Equal(t, 1, r.Limited())
+	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Limited: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
+	require.Equal(t, 1, r.CountRateLimited())
 }
 
 // mostInWindow is the most of some times within any span.
@@ -140,7 +140,7 @@
 			c := newCrowd(gateways)
 			s := coldServer(0, "z0", cold)
 			c.put(0, s)
-			c.regs[0].ApplySignals(s, Signals{Limited: true, Limit: named}, 0, 500*time.Millisecond)
+			c.regs[0].ApplySignals(s, Signals{HasRateLimit: true, RateLimit: named}, 0, 500*time.Millisecond)
 			for i, r := range c.regs[1:] {
 				r.SetRemoteStatuses("vm-0", c.regs[i].Statuses(600*time.Millisecond), 600*time.Millisecond)
 			}
@@ -157,10 +157,10 @@
 // that cannot wait.
 func TestLimitedServerGetsNoCopies(t *testing.T) {
 	r, s := limitedRegistry()
-	q := Query{Service: svc, Copy: true}
+	q := Query{Service: svc, ForCopy: true}
 	lease := r.Acquire(q, time.Second)
 	require.NotNil(t, lease)
-	r.ApplySignals(s, Signals{Limited: true, Limit: 5}, 0, time.Second)
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 5}, 0, time.Second)
 	require.Nil(t, r.Acquire(q, 2*time.Second))
 	require.True(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "a copy of before")
 	require.False(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "and no second one at once")
@@ -174,7 +174,7 @@
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second), "once")
 	r.Put(s, 2*time.Second)
 	require.Zero(t, r.Ready(svc))
-	r.Reset(nil, 10*time.Second, 12*time.Second)
+	r.ReplaceAll(nil, 10*time.Second, 12*time.Second)
 	r.Put(s, 13*time.Second)
 	require.Zero(t, r.Ready(svc))
 	again := s
@@ -200,19 +200,19 @@
 // request, and against the rest of a life that is over.
 func TestLongestRestCounts(t *testing.T) {
 	r, s := limitedRegistry()
-	require.Equal(t, News{Rests: true}, r.ApplySignals(s, Signals{Rest: 3 * time.Second}, 0, time.Second))
-	require.Equal(t, News{}, r.ApplySignals(s, Signals{Rest: time.Second}, 0, 2*time.Second))
+	require.Equal(t, News{BackoffStarted: true}, r.ApplySignals(s, Signals{Backoff: 3 * time.Second}, 0, time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{Backoff: time.Second}, 0, 2*time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{}, 500*time.Millisecond, 3*time.Second), "an answer to an earlier request")
 	require.Nil(t, r.Acquire(Query{Service: svc}, 3900*time.Millisecond))
-	require.Nil(t, r.Acquire(Query{Service: svc, Copy: true}, 3900*time.Millisecond))
+	require.Nil(t, r.Acquire(Query{Service: svc, ForCopy: true}, 3900*time.Millisecond))
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
-	lease.Done(Good, 4*time.Second)
-	r.ApplySignals(s, Signals{Rest: MostRest}, 0, 5*time.Second)
+	lease.Release(ResultOK, 4*time.Second)
+	r.ApplySignals(s, Signals{Backoff: MaxBackoff}, 0, 5*time.Second)
 	again := s
 	again.StartTime = 2
 	r.Put(again, 6*time.Second)
-	require.Zero(t, r.Resting(6*time.Second))
+	require.Zero(t, r.CountBackingOff(6*time.Second))
 }
 
 // Guards against each of many gateways finding out by a request of its own that a server rests,
@@ -228,17 +228,17 @@
 			if lease.Server.ID == "a" {
 				n++
 			}
-			lease.Done(Unjudged, time.Second)
+			lease.Release(ResultInconclusive, time.Second)
 		}
 		return n
 	}
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {BackingOff: true}}, time.Second)
 	require.Greater(t, picked(), 20, "one alone")
-	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {Resting: true}}, time.Second)
+	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {BackingOff: true}}, time.Second)
 	require.Zero(t, picked())
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, time.Second)
 	require.NotNil(t, lease, "it wants nothing of the others only")
-	lease.Done(Unjudged, time.Second)
+	lease.Release(ResultInconclusive, time.Second)
 	r.SetRemoteStatuses("vm-3", nil, time.Second)
 	require.Greater(t, picked(), 20)
 }
@@ -249,12 +249,12 @@
 	r, s := limitedRegistry()
 	news := 0
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
-		for _, a := range []Signals{{Limited: true, Limit: 5}, {}} {
+		for _, a := range []Signals{{HasRateLimit: true, RateLimit: 5}, {}} {
 			n := r.ApplySignals(s, a, now+time.Millisecond, now)
-			if n.Limited || n.Lifted {
+			if n.RateLimitSet || n.RateLimitRemoved {
 				news++
 			}
-			require.Equal(t, a.Limited, r.Limited() == 1, "what is believed follows each answer")
+			require.Equal(t, a.HasRateLimit, r.CountRateLimited() == 1, "what is believed follows each answer")
 		}
 	}
 	require.LessOrEqual(t, news, 8, "twice in half a second")
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -59,14 +59,14 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for now := from; now < to; now += 10 * time.Millisecond {
 		for _, r := range c.regs {
-			q := Query{Service: svc, Draw: rng.Uint64(), Clock: pacing.SharedTime{Now: now, Known: true}, Spill: true}
+			q := Query{Service: svc, Draw: rng.Uint64(), SharedTime: pacing.SharedTime{Now: now, Known: true}, Spill: true}
 			lease := r.Acquire(q, now)
 			if lease == nil {
 				continue
 			}
 			served++
 			c.got[lease.Server.ID] = append(c.got[lease.Server.ID], now)
-			lease.Done(Good, now)
+			lease.Release(ResultOK, now)
 		}
 	}
 	return served
@@ -137,7 +137,7 @@
 	c.ask(5*time.Second, 6*time.Second)
 	require.LessOrEqual(t, most(c.got["s-z0-0"], 5*time.Second, 6*time.Second), int(coldMost))
 	for _, r := range c.regs {
-		r.ApplySignals(coldServer(0, "z0", 0), Signals{SaysCold: true, ColdFor: coldTime}, 0, 8*time.Second)
+		r.ApplySignals(coldServer(0, "z0", 0), Signals{HasColdFor: true, ColdFor: coldTime}, 0, 8*time.Second)
 	}
 	c.ask(8*time.Second, 9*time.Second)
 	require.LessOrEqual(t, most(c.got["s-z0-0"], 8*time.Second, 9*time.Second), int(coldMost), "by its own report")
@@ -182,7 +182,7 @@
 		if lease == nil {
 			return ""
 		}
-		lease.Done(Unjudged, 0)
+		lease.Release(ResultInconclusive, 0)
 		return lease.Server.FailureDomain
 	}
 	for range 20 {
@@ -192,11 +192,11 @@
 	require.Empty(t, picked(routing.Regions{}))
 	require.Empty(t, picked(routing.Regions{"east"}))
 	require.NotEmpty(t, picked(nil))
-	ready, cordoned := r.Standing(svc, routing.Regions{"south"})
+	ready, cordoned := r.CountReadyWithin(svc, routing.Regions{"south"})
 	require.Equal(t, []int{1, 0}, []int{ready, cordoned})
 	r.SetCordoned([]string{"z1"}, 0)
 	require.Empty(t, picked(routing.Regions{"south"}))
-	ready, cordoned = r.Standing(svc, routing.Regions{"south"})
+	ready, cordoned = r.CountReadyWithin(svc, routing.Regions{"south"})
 	require.Equal(t, []int{0, 1}, []int{ready, cordoned})
 	require.True(t, r.IsIneligible(coldServer(1, "z1", 0), nil))
 	require.True(t, r.IsIneligible(coldServer(0, "z0", 0), routing.Regions{"south"}))
@@ -216,8 +216,8 @@
 				now := time.Duration(0)
 				for b.Loop() {
 					now += time.Millisecond
-					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), Clock: pacing.SharedTime{Now: now, Known: true}}, now); l != nil {
-						l.Done(Good, now)
+					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), SharedTime: pacing.SharedTime{Now: now, Known: true}}, now); l != nil {
+						l.Release(ResultOK, now)
 					}
 				}
 			})
--- a/backends/load.go
+++ b/backends/load.go
@@ -5,24 +5,24 @@
 // Load is requests at a server.
 type Load struct {
 	Running int
-	// Tokens is the memory that they are expected to need.
-	Tokens int
-	// Prompt is the prompt tokens of those that have not begun to answer: what a
+	// ExpectedTokens is the memory that they are expected to need.
+	ExpectedTokens int
+	// PromptTokens is the prompt tokens of those that have not begun to answer: what a
 	// new request has to wait for.
-	Prompt int
-	// Copying is the tokens of memory that are being copied to the server: a further
+	PromptTokens int
+	// CopyTokens is the tokens of memory that are being copied to the server: a further
 	// copy waits on its link behind them.
-	Copying int
+	CopyTokens int
 	// StartTime is the life of the server that has the load, see Server.
 	StartTime int64
 }
 
 func (l Load) plus(o Load) Load {
-	return Load{Running: l.Running + o.Running, Tokens: l.Tokens + o.Tokens, Prompt: l.Prompt + o.Prompt, Copying: l.Copying + o.Copying}
+	return Load{Running: l.Running + o.Running, ExpectedTokens: l.ExpectedTokens + o.ExpectedTokens, PromptTokens: l.PromptTokens + o.PromptTokens, CopyTokens: l.CopyTokens + o.CopyTokens}
 }
 
 func (l Load) minus(o Load) Load {
-	return Load{Running: l.Running - o.Running, Tokens: l.Tokens - o.Tokens, Prompt: l.Prompt - o.Prompt, Copying: l.Copying - o.Copying}
+	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, PromptTokens: l.PromptTokens - o.PromptTokens, CopyTokens: l.CopyTokens - o.CopyTokens}
 }
 
 // load is what is known of a server's load, here and at other processes.
@@ -64,8 +64,8 @@
 	return out
 }
 
-// SetRemote replaces what another process has told of its load; nil forgets it.
-func (r *Registry) SetRemote(process string, loads map[string]Load) {
+// SetRemoteLoads replaces what another process has told of its load; nil forgets it.
+func (r *Registry) SetRemoteLoads(process string, loads map[string]Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.addTold(r.remote[process], Load.minus)
@@ -101,13 +101,13 @@
 // ServerStatus is what is wrong with a server: requests that it has lost in a row, its end, what it says
 // of itself.
 type ServerStatus struct {
-	InARow int
-	// Ended says that it listens no more, Leaving that it has said itself that it will end.
-	Ended, Leaving bool
-	// Resting says that it has asked the process for rest.
-	Resting bool
-	// Limit is what is known of its limit.
-	Limit ToldLimit
+	ConsecutiveLosses int
+	// Down says that it listens no more, Leaving that it has said itself that it will end.
+	Down, Leaving bool
+	// BackingOff says that it has asked the process for rest.
+	BackingOff bool
+	// RateLimit is what is known of its limit.
+	RateLimit RateLimitReport
 	// StartTime is the life of the server that lost them, see Server.
 	StartTime int64
 }
@@ -119,19 +119,19 @@
 	defer r.mu.Unlock()
 	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := ServerStatus{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
-		if l.InARow > 0 || l.Ended || l.Leaving || l.Resting || l.Limit.Known {
+		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, BackingOff: now < s.restUntil, RateLimit: s.limit.told(now), StartTime: s.StartTime}
+		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.BackingOff || l.RateLimit.Known {
 			out[id] = l
 		}
 	}
 	return out
 }
 
-// Told is news that another process has told of a server.
-type Told struct {
+// StatusChange is news that another process has told of a server.
+type StatusChange struct {
 	Server
-	// Limit reports that it is of its limit.
-	Limit bool
+	// RateLimitChanged reports that it is of its limit.
+	RateLimitChanged bool
 }
 
 // SetRemoteStatuses replaces what another process has told of what is wrong with servers; nil forgets
@@ -140,7 +140,7 @@
 //
 // While the directory is away only those that run something on a server ask whether it is
 // leaving; the others would go on sending runs and copies there.
-func (r *Registry) SetRemoteStatuses(process string, losses map[string]ServerStatus, now time.Duration) (news []Told) {
+func (r *Registry) SetRemoteStatuses(process string, losses map[string]ServerStatus, now time.Duration) (news []StatusChange) {
 	r.mu.Lock()
 	if len(losses) == 0 {
 		delete(r.losses, process)
@@ -157,8 +157,8 @@
 		if l.Leaving {
 			left = s.report(left, NoticeTold)
 		}
-		if limitNews := s.limit.hear(l.Limit, now); limitNews || leavingNews {
-			news = append(news, Told{Server: s.Server, Limit: limitNews})
+		if limitNews := s.limit.hear(l.RateLimit, now); limitNews || leavingNews {
+			news = append(news, StatusChange{Server: s.Server, RateLimitChanged: limitNews})
 		}
 	}
 	r.mu.Unlock()
@@ -178,7 +178,7 @@
 	sum := own
 	for _, losses := range r.losses {
 		if l := losses[s.ID]; l.StartTime == s.StartTime {
-			sum += min(believedLosses, l.InARow)
+			sum += min(believedLosses, l.ConsecutiveLosses)
 		}
 	}
 	if own < ownLosses && sum < tooManyLosses {
@@ -196,7 +196,7 @@
 		return true
 	}
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Ended && l.StartTime == s.StartTime {
+		if l := losses[s.ID]; l.Down && l.StartTime == s.StartTime {
 			return true
 		}
 	}
@@ -223,9 +223,9 @@
 	return true
 }
 
-// Movers counts, by process, the requests at servers of a failure domain that are
+// CountRequestsAtLeaving counts, by process, the requests at servers of a failure domain that are
 // leaving. Those of this process have the name self.
-func (r *Registry) Movers(self, domain string) map[string]int {
+func (r *Registry) CountRequestsAtLeaving(self, domain string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]int)
--- a/backends/pace.go
+++ b/backends/pace.go
@@ -11,7 +11,7 @@
 // share is this process's part of what servers with a bound take, among those that send to a
 // service of so many servers; mu is held.
 func (r *Registry) share(servers int) *pacing.Share {
-	if cells.Divided(servers, r.count) {
+	if cells.IsDivided(servers, r.count) {
 		return r.inCell
 	}
 	return r.inAll
@@ -20,7 +20,7 @@
 // inOwnCell reports whether a server of a service of so many is one that this process's cell
 // sends to; mu is held.
 func (r *Registry) inOwnCell(s *server, servers int) bool {
-	return !cells.Divided(servers, r.count) || cells.Of(s.hash, r.count) == r.cell
+	return !cells.IsDivided(servers, r.count) || cells.IndexOf(s.hash, r.count) == r.cell
 }
 
 // bound is what a server takes of all processes now; mu is held.
@@ -60,25 +60,27 @@
 	return true
 }
 
-// Pace is at what rate the servers of a service take requests of this process.
-type Pace struct {
-	// Open reports that there is a server that takes any number.
-	Open bool
-	// Bounded reports that there is one that takes a bounded rate: PerSecond is what all of
+// Availability is at what rate the servers of a service take requests of this process.
+type Availability struct {
+	// HasUnlimited reports that there is a server that takes any number.
+	HasUnlimited bool
+	// HasRateLimited reports that there is one that takes a bounded rate: PerSecond is what all of
 	// them take of this process, Next how long it is at the least until one takes a request.
-	Bounded   bool
-	PerSecond float64
-	Next      time.Duration
-	// Resting reports that there is one that takes any number once it has rested for Rest.
-	Resting bool
-	Rest    time.Duration
+	HasRateLimited bool
+	PerSecond      float64
+	RateWait       time.Duration
+	// HasBackingOff reports that there is one that takes any number once it has rested for Rest.
+	HasBackingOff bool
+	BackoffWait   time.Duration
 }
 
-// Later reports whether servers take requests later only.
-func (p Pace) Later() bool { return !p.Open && (p.Bounded || p.Resting) }
+// MustWait reports whether servers take requests later only.
+func (p Availability) MustWait() bool {
+	return !p.HasUnlimited && (p.HasRateLimited || p.HasBackingOff)
+}
 
-// Pace tells at what rate servers of a service take requests that must stay in some regions.
-func (r *Registry) Pace(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Pace) {
+// Availability tells at what rate servers of a service take requests that must stay in some regions.
+func (r *Registry) Availability(service string, within routing.Regions, at pacing.SharedTime, now time.Duration) (p Availability) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	traits, list := r.traits(service), r.listed(service)
@@ -89,7 +91,7 @@
 		l, rest := s.bound(traits, now), max(0, s.restUntil-now)
 		switch {
 		case l.Rate <= 0 && rest == 0:
-			p.Open = true
+			p.HasUnlimited = true
 		case l.Rate <= 0:
 			p.rests(rest)
 		case r.inOwnCell(s, len(list)):
@@ -100,17 +102,17 @@
 	return p
 }
 
-func (p *Pace) rests(rest time.Duration) {
-	if !p.Resting || rest < p.Rest {
-		p.Rest = rest
+func (p *Availability) rests(rest time.Duration) {
+	if !p.HasBackingOff || rest < p.BackoffWait {
+		p.BackoffWait = rest
 	}
-	p.Resting = true
+	p.HasBackingOff = true
 }
 
-func (p *Pace) bounds(perSecond float64, next time.Duration) {
-	if !p.Bounded || next < p.Next {
-		p.Next = next
+func (p *Availability) bounds(perSecond float64, next time.Duration) {
+	if !p.HasRateLimited || next < p.RateWait {
+		p.RateWait = next
 	}
-	p.Bounded = true
+	p.HasRateLimited = true
 	p.PerSecond += perSecond
 }
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	l := r.Acquire(Query{Service: svc}, now)
 	require.NotNil(t, l)
-	l.Done(Unjudged, now)
+	l.Release(ResultInconclusive, now)
 	return l.Server.ID
 }
 
@@ -36,7 +36,7 @@
 // late entry that still says "ready" does not bring it back.
 func TestLeavingIsToldOnce(t *testing.T) {
 	r, notices := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b"), entry("c")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b"), entry("c")}, 0, 0)
 	leaving := entry("a")
 	leaving.Leaving = true
 	r.Put(leaving, 0)
@@ -56,8 +56,8 @@
 // and gone after.
 func TestLapsedEntryHasAGrace(t *testing.T) {
 	r, notices := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.Reset([]Server{entry("a")}, 5*time.Second, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a")}, 5*time.Second, 0)
 	require.Equal(t, 2, r.Ready(svc))
 	for range 5 {
 		require.Equal(t, "a", r.pick(t, 0))
@@ -68,7 +68,7 @@
 	require.Equal(t, []told{{"b", NoticeVanished}}, *notices)
 	require.Equal(t, 1, r.Ready(svc))
 
-	r.Reset(nil, 5*time.Second, 10*time.Second)
+	r.ReplaceAll(nil, 5*time.Second, 10*time.Second)
 	r.Put(entry("a"), 11*time.Second)
 	r.Expire(20 * time.Second)
 	require.Equal(t, 1, r.Ready(svc))
@@ -78,17 +78,17 @@
 // tried again when the failures are old; else it would never come back.
 func TestFailingServerIsAvoidedForAWhile(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 5 {
 		l := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-		l.Done(Failed, 0)
+		l.Release(ResultFailed, 0)
 	}
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
 	}
 	now := 10 * healthHalfLife
 	busy := r.Acquire(Query{Service: svc, Tried: []string{"a"}}, now)
-	defer busy.Done(Good, now)
+	defer busy.Release(ResultOK, now)
 	require.Equal(t, "a", r.pick(t, now))
 }
 
@@ -96,10 +96,10 @@
 // the next goes elsewhere even if others are busier.
 func TestLostConnectionsWeighMore(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Done(Lost, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
+	r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(ResultLost, 0)
 	for range 3 {
-		defer r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0).Done(Good, 0)
+		defer r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0).Release(ResultOK, 0)
 	}
 	require.Equal(t, "b", r.pick(t, 0))
 }
@@ -107,30 +107,30 @@
 // Loads that other processes tell of count like the own, until they are forgotten.
 func TestRemoteLoadsCount(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.SetRemote("other", map[string]Load{"a": {Running: 3, Tokens: 9000, Prompt: 2000}})
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
+	r.SetRemoteLoads("other", map[string]Load{"a": {Running: 3, ExpectedTokens: 9000, PromptTokens: 2000}})
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
 	}
-	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}, MostPrompt: 1000}, 0))
-	r.SetRemote("other", nil)
-	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MostPrompt: 1000}, 0)
+	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0))
+	r.SetRemoteLoads("other", nil)
+	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0)
 	require.NotNil(t, l)
-	l.Done(Good, 0)
+	l.Release(ResultOK, 0)
 }
 
 // A lease counts until it is done, its prompt until the answer begins, and every
 // part of it once.
 func TestLeaseCountsOnce(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a")}, 0, 0)
-	l := r.Acquire(Query{Service: svc, Tokens: 5000, Prompt: 3000}, 0)
-	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 5000, Prompt: 3000}}, r.Loads())
-	l.Begun()
-	l.Begun()
-	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 5000}}, r.Loads())
-	l.Done(Good, 0)
-	l.Done(Good, 0)
+	r.ReplaceAll([]Server{entry("a")}, 0, 0)
+	l := r.Acquire(Query{Service: svc, ExpectedTokens: 5000, PromptTokens: 3000}, 0)
+	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000, PromptTokens: 3000}}, r.Loads())
+	l.FinishPrompt()
+	l.FinishPrompt()
+	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000}}, r.Loads())
+	l.Release(ResultOK, 0)
+	l.Release(ResultOK, 0)
 	require.Empty(t, r.Loads())
 }
 
@@ -144,10 +144,10 @@
 	for i := range 50 {
 		list = append(list, entry(string(rune('A'+i))))
 	}
-	r.Reset(list, 0, 0)
+	r.ReplaceAll(list, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Acquire(Query{Service: svc, Tokens: 4000, Prompt: 3000, Draw: 7}, 0).Done(Good, 0)
+		r.Acquire(Query{Service: svc, ExpectedTokens: 4000, PromptTokens: 3000, Draw: 7}, 0).Release(ResultOK, 0)
 	}
 }
 
@@ -157,16 +157,16 @@
 	r, _ := newRegistry()
 	far := entry("far")
 	far.FailureDomain = "zone-2"
-	r.Reset([]Server{entry("a"), entry("b"), far}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b"), far}, 0, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b", "far"}}, 0)
-	defer lease.Done(Unjudged, 0)
-	r.SetRemote("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
-	require.Empty(t, r.Movers("vm-1", "zone-1"))
+	defer lease.Release(ResultInconclusive, 0)
+	r.SetRemoteLoads("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
+	require.Empty(t, r.CountRequestsAtLeaving("vm-1", "zone-1"))
 	leaving := entry("a")
 	leaving.Leaving = true
 	r.Put(leaving, 0)
-	require.Equal(t, map[string]int{"vm-1": 1, "vm-2": 3}, r.Movers("vm-1", "zone-1"))
-	require.Empty(t, r.Movers("vm-1", "zone-2"))
+	require.Equal(t, map[string]int{"vm-1": 1, "vm-2": 3}, r.CountRequestsAtLeaving("vm-1", "zone-1"))
+	require.Empty(t, r.CountRequestsAtLeaving("vm-1", "zone-2"))
 }
 
 // A server resets its connections. What two processes have lost there counts here
@@ -174,20 +174,20 @@
 // may be cut off from a sound server. After a second it is tried again.
 func TestLostRequestsCountForAll(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 6 {
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {InARow: 9}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 9}}, 0)
 	require.Equal(t, "a", r.pick(t, 0), "one process alone is not believed")
-	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {InARow: 1}}, 0)
+	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, 0)
 	require.Equal(t, "b", r.pick(t, 0))
 	r.SetRemoteStatuses("vm-3", nil, 0)
 	require.Equal(t, "b", r.pick(t, lossesFor-1))
 	require.Equal(t, "a", r.pick(t, lossesFor))
 	l := r.Acquire(Query{Service: svc}, lossesFor)
-	l.Done(Lost, lossesFor)
-	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(lossesFor))
+	l.Release(ResultLost, lossesFor)
+	require.Equal(t, map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, r.Statuses(lossesFor))
 	require.Equal(t, "b", r.pick(t, lossesFor))
 	require.Empty(t, r.Statuses(2*lossesFor))
 }
@@ -197,13 +197,13 @@
 // any other once it has been sound for a while.
 func TestServerThatLosesAgainIsLeftForLonger(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 6 {
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
 	lose := func(now time.Duration) {
-		r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {InARow: 2}}, 0)
-		r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {InARow: 2}}, 0)
+		r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2}}, 0)
+		r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {ConsecutiveLosses: 2}}, 0)
 		require.Equal(t, "b", r.pick(t, now))
 		r.SetRemoteStatuses("vm-2", nil, 0)
 		r.SetRemoteStatuses("vm-3", nil, 0)
@@ -223,12 +223,12 @@
 // A process is cut off from its peers and finds out by itself: two lost in a row.
 func TestTwoOwnLossesAreEnough(t *testing.T) {
 	r, _ := newRegistry()
-	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
+	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 8 {
 		r.Acquire(Query{Service: svc, Tried: []string{"a"}}, 0)
 	}
 	for range 2 {
-		r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Done(Lost, 0)
+		r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0).Release(ResultLost, 0)
 	}
 	require.Equal(t, "b", r.pick(t, 0))
 	require.Equal(t, "a", r.pick(t, lossesFor+2*healthHalfLife))
@@ -240,11 +240,11 @@
 	r, _ := newRegistry()
 	r.Put(entry("a"), 0)
 	l := r.Acquire(Query{Service: svc}, 0)
-	l.Silent(0)
-	l.Done(Unjudged, 0)
-	l.Silent(0)
-	require.Equal(t, map[string]ServerStatus{"a": {InARow: 1}}, r.Statuses(0), "a lease that is over says nothing more")
-	r.Acquire(Query{Service: svc}, 0).Done(Good, 0)
+	l.MarkUnresponsive(0)
+	l.Release(ResultInconclusive, 0)
+	l.MarkUnresponsive(0)
+	require.Equal(t, map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, r.Statuses(0), "a lease that is over says nothing more")
+	r.Acquire(Query{Service: svc}, 0).Release(ResultOK, 0)
 	require.Empty(t, r.Statuses(0))
 }
 
@@ -261,21 +261,21 @@
 			if lease == nil {
 				break
 			}
-			lease.Done(Unjudged, now)
+			lease.Release(ResultInconclusive, now)
 			ids = append(ids, lease.Server.ID)
 		}
 		return ids
 	}
 	require.Len(t, picked(0), 2)
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Down: true, StartTime: 7}}, 0)
 	require.Equal(t, []string{"b"}, picked(0), "by what another gateway tells")
-	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Ended: true, StartTime: 6}}, 0)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {Down: true, StartTime: 6}}, 0)
 	require.Len(t, picked(0), 2, "an earlier life")
 	r.SetRemoteStatuses("vm-2", nil, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-	lease.Done(Ended, 0)
+	lease.Release(ResultDown, 0)
 	require.Equal(t, []string{"b"}, picked(lostFor-1))
-	require.Equal(t, map[string]ServerStatus{"a": {Ended: true, StartTime: 7}}, r.Statuses(lostFor-1))
+	require.Equal(t, map[string]ServerStatus{"a": {Down: true, StartTime: 7}}, r.Statuses(lostFor-1))
 	require.Len(t, picked(lostFor), 2, "asked again")
 	require.Empty(t, r.Statuses(lostFor))
 	require.True(t, r.MarkDown(ended, lostFor))
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -34,16 +34,16 @@
 	BytesPerToken int
 	// BufferBytes bounds the token text kept per generation.
 	BufferBytes int
-	// OrphanGrace is how long a generation runs on without a reader.
-	OrphanGrace time.Duration
-	// Retain is how long a finished generation can still be read.
-	Retain time.Duration
-	// EngineGrace is how long a lost engine is waited for.
-	EngineGrace time.Duration
-	// TickEvery is the period of scheduling decisions.
-	TickEvery time.Duration
-	Workers   int
-	Policy    sched.Config
+	// OrphanGracePeriod is how long a generation runs on without a reader.
+	OrphanGracePeriod time.Duration
+	// RetentionPeriod is how long a finished generation can still be read.
+	RetentionPeriod time.Duration
+	// EngineGracePeriod is how long a lost engine is waited for.
+	EngineGracePeriod time.Duration
+	// TickInterval is the period of scheduling decisions.
+	TickInterval time.Duration
+	Workers      int
+	Policy       sched.Config
 	// Services are the names of the plain services behind this agent.
 	Services []string
 }
@@ -172,7 +172,7 @@
 }
 
 func (a *Agent) tick() {
-	t := time.NewTicker(a.cfg.TickEvery)
+	t := time.NewTicker(a.cfg.TickInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -96,7 +96,7 @@
 	}
 	g := a.newGeneration(start)
 	decision := a.policy.Offer(a.now(), g.job)
-	if decision.Verdict == sched.Refuse {
+	if decision.Admission == sched.Refused {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, decision.RetryAfter, "queue of team %s is too long", g.job.Team)
 	}
 	a.enter(g)
@@ -211,10 +211,10 @@
 			g.idle, g.idleSince = true, now
 		}
 		closed := g.buf.Closed()
-		if closed && now-g.idleSince > a.cfg.Retain {
+		if closed && now-g.idleSince > a.cfg.RetentionPeriod {
 			delete(a.gens, id)
 		}
-		if !closed && now-g.idleSince > a.cfg.OrphanGrace {
+		if !closed && now-g.idleSince > a.cfg.OrphanGracePeriod {
 			orphans = append(orphans, g)
 		}
 	}
--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -58,7 +58,7 @@
 	}
 	ch := &routing.Change{Base: head.GetBase(), Version: head.GetVersion(), Keyed: a.GetKeyed(), DropTeams: a.GetDrop()}
 	for _, t := range a.GetSet() {
-		ch.SetTeams = append(ch.SetTeams, &routing.Team{Name: t.GetName(), Keys: t.GetKeys(), Priority: int(t.GetPriority()), Ranked: t.GetRanked(), Regions: t.GetRegions()})
+		ch.SetTeams = append(ch.SetTeams, &routing.Team{Name: t.GetName(), Keys: t.GetKeys(), Priority: int(t.GetPriority()), HasPriority: t.GetRanked(), Regions: t.GetRegions()})
 	}
 	return ch, nil
 }
@@ -135,7 +135,7 @@
 func accessOf(ch *routing.Change) *peerv1.Access {
 	a := &peerv1.Access{Drop: ch.DropTeams, Keyed: ch.Keyed}
 	for _, t := range ch.SetTeams {
-		a.Set = append(a.Set, &peerv1.Team{Name: t.Name, Keys: t.Keys, Priority: int32(t.Priority), Ranked: t.Ranked, Regions: t.Regions})
+		a.Set = append(a.Set, &peerv1.Team{Name: t.Name, Keys: t.Keys, Priority: int32(t.Priority), Ranked: t.HasPriority, Regions: t.Regions})
 	}
 	return a
 }
@@ -172,7 +172,7 @@
 func routeOf(r *routing.Route) *peerv1.Route {
 	out := &peerv1.Route{
 		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: uint32(r.Kind), Timeout: int64(r.Timeout), Target: int64(r.Target),
-		MaxPause: int64(r.MaxPause), Silence: int64(r.Silence), Servers: int32(r.Servers), Priority: int32(r.Priority),
+		MaxPause: int64(r.MaxPause), Silence: int64(r.EventTimeout), Servers: int32(r.Servers), Priority: int32(r.Priority),
 		Public: r.Public, Resumable: r.Resumable, Regions: r.Regions,
 	}
 	for _, w := range r.Split {
@@ -185,7 +185,7 @@
 	out := &routing.Route{
 		Name: r.GetName(), Host: r.GetHost(), Prefix: r.GetPrefix(), Kind: routing.Kind(r.GetKind()),
 		Timeout: time.Duration(r.GetTimeout()), Target: time.Duration(r.GetTarget()),
-		MaxPause: time.Duration(r.GetMaxPause()), Silence: time.Duration(r.GetSilence()),
+		MaxPause: time.Duration(r.GetMaxPause()), EventTimeout: time.Duration(r.GetSilence()),
 		Servers: int(r.GetServers()), Priority: int(r.GetPriority()), Public: r.GetPublic(), Resumable: r.GetResumable(), Regions: r.GetRegions(),
 	}
 	for _, w := range r.GetSplit() {
@@ -199,7 +199,7 @@
 	if e := s.Engine; e != nil {
 		out.Engine = &peerv1.Engine{
 			Slots: int64(e.Slots), MemoryTokens: int64(e.MemoryTokens), BytesPerToken: int64(e.BytesPerToken),
-			LinkMbps: e.LinkMbps, TokensPerEvent: int64(e.TokensPerEvent), Moves: e.Moves, Backups: e.Backups, CopyTtl: int64(e.CopyTTL),
+			LinkMbps: e.LinkMbps, TokensPerEvent: int64(e.TokensPerEvent), Moves: e.SupportsMigration, Backups: e.SupportsStandby, CopyTtl: int64(e.CopyTTL),
 		}
 	}
 	return out
@@ -210,7 +210,7 @@
 	if e := s.GetEngine(); e != nil {
 		out.Engine = &routing.Engine{
 			Slots: int(e.GetSlots()), MemoryTokens: int(e.GetMemoryTokens()), BytesPerToken: int(e.GetBytesPerToken()),
-			LinkMbps: e.GetLinkMbps(), TokensPerEvent: int(e.GetTokensPerEvent()), Moves: e.GetMoves(), Backups: e.GetBackups(),
+			LinkMbps: e.GetLinkMbps(), TokensPerEvent: int(e.GetTokensPerEvent()), SupportsMigration: e.GetMoves(), SupportsStandby: e.GetBackups(),
 			CopyTTL: time.Duration(e.GetCopyTtl()),
 		}
 	}
--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -18,8 +18,8 @@
 	agreePatience = 500 * time.Millisecond
 )
 
-// Agreed implements relay.Others.
-func (g *group) Agreed() bool { return g.agreed.Load() }
+// ConfigCurrent implements relay.Others.
+func (g *group) ConfigCurrent() bool { return g.agreed.Load() }
 
 // agree compares the configuration with the peers' before keys are trusted: a store that has
 // come back older shows a gateway that starts keys that were taken away.
@@ -27,7 +27,7 @@
 	begun := time.Now()
 	var known time.Time
 	for !g.agreed.Load() && wait.For(ctx, agreePoll) {
-		if g.config.replica.Version() == 0 || !g.followers[membersTable].Filled() && time.Since(begun) < tablesPatience {
+		if g.config.replica.Version() == 0 || !g.followers[membersTable].HasTable() && time.Since(begun) < tablesPatience {
 			continue
 		}
 		if known.IsZero() {
@@ -36,7 +36,7 @@
 		switch newer, heard := g.namedVersions(); {
 		case len(newer) > 0:
 			g.askConfig(ctx, newer)
-		case g.links.Known() == 1:
+		case g.links.KnownCount() == 1:
 			g.setAgreed("no peer is known")
 		case heard:
 			g.setAgreed("peers name no newer version")
@@ -66,7 +66,7 @@
 // reports whether any names one.
 func (g *group) namedVersions() (newer []string, heard bool) {
 	own := g.config.replica.Version()
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		heard = heard || s.GetConfigVersion() > 0
 		if s.GetConfigVersion() > own {
 			newer = append(newer, s.GetFrom().GetName())
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -54,27 +54,27 @@
 // table is the name of the table that holds the configuration.
 func (s *configSharing) table() string { return operator.Table }
 
-// Reads implements follow.Sharing.
-func (s *configSharing) Reads(reached bool) bool {
-	return sharing{s.group, operator.Table}.Reads(reached)
+// IsReader implements follow.Sharing.
+func (s *configSharing) IsReader(reached bool) bool {
+	return sharing{s.group, operator.Table}.IsReader(reached)
 }
 
-// Turn implements follow.Sharing.
-func (s *configSharing) Turn(without time.Duration) bool {
-	return sharing{s.group, operator.Table}.Turn(without)
+// MayCallStore implements follow.Sharing.
+func (s *configSharing) MayCallStore(without time.Duration) bool {
+	return sharing{s.group, operator.Table}.MayCallStore(without)
 }
 
 // Share implements follow.Sharing: of changes only their revision is announced.
-func (s *configSharing) Share(p follow.Shared) {
+func (s *configSharing) Share(p follow.SharedPage) {
 	if len(p.Rows) > 0 {
 		p.Since, p.Rows = p.Revision, nil
 	}
 	sharing{s.group, operator.Table}.Share(p)
 }
 
-// Reading implements follow.Sharing.
-func (s *configSharing) Reading() bool {
-	return slices.ContainsFunc(s.links.Live(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
+// IsPeerReading implements follow.Sharing.
+func (s *configSharing) IsPeerReading() bool {
+	return slices.ContainsFunc(s.links.LiveStates(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
 }
 
 // announced notes a peer that follows the store.
@@ -114,7 +114,7 @@
 	announcers := slices.Clone(s.announcers)
 	s.mu.Unlock()
 	live := make(map[string]bool)
-	for _, p := range s.links.Live() {
+	for _, p := range s.links.LiveStates() {
 		live[p.GetFrom().GetName()] = true
 	}
 	for _, name := range announcers {
@@ -197,7 +197,7 @@
 // answer implements peers.Deps.Answer.
 func (s *configSharing) answer(ask *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
 	// The position comes first: the version read behind it is complete up to there.
-	position, ok := s.followers[operator.Table].Last()
+	position, ok := s.followers[operator.Table].LastPosition()
 	if !ok {
 		return nil, nil, errNoTable
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -120,7 +120,7 @@
 		func(l *late) *upstream.Client {
 			return upstream.New(func(s backends.Server, a backends.Signals, begun time.Duration) {
 				if r := l.relay.Load(); r != nil {
-					r.Advised(s, a, begun)
+					r.HandleSignals(s, a, begun)
 				}
 			})
 		},
@@ -131,7 +131,7 @@
 			return backends.New(set.FailureDomain, traitsOf(rep, l), func(s backends.Server, n backends.LeaveReason) {
 				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(n)}).Info("server is leaving")
 				if r := l.relay.Load(); r != nil {
-					r.Noticed(s, n)
+					r.HandleLeaving(s, n)
 				}
 			})
 		},
@@ -140,9 +140,9 @@
 			return newGroup(self, st, reg, rep, set.LinkMbps, opts.MaxPeerLinks, costs, log)
 		},
 		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *late) *relay.Relay {
-			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Others: gr, Suspects: gr.suspects})
+			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Peers: gr, Quarantine: gr.suspects})
 			l.relay.Store(r)
-			held := r.Quarantined
+			held := r.CancelQuarantined
 			gr.suspects.held.Store(&held)
 			return r
 		},
@@ -151,7 +151,7 @@
 
 func relayConfig(set *settings.Settings) relay.Config {
 	return relay.Config{
-		RevokeBound: set.Bounds.Revoke, ApplyBound: set.Bounds.ApplyConfig,
+		RevokeTimeout: set.Bounds.Revoke, ApplyTimeout: set.Bounds.ApplyConfig,
 		RetryRatio: set.Bounds.RetryRatio, RetryExtra: set.Bounds.RetryExtra,
 	}
 }
@@ -215,12 +215,12 @@
 		_, confirmed := rep.Current()
 		return (clock.SinceBoot() - confirmed).Seconds()
 	})
-	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
-	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.Live())) })
+	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.KnownCount() - 1) })
+	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.LiveStates())) })
 	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
 	rec.RegisterGauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
-	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.Limited()) })
-	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.Resting(clock.SinceBoot())) })
+	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.CountRateLimited()) })
+	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.CountBackingOff(clock.SinceBoot())) })
 	rec.RegisterGauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLogLines()) })
 	if err := g.serveMetrics(set, rec); err != nil {
 		callers.Close()
@@ -241,7 +241,7 @@
 	g.wg.Go(func() { gateways.Run(ctx) })
 	g.wg.Go(func() { g.group.join(ctx) })
 	g.wg.Go(func() { g.group.agree(ctx) })
-	g.wg.Go(func() { g.relay.Scout(ctx, g.directory.Away) })
+	g.wg.Go(func() { g.relay.RunProber(ctx, g.directory.IsUnavailable) })
 	g.wg.Go(func() { g.tend(ctx) })
 	g.wg.Go(func() { g.group.logControl(ctx) })
 	g.wg.Go(func() { g.group.suspects.tend(ctx) })
@@ -251,10 +251,10 @@
 // follow copies a table, together with the peers.
 func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, shared follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
-		Name: table, Wait: wait, Gap: gap,
-		Called:   func(r follow.Reason) { g.group.costs.called(table, string(r)) },
-		Restored: func() { g.group.costs.restored(table) },
-		Keep:     g.group.answers[table] != nil,
+		Name: table, PollTimeout: wait, MinCallInterval: gap,
+		OnCall:     func(r follow.Reason) { g.group.costs.called(table, string(r)) },
+		OnRestored: func() { g.group.costs.restored(table) },
+		KeepRows:   g.group.answers[table] != nil,
 	}
 	f := follow.New(cfg, g.store.Table(table), sink, shared, clock.SinceBoot, g.log)
 	g.group.followers[table] = f
@@ -299,8 +299,8 @@
 // The table of gateways says under which requests servers end: one that does not know it
 // would send them on.
 func (g *Gateway) Ready() bool {
-	return !g.stopping.Load() && g.relay.Ready() && g.directory.Filled() &&
-		(g.group.followers[membersTable].Filled() || time.Since(g.started) > tablesPatience)
+	return !g.stopping.Load() && g.relay.Ready() && g.directory.HasTable() &&
+		(g.group.followers[membersTable].HasTable() || time.Since(g.started) > tablesPatience)
 }
 
 // tablesPatience is how long after its start a gateway waits for the table of gateways.
@@ -326,7 +326,7 @@
 	g.stopping.Store(true)
 	g.callers.Stop()
 	g.group.stop()
-	g.relay.EndAt(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
+	g.relay.SetShutdown(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
 	last := g.set.Load().Bounds.Shutdown - endMargin
 	for time.Since(begun) < last {
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -9,9 +9,9 @@
 	"kingcupplank.example/kingcup/platform/operator"
 )
 
-// Queued implements relay.Others. What others act on is told at once: that there is
+// ReportQueue implements relay.Others. What others act on is told at once: that there is
 // a queue, or that something more urgent waits there than before.
-func (g *group) Queued(service string, q flow.Contender) {
+func (g *group) ReportQueue(service string, q flow.Contender) {
 	q.Name = g.self.Name
 	g.mu.Lock()
 	was := g.queues[service]
@@ -22,7 +22,7 @@
 	}
 	g.mu.Unlock()
 	if q.Waiting > 0 && (was.Waiting == 0 || q.Rank < was.Rank) {
-		g.links.Nudge()
+		g.links.SendStateNow()
 	}
 }
 
@@ -42,8 +42,8 @@
 	return out
 }
 
-// Used implements relay.Others.
-func (g *group) Used(service string, top []flow.Usage) {
+// ReportUsage implements relay.Others.
+func (g *group) ReportUsage(service string, top []flow.Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.used[service] = usages{top, clock.SinceBoot()}
@@ -51,7 +51,7 @@
 
 // Usage implements relay.Others.
 func (g *group) Usage(service string) (out []flow.Usage) {
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		for _, u := range s.GetUsages() {
 			if u.GetService() == service {
 				out = append(out, flow.Usage{Team: u.GetTeam(), Amount: float64(u.GetAmount())})
@@ -76,10 +76,10 @@
 	return flow.NewTurns(self, g.contenders(service), rank, period)
 }
 
-// MoveTurns implements relay.Others.
-func (g *group) MoveTurns(domain string) *flow.Turns {
+// MigrationTurns implements relay.Others.
+func (g *group) MigrationTurns(domain string) *flow.Turns {
 	period, known := g.period()
-	movers := g.registry.Movers(g.self.Name, domain)
+	movers := g.registry.CountRequestsAtLeaving(g.self.Name, domain)
 	if !known || len(movers) < 2 {
 		return nil
 	}
@@ -109,7 +109,7 @@
 
 // contenders lists the peers that have requests waiting for a service.
 func (g *group) contenders(service string) (out []flow.Contender) {
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		for _, q := range s.GetQueues() {
 			if q.GetService() == service {
 				out = append(out, flow.Contender{Name: s.GetFrom().GetName(), Waiting: int(q.GetWaiting()), Rank: int(q.GetRank()), WaitingAtRank: int(q.GetFirst())})
--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -125,17 +125,17 @@
 	r.count(team, burn.FirstToken, d <= firstByteTarget)
 }
 
-// Ended implements relay.Observer.
-func (r *Recorder) Ended(service string) { r.ended.WithLabelValues(service).Inc() }
+// ServerCrashed implements relay.Observer.
+func (r *Recorder) ServerCrashed(service string) { r.ended.WithLabelValues(service).Inc() }
 
-// Pause implements relay.Observer.
-func (r *Recorder) Pause(team string, d time.Duration) {
+// EventPause implements relay.Observer.
+func (r *Recorder) EventPause(team string, d time.Duration) {
 	r.pause.Observe(d.Seconds())
 	r.count(team, burn.StallTime, d <= stallAfter)
 }
 
-// Attempt implements relay.Observer.
-func (r *Recorder) Attempt(service, result string) {
+// AttemptFailed implements relay.Observer.
+func (r *Recorder) AttemptFailed(service, result string) {
 	r.attempts.WithLabelValues(service, result).Inc()
 }
 
@@ -162,8 +162,8 @@
 	r.control.WithLabelValues(cause).Add(float64(bytes))
 }
 
-// Moved implements relay.Observer.
-func (r *Recorder) Moved(result string) { r.moves.WithLabelValues(result).Inc() }
+// Migrated implements relay.Observer.
+func (r *Recorder) Migrated(result string) { r.moves.WithLabelValues(result).Inc() }
 
 func (r *Recorder) count(team string, o burn.Objective, good bool) {
 	r.mu.Lock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -73,17 +73,17 @@
 	Receiver Receiver
 	// Answer says what a peer that is behind gets: a head, and the parts that follow it.
 	Answer func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error)
-	// Greet is what a peer is told of suspects when a link to it is up, nil for nothing.
-	Greet func() *peerv1.Suspects
-	// MostLinks bounds the peers of its own cell that this gateway tells.
-	MostLinks int
-	// Placed is told where this gateway stands among the others; it may be nil.
-	Placed func(cells.Place)
-	// Forgotten is told of members that have not been reached for long.
-	Forgotten func(Member)
-	// Sent is told of the bytes that go to a peer, by cause; it may be nil.
-	Sent func(Cause, int)
-	Log  logrus.FieldLogger
+	// InitialSuspects is what a peer is told of suspects when a link to it is up, nil for nothing.
+	InitialSuspects func() *peerv1.Suspects
+	// MaxLinks bounds the peers of its own cell that this gateway tells.
+	MaxLinks int
+	// OnPlaced is told where this gateway stands among the others; it may be nil.
+	OnPlaced func(cells.Place)
+	// OnForgotten is told of members that have not been reached for long.
+	OnForgotten func(Member)
+	// OnSent is told of the bytes that go to a peer, by cause; it may be nil.
+	OnSent func(Cause, int)
+	Log    logrus.FieldLogger
 }
 
 // Cause is what bytes between gateways are for.
@@ -99,8 +99,8 @@
 )
 
 func (m *Manager) sent(c Cause, bytes int) {
-	if m.Sent != nil {
-		m.Sent(c, bytes)
+	if m.OnSent != nil {
+		m.OnSent(c, bytes)
 	}
 }
 
@@ -168,8 +168,8 @@
 	m.wg.Wait()
 }
 
-// Learn adds members; the ones known stay, at their new address.
-func (m *Manager) Learn(list []Member) {
+// AddMembers adds members; the ones known stay, at their new address.
+func (m *Manager) AddMembers(list []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ctx == nil || m.ctx.Err() != nil {
@@ -183,8 +183,8 @@
 	m.relink()
 }
 
-// Gone removes members that have ended.
-func (m *Manager) Gone(names []string) {
+// RemoveMembers removes members that have ended.
+func (m *Manager) RemoveMembers(names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, name := range names {
@@ -237,25 +237,25 @@
 	for _, n := range m.book {
 		all = append(all, subset.Item{Name: n.Name, FailureDomain: n.FailureDomain})
 	}
-	links, place := cells.Links(subset.Item{Name: m.self.Name, FailureDomain: m.self.FailureDomain}, all, m.MostLinks)
+	links, place := cells.Links(subset.Item{Name: m.self.Name, FailureDomain: m.self.FailureDomain}, all, m.MaxLinks)
 	for _, it := range links {
 		out = append(out, m.book[it.Name])
 	}
-	if m.Placed != nil {
-		m.Placed(place)
+	if m.OnPlaced != nil {
+		m.OnPlaced(place)
 	}
 	return out
 }
 
-// Known counts the gateways that this one has heard of, itself included.
-func (m *Manager) Known() int {
+// KnownCount counts the gateways that this one has heard of, itself included.
+func (m *Manager) KnownCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.book) + 1
 }
 
-// Links counts the gateways that this one tells.
-func (m *Manager) Links() int {
+// LinkCount counts the gateways that this one tells.
+func (m *Manager) LinkCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.members)
@@ -263,7 +263,7 @@
 
 // StatesPerSecond is how many states this gateway sends in a second, to all peers together.
 func (m *Manager) StatesPerSecond() float64 {
-	links := max(1, m.Links())
+	links := max(1, m.LinkCount())
 	return float64(links) / period(links).Seconds()
 }
 
@@ -286,8 +286,8 @@
 	return out
 }
 
-// Live lists the peers whose state is believed, by name.
-func (m *Manager) Live() []*peerv1.State {
+// LiveStates lists the peers whose state is believed, by name.
+func (m *Manager) LiveStates() []*peerv1.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []*peerv1.State
@@ -302,8 +302,8 @@
 	return out
 }
 
-// Nudge sends the state at once, for a change that others act on.
-func (m *Manager) Nudge() {
+// SendStateNow sends the state at once, for a change that others act on.
+func (m *Manager) SendStateNow() {
 	m.state.outdate()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -315,8 +315,8 @@
 	}
 }
 
-// Spread sends a page to all peers. A link whose queue is full misses it.
-func (m *Manager) Spread(p *peerv1.Page) {
+// BroadcastPage sends a page to all peers. A link whose queue is full misses it.
+func (m *Manager) BroadcastPage(p *peerv1.Page) {
 	frame, err := mux.Frame(&peerv1.Frame{Kind: &peerv1.Frame_Page{Page: p}})
 	if err != nil {
 		m.Log.WithError(err).WithField("table", p.GetTable()).Warn("page cannot be sent, peers read it from the store")
@@ -325,8 +325,8 @@
 	m.spread(outgoing{frame, CausePage})
 }
 
-// Tell tells all peers of suspects. A link whose queue is full misses it.
-func (m *Manager) Tell(s *peerv1.Suspects) {
+// BroadcastSuspects tells all peers of suspects. A link whose queue is full misses it.
+func (m *Manager) BroadcastSuspects(s *peerv1.Suspects) {
 	frame, err := suspectsFrame(s)
 	if err != nil {
 		m.Log.WithError(err).Warn("suspects cannot be sent, peers read of verdicts in the store")
@@ -367,7 +367,7 @@
 	m.mu.Unlock()
 	if news {
 		// A gateway that has just started is known here by its first word.
-		m.Learn([]Member{{Name: name, Address: from.GetAddress(), FailureDomain: from.GetFailureDomain()}})
+		m.AddMembers([]Member{{Name: name, Address: from.GetAddress(), FailureDomain: from.GetFailureDomain()}})
 	}
 	m.Receiver.State(name, s)
 }
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -77,7 +77,7 @@
 	j.broken, j.trial = true, false
 	id := j.id()
 	over := r.inquire(s, broken{id: id, attempt: j.ID, events: j.progress.events, try: j.sent})
-	if !r.Suspects.Near(id) {
+	if !r.Quarantine.NearThreshold(id) {
 		return
 	}
 	t := time.NewTimer(endPatience)
@@ -133,7 +133,7 @@
 // too.
 func (r *Relay) conclude(q *inquest) {
 	if r.Registry.MarkDown(q.server, r.Now()) {
-		r.Others.Nudge()
+		r.Peers.Notify()
 	}
 	time.AfterFunc(gatherTime, func() {
 		r.endedUnder(q)
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), endLookTimeout)
 	defer cancel()
-	return r.Upstream.Gone(ctx, s)
+	return r.Upstream.IsDown(ctx, s)
 }
 
 // endedUnder judges the requests of an inquest whose server has ended.
@@ -170,7 +170,7 @@
 		return
 	}
 	if first {
-		r.Observer.Ended(q.server.Service)
+		r.Observer.ServerCrashed(q.server.Service)
 	}
 	r.Log.WithFields(logrus.Fields{
 		"server": q.server.ID, "born": q.server.StartTime, "service": q.server.Service, "requests": len(ran), "ran": named(ran),
@@ -179,7 +179,7 @@
 	for _, b := range ran {
 		ids = append(ids, b.id)
 	}
-	r.Suspects.Ended(q.server, ids)
+	r.Quarantine.Crashed(q.server, ids)
 }
 
 // named says which requests ran on a server.
@@ -193,10 +193,10 @@
 // errHeld is why a request on its way is cut that must not be sent to servers any more.
 var errHeld = errors.New("servers end under the request")
 
-// Quarantined is told of a request that must not be sent to servers from now on. Attempts
+// CancelQuarantined is told of a request that must not be sent to servers from now on. Attempts
 // that no server has begun to answer are given up at once: they would end the servers that
 // they are at. One that is being answered shows by its end whether the verdict is right.
-func (r *Relay) Quarantined(id quarantine.ID) {
+func (r *Relay) CancelQuarantined(id quarantine.ID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for j := range r.jobs {
@@ -209,10 +209,10 @@
 // convicted reports whether a request is held. Where nothing is known of any, its content
 // is not looked at.
 func (r *Relay) convicted(j *job) (left time.Duration, held bool) {
-	if !r.Suspects.Any() {
+	if !r.Quarantine.HasRecords() {
 		return 0, false
 	}
-	return r.Suspects.Held(j.id())
+	return r.Quarantine.Quarantined(j.id())
 }
 
 // barred reports whether a request is held and is not to be tried either. A trial begins
@@ -220,7 +220,7 @@
 // has shown nothing.
 func (r *Relay) barred(j *job) (left time.Duration, barred bool) {
 	left, held := r.convicted(j)
-	return left, held && !(j.sent == 0 && r.Suspects.Due(j.id()))
+	return left, held && !(j.sent == 0 && r.Quarantine.TrialDue(j.id()))
 }
 
 // held reports whether a request must not be sent to a server next; only its own goroutine
@@ -230,7 +230,7 @@
 		return 0, false
 	}
 	left, held = r.convicted(j)
-	if held && j.sent == 0 && r.Suspects.Try(j.id()) {
+	if held && j.sent == 0 && r.Quarantine.StartTrial(j.id()) {
 		j.trial = true
 		return 0, false
 	}
@@ -241,16 +241,16 @@
 // servers do not end under it. An answer that was put together from several servers says
 // nothing of the kind, as those before the last may have ended.
 func (r *Relay) answered(j *job) {
-	if r.Suspects.Any() && !j.broken && j.After == "" {
-		r.Suspects.Answered(j.id())
+	if r.Quarantine.HasRecords() && !j.broken && j.LastEventID == "" {
+		r.Quarantine.Answered(j.id())
 	}
 }
 
 // refuseHeld is the refusal of a request under which servers end. One that has not run is
 // told to come back when its verdict ends, and so not before.
 func (j *job) refuseHeld(left time.Duration) *Refusal {
-	f := &Refusal{Reason: ReasonHarmful, Run: j.ran > 0, Content: j.id().String()}
-	if !f.Run {
+	f := &Refusal{Reason: ReasonHarmful, MayHaveRun: j.ran > 0, Content: j.id().String()}
+	if !f.MayHaveRun {
 		f.RetryAfter = left
 	}
 	return f
@@ -259,10 +259,10 @@
 // noSuspects knows of none.
 type noSuspects struct{}
 
-func (noSuspects) Any() bool                                { return false }
-func (noSuspects) Held(quarantine.ID) (time.Duration, bool) { return 0, false }
-func (noSuspects) Due(quarantine.ID) bool                   { return false }
-func (noSuspects) Try(quarantine.ID) bool                   { return false }
-func (noSuspects) Near(quarantine.ID) bool                  { return false }
-func (noSuspects) Ended(backends.Server, []quarantine.ID)   {}
-func (noSuspects) Answered(quarantine.ID)                   {}
+func (noSuspects) HasRecords() bool                                { return false }
+func (noSuspects) Quarantined(quarantine.ID) (time.Duration, bool) { return 0, false }
+func (noSuspects) TrialDue(quarantine.ID) bool                     { return false }
+func (noSuspects) StartTrial(quarantine.ID) bool                   { return false }
+func (noSuspects) NearThreshold(quarantine.ID) bool                { return false }
+func (noSuspects) Crashed(backends.Server, []quarantine.ID)        {}
+func (noSuspects) Answered(quarantine.ID)                          {}
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -22,10 +22,10 @@
 	endReserve = 0.3
 )
 
-// EndAt tells when this process will be gone. Requests that would not be answered
+// SetShutdown tells when this process will be gone. Requests that would not be answered
 // by then are sent to other VMs, if there are any that take them, and from
 // lastCall on in any case: until then callers come who could not yet know.
-func (r *Relay) EndAt(t, lastCall time.Time) {
+func (r *Relay) SetShutdown(t, lastCall time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends, r.lastCall = t, lastCall
@@ -38,7 +38,7 @@
 	defer r.mu.Unlock()
 	// Where all stop at once, a caller that is sent away meets the next one that
 	// stops; there the request has its best chance here.
-	if r.ends.IsZero() || time.Now().Before(r.lastCall) && !r.Others.Taking() {
+	if r.ends.IsZero() || time.Now().Before(r.lastCall) && !r.Peers.AcceptingRequests() {
 		return false
 	}
 	// A wrong estimate costs a caller its whole answer, a refusal a few milliseconds.
@@ -54,7 +54,7 @@
 
 // moveOn is when a caller that is sent to another VM may come back.
 func (r *Relay) moveOn() time.Duration {
-	if r.Others.Taking() {
+	if r.Peers.AcceptingRequests() {
 		return movedOn
 	}
 	return restartTime
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -53,11 +53,11 @@
 	usage  []flow.Usage
 }
 
-func (o *others) Known() int   { return o.known }
-func (o *others) Taking() bool { return o.taking }
-func (o *others) Agreed() bool { return true }
+func (o *others) Count() int              { return o.known }
+func (o *others) AcceptingRequests() bool { return o.taking }
+func (o *others) ConfigCurrent() bool     { return true }
 
-func (o *others) Nudge() {
+func (o *others) Notify() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.nudges++
@@ -69,7 +69,7 @@
 	return o.nudges
 }
 
-func (o *others) Queued(_ string, q flow.Contender) {
+func (o *others) ReportQueue(_ string, q flow.Contender) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.queued = q.Waiting
@@ -81,7 +81,7 @@
 	return o.turns
 }
 
-func (o *others) Used(string, []flow.Usage) {}
+func (o *others) ReportUsage(string, []flow.Usage) {}
 
 func (o *others) Usage(string) []flow.Usage {
 	o.mu.Lock()
@@ -91,7 +91,7 @@
 
 func (o *others) SharedClock() pacing.SharedTime { return pacing.SharedTime{} }
 
-func (o *others) MoveTurns(string) *flow.Turns { return o.Turns("", 0) }
+func (o *others) MigrationTurns(string) *flow.Turns { return o.Turns("", 0) }
 
 func (o *others) set(turns *flow.Turns) {
 	o.mu.Lock()
@@ -118,12 +118,12 @@
 			return backends.Traits{MemoryTokens: 30000}
 		}
 		return w.plain
-	}, func(s backends.Server, n backends.LeaveReason) { w.relay.Noticed(s, n) })
+	}, func(s backends.Server, n backends.LeaveReason) { w.relay.HandleLeaving(s, n) })
 	if cfg.RetryExtra == 0 {
 		cfg.RetryExtra = 100
 	}
 	w.others = &others{known: 1, taking: true}
-	w.relay = New(cfg, Deps{Replica: w.replica, Registry: w.registry, Upstream: w.up, Now: w.now, Log: quietLog(), Observer: noObserver{}, Others: w.others})
+	w.relay = New(cfg, Deps{Replica: w.replica, Registry: w.registry, Upstream: w.up, Now: w.now, Log: quietLog(), Observer: noObserver{}, Peers: w.others})
 	w.apply(1)
 	return w
 }
@@ -143,9 +143,9 @@
 		keys = []string{teamKey}
 	}
 	split := func(s string) []routing.Weighted { return []routing.Weighted{{Service: s, Weight: 1}} }
-	engine := &routing.Engine{Slots: 48, MemoryTokens: 30000, TokensPerEvent: 4, Moves: true, Backups: true}
+	engine := &routing.Engine{Slots: 48, MemoryTokens: 30000, TokensPerEvent: 4, SupportsMigration: true, SupportsStandby: true}
 	w.replica.Put(routing.Content{Version: version, Keyed: true, Teams: teams(keys), Routes: []*routing.Route{
-		{Name: "plan", Host: "h", Prefix: "/plan/", Kind: routing.Stream, Timeout: 39 * time.Second, Target: 1800 * time.Millisecond, Silence: 7200 * time.Millisecond, Servers: 1, Split: split(modelService)},
+		{Name: "plan", Host: "h", Prefix: "/plan/", Kind: routing.Stream, Timeout: 39 * time.Second, Target: 1800 * time.Millisecond, EventTimeout: 7200 * time.Millisecond, Servers: 1, Split: split(modelService)},
 		{Name: "check", Host: "h", Prefix: "/check/", Kind: routing.Stream, Timeout: 6 * time.Second, Target: 1500 * time.Millisecond, Servers: max(2, w.checkServers), Resumable: true, Split: split(modelService)},
 		{Name: "once", Host: "h", Prefix: "/once/", Kind: routing.Once, Target: 150 * time.Millisecond, Servers: 2, Split: split(deskService)},
 		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routing.Idempotent, Target: 150 * time.Millisecond, Servers: 2, Split: split(deskService)},
@@ -185,9 +185,9 @@
 }
 
 func request(path string) *Request {
-	r := &Request{ID: "r1", Host: "h", Path: path, Method: "POST", Target: path, Key: teamKey, Wait: time.Second}
+	r := &Request{ID: "r1", Host: "h", Path: path, Method: "POST", Target: path, APIKey: teamKey, Timeout: time.Second}
 	if strings.HasPrefix(path, "/plan/") || strings.HasPrefix(path, "/check/") {
-		r.Wait = 30 * time.Second
+		r.Timeout = 30 * time.Second
 		r.Generation = &Generation{PromptTokens: 3000, MaxOutput: 2000, Hint: 900}
 	}
 	return r
@@ -212,7 +212,7 @@
 
 func (c *caller) Refuse(f Refusal) { c.refusal = &f }
 
-func (c *caller) Begin(a *Answer) error {
+func (c *caller) Begin(a *Response) error {
 	c.status = a.Status
 	return nil
 }
@@ -244,11 +244,11 @@
 	closed  []string
 	leaving map[string]bool
 	gone    map[string]bool
-	send    func(ctx context.Context, a *Attempt) (*Answer, error)
+	send    func(ctx context.Context, a *Attempt) (*Response, error)
 	move    func(ctx context.Context, from backends.Server, id, to string, final bool) (string, error)
 }
 
-func (f *fakeUpstream) Send(ctx context.Context, a *Attempt) (*Answer, error) {
+func (f *fakeUpstream) Send(ctx context.Context, a *Attempt) (*Response, error) {
 	f.mu.Lock()
 	f.sent = append(f.sent, a)
 	f.mu.Unlock()
@@ -262,7 +262,7 @@
 	return answer, err
 }
 
-func (f *fakeUpstream) Move(ctx context.Context, from backends.Server, id, to string, final bool) (string, error) {
+func (f *fakeUpstream) CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (string, error) {
 	f.mu.Lock()
 	f.moves = append(f.moves, fmt.Sprintf("%s %s>%s %v", id, from.ID, to, final))
 	f.mu.Unlock()
@@ -275,7 +275,7 @@
 	f.closed = append(f.closed, address)
 }
 
-func (f *fakeUpstream) Gone(_ context.Context, s backends.Server) bool {
+func (f *fakeUpstream) IsDown(_ context.Context, s backends.Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gone[s.ID]
@@ -291,9 +291,9 @@
 	f.gone[id] = true
 }
 
-func (f *fakeUpstream) Drop(context.Context, Copy) {}
+func (f *fakeUpstream) DropCopy(context.Context, KVCopy) {}
 
-func (f *fakeUpstream) Leaving(_ context.Context, s backends.Server) (bool, error) {
+func (f *fakeUpstream) IsLeaving(_ context.Context, s backends.Server) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaving[s.ID], nil
@@ -315,8 +315,8 @@
 	return ids
 }
 
-func answer(status int, body string) *Answer {
-	return &Answer{Status: status, Length: int64(len(body)), Sealed: true, Body: io.NopCloser(strings.NewReader(body))}
+func answer(status int, body string) *Response {
+	return &Response{Status: status, Length: int64(len(body)), Signed: true, Body: io.NopCloser(strings.NewReader(body))}
 }
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: t\n\n", n) }
@@ -340,8 +340,8 @@
 	return &source{r, w}
 }
 
-func (s *source) answer() *Answer {
-	return &Answer{Status: 200, Length: -1, Events: true, Sealed: true, Body: s.PipeReader}
+func (s *source) answer() *Response {
+	return &Response{Status: 200, Length: -1, IsStream: true, Signed: true, Body: s.PipeReader}
 }
 
 // write passes bytes to the reader; a reader that has gone is no matter.
@@ -353,7 +353,7 @@
 
 func (noObserver) Finished(string, string, routing.Kind, string)         {}
 func (noObserver) FirstByte(string, string, routing.Kind, time.Duration) {}
-func (noObserver) Pause(string, time.Duration)                           {}
-func (noObserver) Attempt(string, string)                                {}
-func (noObserver) Moved(string)                                          {}
-func (noObserver) Ended(string)                                          {}
+func (noObserver) EventPause(string, time.Duration)                      {}
+func (noObserver) AttemptFailed(string, string)                          {}
+func (noObserver) Migrated(string)                                       {}
+func (noObserver) ServerCrashed(string)                                  {}
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -75,7 +75,7 @@
 	<-h.over
 	if o := h.next; o != nil {
 		o.answer.Body.Close()
-		o.lease.Done(backends.Unjudged, h.session.Now())
+		o.lease.Release(backends.ResultInconclusive, h.session.Now())
 	}
 }
 
@@ -130,18 +130,18 @@
 	s.spend(s.job.service)
 	ctx, giveUp := context.WithCancel(ctx)
 	timer := time.AfterFunc(awaitMove, giveUp)
-	next, err := s.send(ctx, s.job, c.lease, &Attempt{After: s.run.after(), From: &c.Copy})
+	next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.run.after(), ResumeFrom: &c.KVCopy})
 	begun := timer.Stop() && err == nil
 	if !begun || !next.streams() {
 		if err == nil {
 			next.answer.Body.Close()
 		}
 		giveUp()
-		c.lease.Done(missed(err), s.Now())
+		c.lease.Release(missed(err), s.Now())
 		return nil
 	}
 	s.job.log.WithFields(logrus.Fields{"server": s.run.host(), "to": c.lease.Server.ID}).Info("silent stream goes on from its standing copy")
-	s.Observer.Moved("hedged")
+	s.Observer.Migrated("hedged")
 	s.run.breakOff()
 	return next
 }
@@ -187,6 +187,6 @@
 // adopt goes on with the answer from a copy in place of another.
 func (s *session) adopt(next, old *offer) {
 	s.job.ran--
-	old.lease.Done(backends.Unjudged, s.Now())
+	old.lease.Release(backends.ResultInconclusive, s.Now())
 	s.relocate(s.run, next)
 }
--- a/internal/relay/hedge_test.go
+++ b/internal/relay/hedge_test.go
@@ -14,16 +14,16 @@
 func hedged(t *testing.T, w *world, refuse bool, play func(src *source)) *caller {
 	w.server("a", modelService)
 	w.server("b", modelService)
-	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+	w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 		src := newSource()
-		if a.From == nil {
+		if a.ResumeFrom == nil {
 			go play(src)
 			return src.answer(), nil
 		}
 		if refuse {
-			return nil, &Refused{Why: RefusedFull, Detail: "no such copy"}
+			return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 		}
-		seq := sequenceAfter(a.After)
+		seq := sequenceAfter(a.LastEventID)
 		go func() {
 			time.Sleep(30 * time.Millisecond)
 			src.write(events(int(seq.last)+1, 10))
--- a/internal/relay/scout.go
+++ b/internal/relay/scout.go
@@ -17,11 +17,11 @@
 	scoutTimeout = 250 * time.Millisecond
 )
 
-// Scout asks the servers that run streams of this process whether they are
+// RunProber asks the servers that run streams of this process whether they are
 // leaving, while away reports that the directory cannot tell. Without it the
 // streams of every server that leaves during an outage of the store are lost. It
 // returns when ctx ends.
-func (r *Relay) Scout(ctx context.Context, away func() bool) {
+func (r *Relay) RunProber(ctx context.Context, away func() bool) {
 	t := time.NewTicker(scoutEvery)
 	defer t.Stop()
 	for {
@@ -45,14 +45,14 @@
 			continue
 		}
 		wg.Go(func() {
-			leaving, err := r.Upstream.Leaving(ctx, s)
+			leaving, err := r.Upstream.IsLeaving(ctx, s)
 			if err != nil {
 				// A server that is busy or cut off says nothing of its plans.
 				r.Log.WithError(err).WithField("server", s.ID).Debug("server does not report")
 				return
 			}
 			if leaving && r.Registry.MarkLeaving(s) {
-				r.Others.Nudge()
+				r.Peers.Notify()
 			}
 		})
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -28,14 +28,14 @@
 
 // stream answers a request whose answer is a series of events.
 func (r *Relay) stream(ctx context.Context, j *job, out Responder) string {
-	o, refusal := r.place(ctx, j, j.After)
+	o, refusal := r.place(ctx, j, j.LastEventID)
 	for refusal == nil && !o.streams() {
 		w, err := readWhole(o.answer)
 		if err != nil {
 			r.broke(ctx, j, o.lease.Server)
 		}
 		o.uncover(r.Now())
-		o.lease.Done(backends.Failed, r.Now())
+		o.lease.Release(backends.ResultFailed, r.Now())
 		j.tried = append(j.tried, o.lease.Server.ID)
 		if !j.mayRepeat() {
 			if err == nil && w.proper() && w.Status >= 300 {
@@ -45,20 +45,20 @@
 			return r.giveUp(ctx, j, *r.refuse(j, ReasonSpoilt), out)
 		}
 		o.answer.Body.Close()
-		r.Observer.Attempt(j.service, "server error")
-		o, refusal = r.place(ctx, j, j.After)
+		r.Observer.AttemptFailed(j.service, "server error")
+		o, refusal = r.place(ctx, j, j.LastEventID)
 	}
 	if refusal != nil {
 		return r.giveUp(ctx, j, *refusal, out)
 	}
-	s := &session{Relay: r, job: j, out: out, seq: sequenceAfter(j.After)}
+	s := &session{Relay: r, job: j, out: out, seq: sequenceAfter(j.LastEventID)}
 	return s.relay(ctx, o)
 }
 
 // streams reports whether the answer is a stream of the server's own.
 func (o *offer) streams() bool {
 	a := o.answer
-	return a.Status == http.StatusOK && a.Events && a.Sealed && !a.Encoded
+	return a.Status == http.StatusOK && a.IsStream && a.Signed && !a.Recoded
 }
 
 func (s *session) relay(ctx context.Context, o *offer) string {
@@ -77,14 +77,14 @@
 		o.answer.Body.Close()
 		if err == nil {
 			h.discard()
-			o.lease.Done(backends.Good, s.Now())
+			o.lease.Release(backends.ResultOK, s.Now())
 			s.answered(s.job)
 			s.learn()
 			return s.end(first)
 		}
 		if ctx.Err() != nil || errors.Is(err, errCaller) {
 			h.discard()
-			o.lease.Done(backends.Unjudged, s.Now())
+			o.lease.Release(backends.ResultInconclusive, s.Now())
 			return s.cutOff(ctx, err)
 		}
 		if hedged := h.await(); hedged != nil {
@@ -101,7 +101,7 @@
 }
 
 // pump passes events on until the answer ends; nil is a clean end.
-func (s *session) pump(first *Answer, o *offer) error {
+func (s *session) pump(first *Response, o *offer) error {
 	events := newEventReader(o.answer.Body)
 	for {
 		event, err := events.next()
@@ -135,7 +135,7 @@
 		}
 		s.run.delivered(s.job.progress, s.seq.after(), s.last)
 		if s.job.Generation != nil && s.job.progress.events%reviseEvery == 0 {
-			o.lease.Expect(s.run.memory())
+			o.lease.SetExpectedTokens(s.run.memory())
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // learn notes the length of a generation that ended by itself. One that its
 // caller resumed was not seen from its beginning.
 func (s *session) learn() {
-	if j := s.job; j.Generation != nil && j.After == "" {
+	if j := s.job; j.Generation != nil && j.LastEventID == "" {
 		s.outputs.observe(j.route.Name, j.progress.events*j.perEvent(), j.said())
 	}
 }
@@ -151,14 +151,14 @@
 // notePause takes note of the time between two events.
 func (s *session) notePause(d time.Duration) {
 	s.job.progress.longest = max(s.job.progress.longest, d)
-	s.Observer.Pause(s.job.team, d)
+	s.Observer.EventPause(s.job.team, d)
 	s.paused(d)
 	if most := s.job.route.MaxPause; most > 0 && d > most {
 		s.job.log.WithFields(logrus.Fields{"server": s.run.host(), "after": s.seq.last, "pause_ms": d.Milliseconds()}).Info("stream stalled")
 	}
 }
 
-func (s *session) end(first *Answer) string {
+func (s *session) end(first *Response) string {
 	if !s.begun && s.out.Begin(first) != nil {
 		return OutcomeCallerGone
 	}
@@ -195,20 +195,20 @@
 	log := j.log.WithField("server", o.lease.Server.ID).WithField("after", s.seq.after()).WithField("content", j.id().String())
 	s.broke(ctx, j, o.lease.Server)
 	if _, held := s.held(j); held {
-		o.lease.Done(backends.Unjudged, s.Now())
+		o.lease.Release(backends.ResultInconclusive, s.Now())
 		log.WithError(cause).Warn("stream broke and must not go on: servers end under it")
-		s.Observer.Moved("lost")
+		s.Observer.Migrated("lost")
 		return nil
 	}
 	if next := s.resumeCopy(ctx, o); next != nil {
 		log.WithField("to", next.lease.Server.ID).WithField("cause", cause.Error()).Info("stream goes on from its copy")
-		s.Observer.Moved("resumed")
+		s.Observer.Migrated("resumed")
 		return next
 	}
-	o.lease.Done(backends.Failed, s.Now())
+	o.lease.Release(backends.ResultFailed, s.Now())
 	if ctx.Err() != nil || !j.mayRepeat() {
 		log.WithError(cause).Warn("stream broke and cannot go on")
-		s.Observer.Moved("lost")
+		s.Observer.Migrated("lost")
 		return nil
 	}
 	j.tried = append(j.tried, o.lease.Server.ID)
@@ -218,7 +218,7 @@
 		log.WithError(cause).Warn("stream broke and no server goes on")
 		if refusal == nil {
 			next.answer.Body.Close()
-			next.lease.Done(backends.Failed, s.Now())
+			next.lease.Release(backends.ResultFailed, s.Now())
 		}
 		return nil
 	}
@@ -232,7 +232,7 @@
 	copies := s.run.takeCopies(ctx)
 	for i, c := range copies {
 		s.spend(s.job.service)
-		next, err := s.send(ctx, s.job, c.lease, &Attempt{After: s.seq.after(), From: &c.Copy})
+		next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.seq.after(), ResumeFrom: &c.KVCopy})
 		if err == nil && next.streams() {
 			s.adopt(next, o)
 			for _, unused := range copies[i+1:] {
@@ -243,7 +243,7 @@
 		if err == nil {
 			next.answer.Body.Close()
 		}
-		c.lease.Done(missed(err), s.Now())
+		c.lease.Release(missed(err), s.Now())
 	}
 	return nil
 }
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -35,12 +35,12 @@
 		w.server("a", modelService)
 		old := newSource()
 		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From == nil {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			if a.ResumeFrom == nil {
 				return old.answer(), nil
 			}
-			require.Equal(t, &Copy{Source: "a:1", Handle: "h2"}, a.From)
-			require.Equal(t, "3", a.After)
+			require.Equal(t, &KVCopy{Source: "a:1", Handle: "h2"}, a.ResumeFrom)
+			require.Equal(t, "3", a.LastEventID)
 			next := newSource()
 			go func() {
 				next.write(events(4, 6))
@@ -69,9 +69,9 @@
 		w.server("a", modelService)
 		old := newSource()
 		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			next := newSource()
-			if a.From == nil {
+			if a.ResumeFrom == nil {
 				w.server("b", modelService)
 				w.drain("a", modelService)
 				go old.write(events(1, 2))
@@ -94,7 +94,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		old := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			go func() {
 				old.write(events(1, 2) + "id: 3\n")
 				old.breakOff()
@@ -115,16 +115,16 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		w.server("b", modelService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			s := newSource()
-			if a.After == "" {
+			if a.LastEventID == "" {
 				go func() {
 					s.write(events(1, 2) + "id: 3\nd")
 					s.breakOff()
 				}()
 				return s.answer(), nil
 			}
-			require.Equal(t, "2", a.After)
+			require.Equal(t, "2", a.LastEventID)
 			go func() {
 				s.write(events(3, 4))
 				s.w.Close()
@@ -142,7 +142,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			s := newSource()
 			go s.write(event(1) + event(3))
 			return s.answer(), nil
@@ -164,7 +164,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		w.server("d", deskService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "d" {
 				return answer(200, "ok"), nil
 			}
@@ -175,10 +175,10 @@
 			}()
 			return s.answer(), nil
 		}
-		w.relay.EndAt(time.Now().Add(5*time.Second), time.Now().Add(2*time.Second))
+		w.relay.SetShutdown(time.Now().Add(5*time.Second), time.Now().Add(2*time.Second))
 		c := w.serve(request("/plan/x"))
 		require.Equal(t, ReasonStopping, c.refusal.Reason)
-		require.False(t, c.refusal.Run)
+		require.False(t, c.refusal.MayHaveRun)
 		require.Empty(t, w.up.sent)
 		w.serve(request("/once/x")).whole(t, "ok")
 
@@ -203,9 +203,9 @@
 		w.server("a", modelService)
 		old := newSource()
 		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			next := newSource()
-			if a.From == nil {
+			if a.ResumeFrom == nil {
 				go old.write(events(1, 2))
 				return old.answer(), nil
 			}
@@ -217,7 +217,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go w.relay.Scout(ctx, func() bool { return true })
+		go w.relay.RunProber(ctx, func() bool { return true })
 		time.AfterFunc(time.Second, func() {
 			w.server("b", modelService)
 			w.up.setLeaving("a")
@@ -237,7 +237,7 @@
 		w.relay.Log = log
 		w.server("a", modelService)
 		run := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			time.Sleep(400 * time.Millisecond)
 			go func() {
 				run.write(event(1))
@@ -266,8 +266,8 @@
 		w.server("a", modelService)
 		run := newSource()
 		w.movable(run, time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From == nil {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			if a.ResumeFrom == nil {
 				return run.answer(), nil
 			}
 			next := newSource()
@@ -283,7 +283,7 @@
 		synctest.Wait()
 		w.server("empty", modelService)
 		w.server("fuller", modelService)
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"fuller": {Running: 2, Tokens: 8000}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"fuller": {Running: 2, ExpectedTokens: 8000}})
 		turns := &flow.Turns{Self: "self", Contenders: []flow.Contender{{Name: "self", Waiting: 1}, {Name: "vm-2", Waiting: 3}}}
 		for turns.IsOwnTurn("empty") != mine("empty") || turns.IsOwnTurn("fuller") != mine("fuller") {
 			turns.Period++
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -16,8 +16,8 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// Field is a header line that passes through unchanged.
-type Field struct{ Name, Value string }
+// HeaderField is a header line that passes through unchanged.
+type HeaderField struct{ Name, Value string }
 
 // Generation is what a caller says of a request to a model engine.
 type Generation struct {
@@ -38,13 +38,13 @@
 	// Target is the request target as the caller wrote it.
 	Target string
 	// Header is what passes through to the server.
-	Header []Field
+	Header []HeaderField
 	Body   []byte
-	// Wait is how long the caller waits for the answer, 0 if it did not say.
-	Wait time.Duration
-	Key  string
-	// After is the last event that the caller has of a stream, empty if none.
-	After string
+	// Timeout is how long the caller waits for the answer, 0 if it did not say.
+	Timeout time.Duration
+	APIKey  string
+	// LastEventID is the last event that the caller has of a stream, empty if none.
+	LastEventID string
 	// Generation is nil for plain requests.
 	Generation *Generation
 }
@@ -53,113 +53,113 @@
 type Attempt struct {
 	Request *Request
 	Server  backends.Server
-	// Begun is when it was sent.
-	Begun time.Duration
-	// Left is how long the server may take.
-	Left time.Duration
+	// SentAt is when it was sent.
+	SentAt time.Duration
+	// Timeout is how long the server may take.
+	Timeout time.Duration
 	// Team is the name of the key's holder, empty if none.
 	Team string
 	// Priority ranks the request at an engine, -1 for none.
 	Priority int
-	// After is the last event already delivered, empty for none.
-	After string
-	// Backup is the address of a server that the run's memory is sent to as it grows,
+	// LastEventID is the last event already delivered, empty for none.
+	LastEventID string
+	// StandbyAddress is the address of a server that the run's memory is sent to as it grows,
 	// empty for none. The copy there has the request's id for a handle.
-	Backup string
-	// From is a copy of the run's memory to go on from, nil for a new run.
-	From *Copy
-	// Look is the last look before the attempt is sent, once there is a connection for it. An
+	StandbyAddress string
+	// ResumeFrom is a copy of the run's memory to go on from, nil for a new run.
+	ResumeFrom *KVCopy
+	// Recheck is the last look before the attempt is sent, once there is a connection for it. An
 	// error ends the attempt unsent. Errors: *Refused.
-	Look func() error
+	Recheck func() error
 }
 
-// Copy is a run's memory at another server.
-type Copy struct {
+// KVCopy is a run's memory at another server.
+type KVCopy struct {
 	// Source is the address of the server that the run was on.
 	Source string
 	Handle string
 }
 
-// Answer is a server's answer, head first.
-type Answer struct {
+// Response is a server's answer, head first.
+type Response struct {
 	Status int
-	Header []Field
+	Header []HeaderField
 	// Length is the body's, -1 if the answer does not say.
 	Length int64
-	// Events marks a stream.
-	Events bool
-	// Sealed marks an answer that bears the server's signature.
-	Sealed bool
-	// Encoded marks a body that is not as the server made it.
-	Encoded bool
+	// IsStream marks a stream.
+	IsStream bool
+	// Signed marks an answer that bears the server's signature.
+	Signed bool
+	// Recoded marks a body that is not as the server made it.
+	Recoded bool
 	// Body ends with io.EOF only if it is whole.
 	Body io.ReadCloser
 }
 
-// Refused says that a server certainly did not and will not run a request.
-type Refused struct {
-	Why    RefusedWhy
+// NotRunError says that a server certainly did not and will not run a request.
+type NotRunError struct {
+	Reason NotRunReason
 	Detail string
 }
 
-// RefusedWhy is why a server did not run a request.
-type RefusedWhy string
+// NotRunReason is why a server did not run a request.
+type NotRunReason string
 
 // The reasons of servers.
 const (
-	// RefusedFull is a server without room.
-	RefusedFull RefusedWhy = "full"
-	// RefusedReplaced is another server at the address.
-	RefusedReplaced RefusedWhy = "replaced"
-	// RefusedUnreachable is a server that nothing could be sent to.
-	RefusedUnreachable RefusedWhy = "unreachable"
-	// RefusedEnded is a server that does not listen at its address any more.
-	RefusedEnded RefusedWhy = "ended"
-	// RefusedBarred is a server that the request must not be sent to: its failure domain is
+	// NotRunFull is a server without room.
+	NotRunFull NotRunReason = "full"
+	// NotRunReplaced is another server at the address.
+	NotRunReplaced NotRunReason = "replaced"
+	// NotRunUnreachable is a server that nothing could be sent to.
+	NotRunUnreachable NotRunReason = "unreachable"
+	// NotRunDown is a server that does not listen at its address any more.
+	NotRunDown NotRunReason = "ended"
+	// NotRunIneligible is a server that the request must not be sent to: its failure domain is
 	// cordoned or outside the request's regions, it is leaving or rests, or it takes no more
 	// now.
-	RefusedBarred RefusedWhy = "barred"
+	NotRunIneligible NotRunReason = "barred"
 )
 
 // Error implements error.
-func (r *Refused) Error() string { return fmt.Sprintf("not run, %s: %s", r.Why, r.Detail) }
+func (r *NotRunError) Error() string { return fmt.Sprintf("not run, %s: %s", r.Reason, r.Detail) }
 
 // Errors of an upstream; all others leave unknown whether a request has run.
 var (
 	// ErrNoRun says that the server runs no such request.
 	ErrNoRun = errors.New("no such run")
-	// ErrMoveBusy says that the run is being copied by another call.
-	ErrMoveBusy = errors.New("run is being copied")
-	// ErrNoRoom says that the target of a copy has no room or is unreachable.
-	ErrNoRoom = errors.New("no room for the copy")
+	// ErrCopyInProgress says that the run is being copied by another call.
+	ErrCopyInProgress = errors.New("run is being copied")
+	// ErrNoCapacity says that the target of a copy has no room or is unreachable.
+	ErrNoCapacity = errors.New("no room for the copy")
 )
 
 // Upstream reaches backend servers. Implementations are safe for concurrent use.
 type Upstream interface {
 	// Send sends an attempt and waits for the answer's head. The attempt ends
 	// with ctx. Errors: *Refused, or one that leaves the outcome unknown.
-	Send(ctx context.Context, a *Attempt) (*Answer, error)
-	// Move copies the memory of a run to the server at the address to; a later
+	Send(ctx context.Context, a *Attempt) (*Response, error)
+	// CopyRun copies the memory of a run to the server at the address to; a later
 	// call copies what is new. A final call stops the run first and closes its
 	// stream without an end. A handle may come with ErrNoRoom: then the run has
 	// stopped and its server keeps the memory.
-	Move(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
-	// Drop frees a copy that will not be used.
-	Drop(ctx context.Context, c Copy)
+	CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
+	// DropCopy frees a copy that will not be used.
+	DropCopy(ctx context.Context, c KVCopy)
 	// CloseIdle closes the idle connections to an address, whose server has ended.
 	CloseIdle(address string)
-	// Gone reports whether nothing listens at a server's address any more. It is false
+	// IsDown reports whether nothing listens at a server's address any more. It is false
 	// where that cannot be told.
-	Gone(ctx context.Context, s backends.Server) bool
-	// Leaving asks a server whether it is about to end.
-	Leaving(ctx context.Context, s backends.Server) (bool, error)
+	IsDown(ctx context.Context, s backends.Server) bool
+	// IsLeaving asks a server whether it is about to end.
+	IsLeaving(ctx context.Context, s backends.Server) (bool, error)
 }
 
 // Responder takes the one final answer to a request: Refuse, or Begin, any
 // number of Write, and End or Abort.
 type Responder interface {
 	Refuse(f Refusal)
-	Begin(a *Answer) error
+	Begin(a *Response) error
 	// Write passes bytes on at once.
 	Write(p []byte) error
 	End()
@@ -174,7 +174,7 @@
 const (
 	ReasonNoConfig  Reason = "no configuration yet"
 	ReasonNoRoute   Reason = "no such route"
-	ReasonKey       Reason = "no or unknown key"
+	ReasonBadKey    Reason = "no or unknown key"
 	ReasonStale     Reason = "configuration not confirmed"
 	ReasonNoServer  Reason = "no server takes requests"
 	ReasonNoRoom    Reason = "servers have no room"
@@ -191,8 +191,8 @@
 // Refusal is a final answer of the system's own.
 type Refusal struct {
 	Reason Reason
-	// Run says that the request may have run.
-	Run bool
+	// MayHaveRun says that the request may have run.
+	MayHaveRun bool
 	// RetryAfter is when to come back, for a request that has not run.
 	RetryAfter time.Duration
 	// Content identifies what a harmful request asks for, for the log.
--- a/placement/filters.go
+++ b/placement/filters.go
@@ -38,7 +38,7 @@
 
 // InDomain drops servers of other failure domains if the request asks for that.
 func InDomain(r *Request, s *Server) bool {
-	return !r.Within || s.FailureDomain == r.FailureDomain
+	return !r.SameDomainOnly || s.FailureDomain == r.FailureDomain
 }
 
 // WithinBounds drops servers that are too busy for the request. A server that has
@@ -47,7 +47,7 @@
 	if s.Running == 0 {
 		return true
 	}
-	if r.MostPrompt > 0 && s.PromptPending > r.MostPrompt {
+	if r.MaxPromptPending > 0 && s.PromptPending > r.MaxPromptPending {
 		return false
 	}
 	if r.MaxMemoryUse <= 0 || s.MemoryTotal == 0 {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -56,9 +56,9 @@
 	Target time.Duration
 	// MaxPause is the longest pause between two events of a stream on time.
 	MaxPause time.Duration
-	// Silence is how long callers wait for the first or the next event of a stream
+	// EventTimeout is how long callers wait for the first or the next event of a stream
 	// before they leave; 0 if they do not.
-	Silence time.Duration
+	EventTimeout time.Duration
 	// Servers is the most backend servers that may run one attempt of a caller.
 	Servers int
 	// Priority ranks requests; 0 is the most urgent.
@@ -78,7 +78,7 @@
 		return true
 	}
 	return r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Kind == o.Kind &&
-		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.Silence == o.Silence &&
+		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
 		r.Servers == o.Servers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
 		slices.Equal(r.Split, o.Split) && slices.Equal(r.Regions, o.Regions)
 }
@@ -120,8 +120,8 @@
 	LinkMbps float64
 	// TokensPerEvent is the number of tokens that one event holds.
 	TokensPerEvent int
-	// Moves and Backups say what the engines can do with a run's memory.
-	Moves, Backups bool
+	// SupportsMigration and SupportsStandby say what the engines can do with a run's memory.
+	SupportsMigration, SupportsStandby bool
 	// CopyTTL is how long a copy waits to be used.
 	CopyTTL time.Duration
 }
@@ -159,13 +159,13 @@
 	Name string
 	Keys []string
 	// Priority goes before the route's if Ranked.
-	Priority int
-	Ranked   bool
+	Priority    int
+	HasPriority bool
 	// Regions are where the team's requests may run.
 	Regions Regions
 }
 
 // equal reports whether two teams say the same.
 func (t *Team) equal(o *Team) bool {
-	return t == o || t.Name == o.Name && t.Priority == o.Priority && t.Ranked == o.Ranked && slices.Equal(t.Keys, o.Keys) && slices.Equal(t.Regions, o.Regions)
+	return t == o || t.Name == o.Name && t.Priority == o.Priority && t.HasPriority == o.HasPriority && slices.Equal(t.Keys, o.Keys) && slices.Equal(t.Regions, o.Regions)
 }
