--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -60,11 +60,11 @@
 }
 
 type simRequest struct {
-	id       ID
-	gateway  int
-	left     time.Duration
-	attempts int
-	crashing bool
+	id        ID
+	gateway   int
+	remaining time.Duration
+	attempts  int
+	crashing  bool
 }
 
 // serverCrash is the crash of the server with an index.
@@ -183,9 +183,9 @@
 	crashes := f.meanTimeToCrash > 0 && f.rng.Float64() < float64(tick)/float64(f.meanTimeToCrash)
 	kept := s.requests[:0]
 	for _, r := range s.requests {
-		r.left -= tick
+		r.remaining -= tick
 		switch {
-		case r.left > 0:
+		case r.remaining > 0:
 			kept = append(kept, r)
 		case r.crashing:
 			crashes = true
@@ -208,13 +208,13 @@
 		f.sent++
 		f.place(&simRequest{
 			id: ID{Team: fmt.Sprint("team-", f.sent%10), Content: uint64(f.sent)}, gateway: f.rng.IntN(len(f.gateways)),
-			left: time.Duration(f.rng.Float64() * 2 * float64(mean)),
+			remaining: time.Duration(f.rng.Float64() * 2 * float64(mean)),
 		})
 	}
 }
 
 func (f *fleet) sendCrashing(id ID) {
-	f.place(&simRequest{id: id, gateway: f.rng.IntN(len(f.gateways)), left: crashDelay, crashing: true})
+	f.place(&simRequest{id: id, gateway: f.rng.IntN(len(f.gateways)), remaining: crashDelay, crashing: true})
 }
 
 const (
@@ -302,11 +302,11 @@
 	var unserved time.Duration
 	for f.now < simulatedTime {
 		if f.occurs(popularInterval) {
-			f.place(&simRequest{id: request("popular"), gateway: f.rng.IntN(len(f.gateways)), left: popularRun})
+			f.place(&simRequest{id: request("popular"), gateway: f.rng.IntN(len(f.gateways)), remaining: popularRun})
 		}
 		for i, from := range []time.Duration{2 * time.Second, 3 * time.Second} {
 			if f.now > from && f.occurs(crashingInterval) {
-				f.place(&simRequest{id: request(fmt.Sprint("harmful-", i)), gateway: f.rng.IntN(len(f.gateways)), left: 6 * tick, crashing: true})
+				f.place(&simRequest{id: request(fmt.Sprint("harmful-", i)), gateway: f.rng.IntN(len(f.gateways)), remaining: 6 * tick, crashing: true})
 			}
 		}
 		served := f.served
