--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -10,111 +10,111 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// attempt is one try of a request at a server. Only run may be called beside the request's
-// own goroutine.
+// attempt is one attempt of a request at a server. Only send may be called from another goroutine
+// than the request's own.
 type attempt struct {
 	*Attempt
-	relay *Relay
-	lease *backends.Reservation
-	// try is its number within the request.
-	try int
-	ctx context.Context
-	cut context.CancelFunc
-	// unwatch ends the watch over its start.
-	unwatch func()
+	relay       *Relay
+	reservation *backends.Reservation
+	// number counts the request's attempts, from 1.
+	number int
+	ctx    context.Context
+	cancel context.CancelFunc
+	// stopStartTimer stops the timer of watchResponseStart.
+	stopStartTimer func()
 }
 
-// reply is what came of an attempt.
-type reply struct {
+// attemptResult is the result of an attempt.
+type attemptResult struct {
 	*attempt
-	answer *Response
-	err    error
-	at     time.Duration
+	response *Response
+	err      error
+	at       time.Duration
 }
 
-// send makes one attempt at the server of a lease.
-func (r *Relay) send(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, error) {
-	t, err := r.startAttempt(ctx, j, lease, a)
+// send makes one attempt at the reserved server.
+func (r *Relay) send(ctx context.Context, j *job, reservation *backends.Reservation, a *Attempt) (*placedResponse, error) {
+	t, err := r.startAttempt(ctx, j, reservation, a)
 	if err != nil {
 		return nil, err
 	}
-	return r.finishAttempt(j, t.run())
+	return r.finishAttempt(j, t.send())
 }
 
-// startAttempt counts an attempt that is about to be sent. Errors: *Refused.
-func (r *Relay) startAttempt(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*attempt, error) {
-	a.Recheck = func() error { return r.look(j, lease, a) }
+// startAttempt counts an attempt that is about to be sent. Errors: *NotRunError.
+func (r *Relay) startAttempt(ctx context.Context, j *job, reservation *backends.Reservation, a *Attempt) (*attempt, error) {
+	a.Recheck = func() error { return r.recheck(j, reservation, a) }
 	if err := a.Recheck(); err != nil {
 		return nil, err
 	}
-	if a.ResumeFrom != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
-		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
+	if a.ResumeFrom != nil && !r.Registry.TryUseRate(reservation, r.Peers.SharedClock(), r.Now()) {
+		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "rate limit of " + reservation.Server.ID}
 	}
-	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
-	a.SentAt, a.Timeout = r.Now(), j.left()
+	a.Request, a.Server, a.Team = j.Request, reservation.Server, j.team
+	a.SentAt, a.Timeout = r.Now(), j.timeLeft()
 	a.Priority = -1
 	if j.Generation != nil {
 		a.Priority = j.priority
 	}
-	j.sent++
-	j.reached++
-	j.answering.Store(false)
-	t := &attempt{Attempt: a, relay: r, lease: lease, try: j.sent}
-	t.unwatch = r.watchStart(j, lease, a)
-	t.ctx, t.cut = context.WithCancel(ctx)
+	j.attempts++
+	j.arrivals++
+	j.responseBegun.Store(false)
+	t := &attempt{Attempt: a, relay: r, reservation: reservation, number: j.attempts}
+	t.stopStartTimer = r.watchResponseStart(j, reservation, a)
+	t.ctx, t.cancel = context.WithCancel(ctx)
 	return t, nil
 }
 
-// look is the last look before a request goes to a server: what was known when it was chosen, or
-// when the copy was made that the run goes on from, may be so no more.
-func (r *Relay) look(j *job, lease *backends.Reservation, a *Attempt) error {
-	if r.Registry.IsIneligible(lease.Server, j.regions) {
-		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.FailureDomain}
+// recheck checks just before an attempt is sent whether the server is still eligible: its state
+// may have changed since it was selected, or since the copy was made from which the run resumes.
+func (r *Relay) recheck(j *job, reservation *backends.Reservation, a *Attempt) error {
+	if r.Registry.IsIneligible(reservation.Server, j.regions) {
+		return &NotRunError{Reason: NotRunIneligible, Detail: reservation.Server.FailureDomain}
 	}
-	if _, leaving := r.Registry.State(lease.Server); leaving && a.ResumeFrom == nil {
-		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " is leaving"}
+	if _, leaving := r.Registry.State(reservation.Server); leaving && a.ResumeFrom == nil {
+		return &NotRunError{Reason: NotRunIneligible, Detail: reservation.Server.ID + " is leaving"}
 	}
-	if r.Registry.IsBackingOff(lease.Server, r.Now()) {
-		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " rests"}
+	if r.Registry.IsBackingOff(reservation.Server, r.Now()) {
+		return &NotRunError{Reason: NotRunIneligible, Detail: reservation.Server.ID + " is backing off"}
 	}
 	return nil
 }
 
-// run sends the attempt and waits for the head of its answer.
-func (t *attempt) run() reply {
-	answer, err := t.relay.Upstream.Send(t.ctx, t.Attempt)
-	t.unwatch()
-	return reply{t, answer, err, t.relay.Now()}
+// send sends the attempt and waits for the head of the response.
+func (t *attempt) send() attemptResult {
+	response, err := t.relay.Upstream.Send(t.ctx, t.Attempt)
+	t.stopStartTimer()
+	return attemptResult{t, response, err, t.relay.Now()}
 }
 
-func isBarred(err error) bool {
+func isIneligible(err error) bool {
 	var refused *NotRunError
 	return errors.As(err, &refused) && refused.Reason == NotRunIneligible
 }
 
-// finishAttempt counts what came of an attempt.
-func (r *Relay) finishAttempt(j *job, p reply) (*offer, error) {
-	lease := p.lease
+// finishAttempt logs and counts the result of an attempt.
+func (r *Relay) finishAttempt(j *job, result attemptResult) (*placedResponse, error) {
+	reservation := result.reservation
 	entry := j.log.WithFields(logrus.Fields{
-		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.ExpectedTokens,
-		"prompt": lease.PromptTokens, "of": lease.ServerCount,
-		"waited_ms": (p.SentAt - j.arrived).Milliseconds(), "answer_ms": (p.at - p.SentAt).Milliseconds(),
+		"server": reservation.Server.ID, "try": result.number, "running": reservation.Running, "tokens": reservation.ExpectedTokens,
+		"prompt": reservation.PromptTokens, "of": reservation.ServerCount,
+		"waited_ms": (result.SentAt - j.arrived).Milliseconds(), "answer_ms": (result.at - result.SentAt).Milliseconds(),
 	})
-	if p.err != nil {
-		p.cut()
-		if isBarred(p.err) {
-			// Nothing has arrived.
-			j.reached--
+	if result.err != nil {
+		result.cancel()
+		if isIneligible(result.err) {
+			// Nothing was sent to the server.
+			j.arrivals--
 		}
-		entry.WithField("result", p.err.Error()).Info("sent")
-		return nil, p.err
+		entry.WithField("result", result.err.Error()).Info("sent")
+		return nil, result.err
 	}
-	j.ran++
-	j.answering.Store(true)
-	lease.FinishPrompt()
-	if p.ResumeFrom == nil {
-		r.prompted(lease.PromptTokens+j.prompt(), p.at-p.SentAt)
+	j.maybeRun++
+	j.responseBegun.Store(true)
+	reservation.FinishPrompt()
+	if result.ResumeFrom == nil {
+		r.recordPromptTime(reservation.PromptTokens+j.promptTokens(), result.at-result.SentAt)
 	}
-	entry.WithField("status", p.answer.Status).Info("sent")
-	return &offer{lease: lease, answer: p.answer, cut: p.cut}, nil
+	entry.WithField("status", result.response.Status).Info("sent")
+	return &placedResponse{reservation: reservation, response: result.response, cancel: result.cancel}, nil
 }
--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -16,69 +16,69 @@
 
 // breakBesideACopy plays a generation whose answer breaks off and whose standing copy must not be
 // used: meanwhile is called before, with the only attempt that may be sent.
-func (w *world) breakBesideACopy(meanwhile func(sent *Attempt)) {
-	w.t.Helper()
-	w.server("a", modelService)
-	w.server("b", modelService)
-	w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
-		require.Nil(w.t, a.ResumeFrom, "sent to the copy")
-		src := newSource()
+func (f *fixture) breakWithUnusableStandby(beforeBreak func(sent *Attempt)) {
+	f.t.Helper()
+	f.addServer("a", modelService)
+	f.addServer("b", modelService)
+	f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
+		require.Nil(f.t, a.ResumeFrom, "sent to the copy")
+		body := newFakeBody()
 		go func() {
-			src.write(events(1, 3))
-			meanwhile(a)
-			src.breakOff()
+			body.write(events(1, 3))
+			beforeBreak(a)
+			body.breakOff()
 		}()
-		return src.answer(), nil
+		return body.response(), nil
 	}
-	require.True(w.t, w.serve(request("/plan/x")).aborted)
-	require.Len(w.t, w.up.sent, 1)
-	require.Empty(w.t, w.registry.Loads())
+	require.True(f.t, f.serve(request("/plan/x")).aborted)
+	require.Len(f.t, f.upstream.sent, 1)
+	require.Empty(f.t, f.registry.Loads())
 }
 
 // Guards against a stream going on at a server of a cordoned failure domain because its
 // standing copy is there.
-func TestCopyInACordonedDomainIsNotUsed(t *testing.T) {
+func TestStandbyInCordonedDomainIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.breakBesideACopy(func(*Attempt) { w.registry.SetCordoned([]string{"zone-1"}, w.now()) })
+		f := newFixture(t, Config{})
+		f.breakWithUnusableStandby(func(*Attempt) { f.registry.SetCordoned([]string{"zone-1"}, f.now()) })
 	})
 }
 
 // Guards against a repeat going to a domain that was cordoned while the first attempt ran.
-func TestRepeatGoesToNoCordonedDomain(t *testing.T) {
+func TestRetrySkipsCordonedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", deskService)
-		w.server("b", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Response, error) {
-			w.registry.SetCordoned([]string{"zone-1"}, w.now())
-			return answer(500, "failed"), nil
+		f := newFixture(t, Config{})
+		f.addServer("a", deskService)
+		f.addServer("b", deskService)
+		f.upstream.send = func(context.Context, *Attempt) (*Response, error) {
+			f.registry.SetCordoned([]string{"zone-1"}, f.now())
+			return newResponse(500, "failed"), nil
 		}
-		begun := time.Now()
-		c := w.serve(request("/safe/x"))
+		start := time.Now()
+		c := f.serve(request("/safe/x"))
 		require.Equal(t, 500, c.status, "what the server answered")
-		require.Len(t, w.up.sent, 1)
-		require.Zero(t, time.Since(begun), "no wait for servers that get nothing")
+		require.Len(t, f.upstream.sent, 1)
+		require.Zero(t, time.Since(start), "no wait for servers that get nothing")
 	})
 }
 
 // Guards against a request that must stay in its regions being sent elsewhere, or waiting.
-func TestRequestWithoutAServerInItsRegionsIsNotSent(t *testing.T) {
+func TestRequestWithoutServerInItsRegionsIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.registry.SetRegions(map[string]string{"zone-1": "north"})
-		w.server("a", deskService)
+		f := newFixture(t, Config{})
+		f.registry.SetRegions(map[string]string{"zone-1": "north"})
+		f.addServer("a", deskService)
 		split := []routing.Weighted{{Service: deskService, Weight: 1}}
 		route := func(name string, regions routing.Regions) *routing.Route {
 			return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Idempotent, Public: true, Servers: 2, Split: split, Regions: regions}
 		}
-		w.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("north", routing.Regions{"north"}), route("south", routing.Regions{"south"})}}, func() {})
-		w.replica.Confirm(w.now())
-		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
-		w.serve(request("/north/x")).whole(t, "ok")
-		c := w.serve(request("/south/x"))
+		f.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("north", routing.Regions{"north"}), route("south", routing.Regions{"south"})}}, func() {})
+		f.replica.Confirm(f.now())
+		f.upstream.send = func(context.Context, *Attempt) (*Response, error) { return newResponse(200, "ok"), nil }
+		f.serve(request("/north/x")).requireWhole(t, "ok")
+		c := f.serve(request("/south/x"))
 		require.Equal(t, ReasonNoServer, c.refusal.Reason)
-		require.Len(t, w.up.sent, 1)
+		require.Len(t, f.upstream.sent, 1)
 	})
 }
 
@@ -86,19 +86,19 @@
 // they take a request each 50 ms, and the callers have a second.
 func TestRequestsWaitForColdServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.plain = backends.Traits{ColdTime: 5 * time.Second, Cold: pacing.Limit{Rate: 20, MaxInWindow: 25, Window: time.Second}}
-		s := w.entry("a", deskService)
-		s.ColdFor = w.plain.ColdTime
-		w.registry.Put(s, w.now())
-		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
+		f := newFixture(t, Config{})
+		f.plain = backends.Traits{ColdTime: 5 * time.Second, Cold: pacing.Limit{Rate: 20, MaxInWindow: 25, Window: time.Second}}
+		s := f.newEntry("a", deskService)
+		s.ColdFor = f.plain.ColdTime
+		f.registry.Put(s, f.now())
+		f.upstream.send = func(context.Context, *Attempt) (*Response, error) { return newResponse(200, "ok"), nil }
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		served, refused := 0, 0
 		for range 30 {
 			wg.Go(func() {
-				begun := time.Now()
-				c := w.serve(request("/once/x"))
+				start := time.Now()
+				c := f.serve(request("/once/x"))
 				mu.Lock()
 				defer mu.Unlock()
 				if c.refusal == nil {
@@ -106,7 +106,7 @@
 					return
 				}
 				refused++
-				require.Less(t, time.Since(begun), 600*time.Millisecond, "told in time to come back")
+				require.Less(t, time.Since(start), 600*time.Millisecond, "told in time to come back")
 				require.Positive(t, c.refusal.RetryAfter)
 			})
 		}
@@ -118,28 +118,28 @@
 
 // Guards against a request going to a server that says it is leaving while the request is on its
 // way to it; a run that goes on there from its copy may.
-func TestRequestThatFindsItsServerLeavingGoesElsewhere(t *testing.T) {
+func TestRequestGoesElsewhereIfItsServerIsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", deskService)
-		w.server("b", deskService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
-			if len(w.up.servers()) > 1 {
+		f := newFixture(t, Config{})
+		f.addServer("a", deskService)
+		f.addServer("b", deskService)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			if len(f.upstream.servers()) > 1 {
 				require.NoError(t, a.Recheck())
-				return answer(200, "ok"), nil
+				return newResponse(200, "ok"), nil
 			}
 			require.NoError(t, a.Recheck())
-			w.relay.HandleSignals(a.Server, backends.Signals{Leaving: true}, 0)
+			f.relay.HandleSignals(a.Server, backends.Signals{Leaving: true}, 0)
 			err := a.Recheck()
 			require.Error(t, err)
 			a.ResumeFrom = &KVCopy{}
 			require.NoError(t, a.Recheck())
 			return nil, err
 		}
-		w.serve(request("/once/x")).whole(t, "ok")
-		servers := w.up.servers()
+		f.serve(request("/once/x")).requireWhole(t, "ok")
+		servers := f.upstream.servers()
 		require.Len(t, servers, 2)
 		require.NotEqual(t, servers[0], servers[1])
-		require.Positive(t, w.others.nudged(), "others are told at once")
+		require.Positive(t, f.peers.notified(), "others are told at once")
 	})
 }
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -2,48 +2,48 @@
 
 import "kingcupplank.example/kingcup/retry"
 
-// first earns the service's repeats for a request's first arrival.
-func (r *Relay) first(service string) {
+// recordFirstAttempt adds to the service's retry budget for the first attempt of a request.
+func (r *Relay) recordFirstAttempt(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).RecordFirstTry()
+	r.retryBudget(service).RecordFirstTry()
 }
 
-// repeat reports whether one more arrival is allowed.
-func (r *Relay) repeat(service string) bool {
+// takeRetry reports whether one more attempt is allowed, and counts it if so.
+func (r *Relay) takeRetry(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget(service).TryTake()
+	return r.retryBudget(service).TryTake()
 }
 
-// spend counts an arrival that must not be refused: a run that has stopped at its
-// server is lost if it does not go on.
-func (r *Relay) spend(service string) {
+// forceRetry counts an attempt that must not be refused: a run that has stopped at its server is
+// lost if it does not resume elsewhere.
+func (r *Relay) forceRetry(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).Spend()
+	r.retryBudget(service).Spend()
 }
 
 const (
-	// partsUnknown is the number of processes assumed until it is known.
-	partsUnknown = 12
-	// partsMargin keeps a part of the shared extra for processes that have just
-	// started and are not known to all.
-	partsMargin = 0.8
+	// assumedProcesses is the number of gateways assumed while it is unknown.
+	assumedProcesses = 12
+	// sharedRetryShare is the part of the shared extra retries that the known gateways use; the
+	// rest is left for those that have just started and are not known to all.
+	sharedRetryShare = 0.8
 )
 
-func (r *Relay) budget(service string) *retry.Budget {
+func (r *Relay) retryBudget(service string) *retry.Budget {
 	cfg := r.cfg.Load()
-	b := r.budgets[service]
+	b := r.retryBudgets[service]
 	if b == nil {
 		b = &retry.Budget{}
-		r.budgets[service] = b
+		r.retryBudgets[service] = b
 	}
 	b.Ratio = cfg.RetryRatio
-	parts := r.Peers.Count()
-	if parts == 0 {
-		parts = partsUnknown
+	processes := r.Peers.Count()
+	if processes == 0 {
+		processes = assumedProcesses
 	}
-	b.Max = max(1, partsMargin*float64(cfg.RetryExtra)/float64(parts))
+	b.Max = max(1, sharedRetryShare*float64(cfg.RetryExtra)/float64(processes))
 	return b
 }
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -16,13 +16,13 @@
 // An engine crashes without a notice in the middle of a long answer that may not run
 // again. Its memory was sent to a second engine as it grew: the caller gets the rest from
 // there, every event once, instead of half an answer.
-func TestStreamOutlivesACrashedEngine(t *testing.T) {
+func TestStreamContinuesFromStandbyAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		w.server("b", modelService)
-		old := newSource()
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		f.addServer("b", modelService)
+		old := newFakeBody()
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom == nil {
 				require.NotEmpty(t, a.StandbyAddress)
 				require.NotEqual(t, a.Server.Address, a.StandbyAddress)
@@ -30,59 +30,59 @@
 					old.write(events(1, 3) + "id: 4\nda")
 					old.breakOff()
 				}()
-				return old.answer(), nil
+				return old.response(), nil
 			}
 			require.Equal(t, &KVCopy{Source: a.Server.Address, Handle: "r1"}, a.ResumeFrom)
-			require.Equal(t, w.up.sent[0].StandbyAddress, a.Server.Address)
+			require.Equal(t, f.upstream.sent[0].StandbyAddress, a.Server.Address)
 			require.Equal(t, "3", a.LastEventID)
-			next := newSource()
+			next := newFakeBody()
 			go func() {
 				next.write(events(4, 6))
-				next.w.Close()
+				next.writer.Close()
 			}()
-			return next.answer(), nil
+			return next.response(), nil
 		}
-		w.serve(request("/plan/x")).whole(t, events(1, 6))
-		require.Empty(t, w.registry.Loads(), "nothing is counted for the copy any more")
+		f.serve(request("/plan/x")).requireWhole(t, events(1, 6))
+		require.Empty(t, f.registry.Loads(), "nothing is counted for the copy any more")
 	})
 }
 
 // The second engine had no room for the copy after all and refuses to go on. The caller's
 // answer ends, and the refusal is not held against a sound engine.
-func TestMissingStandingCopyIsNoFailure(t *testing.T) {
+func TestMissingStandbyIsNoServerFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		w.server("b", modelService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		f.addServer("b", modelService)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom != nil {
 				return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 			}
-			src := newSource()
+			body := newFakeBody()
 			go func() {
-				src.write(events(1, 3))
-				src.breakOff()
+				body.write(events(1, 3))
+				body.breakOff()
 			}()
-			return src.answer(), nil
+			return body.response(), nil
 		}
-		require.True(t, w.serve(request("/plan/x")).aborted)
-		cover := w.up.sent[0].StandbyAddress
-		lease := w.registry.Acquire(backends.Query{Service: modelService, Draw: 1}, w.now())
-		require.Equal(t, cover, lease.Server.Address, "the engine that crashed is asked last")
-		require.Empty(t, w.registry.Statuses(w.now()))
+		require.True(t, f.serve(request("/plan/x")).aborted)
+		standby := f.upstream.sent[0].StandbyAddress
+		reservation := f.registry.Acquire(backends.Query{Service: modelService, Draw: 1}, f.now())
+		require.Equal(t, standby, reservation.Server.Address, "the engine that crashed is asked last")
+		require.Empty(t, f.registry.Statuses(f.now()))
 	})
 }
 
 // Standing copies are for what would be lost, where there is room to spare. They must
 // not take room that runs and moves need, nor be made of answers that are over at once.
-func TestStandingCopiesTakeOnlyRoomToSpare(t *testing.T) {
+func TestStandbysUseOnlySpareMemory(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		path string
 		// used is the memory in use at each engine, full that of a third one.
-		used, full, max int
-		crowded         bool
-		want            bool
+		used, thirdUsed, maxOutput int
+		saturated                  bool
+		wantStandby                bool
 	}{
 		{"long answer, room", "/plan/x", 5000, 5000, 2000, false, true},
 		{"long answer, the other half full", "/plan/x", 13000, 1, 2000, false, false},
@@ -93,30 +93,30 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, Config{})
-				w.server("a", modelService)
-				w.server("b", modelService)
-				w.server("c", modelService)
-				w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{
-					"a": {Running: 2, ExpectedTokens: tt.used}, "b": {Running: 2, ExpectedTokens: tt.used}, "c": {Running: 2, ExpectedTokens: tt.full},
+				f := newFixture(t, Config{})
+				f.addServer("a", modelService)
+				f.addServer("b", modelService)
+				f.addServer("c", modelService)
+				f.registry.SetRemoteLoads("vm-2", map[string]backends.Load{
+					"a": {Running: 2, ExpectedTokens: tt.used}, "b": {Running: 2, ExpectedTokens: tt.used}, "c": {Running: 2, ExpectedTokens: tt.thirdUsed},
 				})
-				if tt.crowded {
-					l := w.relay.lane(modelService)
-					w.relay.tellQueue(modelService, l, 1)
-					w.relay.tellQueue(modelService, l, -1)
+				if tt.saturated {
+					eq := f.relay.engineQueue(modelService)
+					f.relay.reportQueue(modelService, eq, 1)
+					f.relay.reportQueue(modelService, eq, -1)
 				}
-				w.up.send = func(context.Context, *Attempt) (*Response, error) {
-					src := newSource()
+				f.upstream.send = func(context.Context, *Attempt) (*Response, error) {
+					body := newFakeBody()
 					go func() {
-						src.write(events(1, 2))
-						src.w.Close()
+						body.write(events(1, 2))
+						body.writer.Close()
 					}()
-					return src.answer(), nil
+					return body.response(), nil
 				}
 				r := request(tt.path)
-				r.Generation = &Generation{PromptTokens: 3000, MaxOutput: tt.max, Hint: tt.max / 2}
-				w.serve(r).whole(t, events(1, 2))
-				require.Equal(t, tt.want, w.up.sent[0].StandbyAddress != "")
+				r.Generation = &Generation{PromptTokens: 3000, MaxOutput: tt.maxOutput, Hint: tt.maxOutput / 2}
+				f.serve(r).requireWhole(t, events(1, 2))
+				require.Equal(t, tt.wantStandby, f.upstream.sent[0].StandbyAddress != "")
 			})
 		})
 	}
@@ -124,26 +124,26 @@
 
 // crashes plays a load of long answers on engines, a sixth of which crash at once, and
 // returns the share that is lost.
-func crashes(t *testing.T, engines, runs int, covered bool) float64 {
+func crashLossShare(t *testing.T, engines, runs int, withStandby bool) float64 {
 	lost := 0
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		sources := make(map[*source]string)
+		f := newFixture(t, Config{})
+		bodies := make(map[*fakeBody]string)
 		for i := range engines {
-			w.server(fmt.Sprintf("e%02d", i), modelService)
+			f.addServer(fmt.Sprintf("e%02d", i), modelService)
 		}
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
-			src := newSource()
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			body := newFakeBody()
 			switch {
 			case a.ResumeFrom == nil:
-				sources[src] = a.Server.ID
-				go paced(src, 1, 100, 40*time.Millisecond)
-			case !covered:
+				bodies[body] = a.Server.ID
+				go writePaced(body, 1, 100, 40*time.Millisecond)
+			case !withStandby:
 				return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 			default:
-				go src.w.Close()
+				go body.writer.Close()
 			}
-			return src.answer(), nil
+			return body.response(), nil
 		}
 		callers := make([]*caller, runs)
 		var wg sync.WaitGroup
@@ -151,14 +151,14 @@
 			callers[i] = &caller{}
 			req := request("/plan/x")
 			req.ID = fmt.Sprint("r", i)
-			wg.Go(func() { w.relay.Serve(t.Context(), req, callers[i]) })
+			wg.Go(func() { f.relay.Serve(t.Context(), req, callers[i]) })
 			time.Sleep(100 * time.Millisecond)
 		}
-		for src, engine := range sources {
+		for body, engine := range bodies {
 			if engine < fmt.Sprintf("e%02d", engines/6) {
-				src.breakOff()
+				body.breakOff()
 			} else {
-				src.w.Close()
+				body.writer.Close()
 			}
 		}
 		wg.Wait()
@@ -175,9 +175,9 @@
 // Three of eighteen engines crash under thirty long answers, whose memory takes a fifth
 // of all there is. All that ran there were lost, 13 to 20 %; with standing copies none
 // is.
-func TestCrashesCostNoAnswersWhereThereIsRoom(t *testing.T) {
-	without := crashes(t, 18, 30, false)
-	with := crashes(t, 18, 30, true)
+func TestCrashesLoseNoStreamsWithStandbys(t *testing.T) {
+	without := crashLossShare(t, 18, 30, false)
+	with := crashLossShare(t, 18, 30, true)
 	t.Logf("lost without standing copies %.3f, with %.3f", without, with)
 	require.Positive(t, without)
 	require.Zero(t, with)
--- /dev/null
+++ b/internal/relay/crash.go
@@ -0,0 +1,268 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"kingcupplank.example/kingcup/backends"
+	"kingcupplank.example/kingcup/quarantine"
+)
+
+const (
+	// crashCheckInterval is the time between the two checks of a server whose response broke off.
+	// A process that crashes may close its connections before or after its listener.
+	crashCheckInterval = 100 * time.Millisecond
+	// crashCheckTimeout bounds one check. A server behind a network partition does not refuse
+	// connections, so whether it has crashed cannot be determined.
+	crashCheckTimeout = 250 * time.Millisecond
+	// maxCrashCheckWait bounds how long a request waits for the checks. Callers accept a pause of
+	// 180 ms in a stream.
+	maxCrashCheckWait = 120 * time.Millisecond
+	// crashGatherTime is how long the other requests at a crashed server may take to detect the
+	// crash: their connections break at the same time, but their goroutines run later.
+	crashGatherTime = 10 * time.Millisecond
+	// lateCrashCheckDelay is the time after which the directory is checked for a restart of a
+	// server that seemed to be up. A new entry is written within a heartbeat.
+	lateCrashCheckDelay = 2 * time.Second
+	// maxLoggedRequests bounds the requests listed in a log line.
+	maxLoggedRequests = 16
+)
+
+// crashCheck determines whether a server has crashed under the requests whose responses broke off
+// there. Its fields are guarded by the Relay's mu.
+type crashCheck struct {
+	server backends.Server
+	// requests are those not yet reported as running during a crash.
+	requests []brokenRequest
+	// done is closed when the checks that requests may wait for are over. crashed is their
+	// result.
+	done    chan struct{}
+	crashed bool
+}
+
+// brokenRequest is a request whose response broke off.
+type brokenRequest struct {
+	id        quarantine.ID
+	requestID string
+	// events is the number of events that the caller had received, attempt the number of the
+	// attempt within the request.
+	events, attempt int
+}
+
+// incarnation identifies one incarnation of a server.
+type incarnation struct {
+	id        string
+	startTime int64
+}
+
+func incarnationOf(s backends.Server) incarnation { return incarnation{s.ID, s.StartTime} }
+
+// quarantineID identifies the content of a request, the same for all its attempts.
+func (j *job) quarantineID() quarantine.ID {
+	return quarantine.NewID(j.team, j.Method, j.Host, j.Target, j.Body)
+}
+
+// handleBrokenResponse checks whether a server crashed whose response to a request broke off. A
+// crash of a server that was not leaving counts against the request. After a reset connection, a
+// network partition or a dropped request the server still listens.
+//
+// A request that one more crash would quarantine waits for the result, as it would otherwise be
+// sent to the next server.
+func (r *Relay) handleBrokenResponse(ctx context.Context, j *job, s backends.Server) {
+	if _, leaving := r.Registry.State(s); leaving || ctx.Err() != nil {
+		return
+	}
+	j.hadBrokenResponse, j.isTrial = true, false
+	id := j.quarantineID()
+	checked := r.startCrashCheck(s, brokenRequest{id: id, requestID: j.ID, events: j.progress.events, attempt: j.attempts})
+	if !r.Quarantine.NearThreshold(id) {
+		return
+	}
+	t := time.NewTimer(maxCrashCheckWait)
+	defer t.Stop()
+	select {
+	case <-checked:
+	case <-t.C:
+	case <-ctx.Done():
+	}
+}
+
+// startCrashCheck adds a request whose response broke off to the check of its server, which it
+// starts if there is none. The returned channel is closed when the check is over.
+func (r *Relay) startCrashCheck(s backends.Server, b brokenRequest) <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	check := r.crashChecks[incarnationOf(s)]
+	if check == nil {
+		check = &crashCheck{server: s, done: make(chan struct{})}
+		r.crashChecks[incarnationOf(s)] = check
+		go r.runCrashCheck(check)
+	}
+	check.requests = append(check.requests, b)
+	if check.crashed {
+		go r.reportCrash(check)
+	}
+	return check.done
+}
+
+// runCrashCheck checks twice whether the server has crashed.
+func (r *Relay) runCrashCheck(check *crashCheck) {
+	if r.hasCrashed(check.server) {
+		r.concludeCrashed(check)
+		return
+	}
+	time.AfterFunc(crashCheckInterval, func() {
+		if r.hasCrashed(check.server) {
+			r.concludeCrashed(check)
+			return
+		}
+		// Responses that break off from now on start a new check: the server may crash next.
+		r.removeCrashCheck(check)
+		close(check.done)
+		time.AfterFunc(lateCrashCheckDelay, func() {
+			if r.Registry.HasRestarted(check.server) {
+				r.reportCrash(check)
+			}
+		})
+	})
+}
+
+// concludeCrashed reports the requests of a crashed server, including those that detect the crash
+// later.
+func (r *Relay) concludeCrashed(check *crashCheck) {
+	if r.Registry.MarkDown(check.server, r.Now()) {
+		r.Peers.Notify()
+	}
+	time.AfterFunc(crashGatherTime, func() {
+		r.reportCrash(check)
+		close(check.done)
+		time.AfterFunc(lateCrashCheckDelay, func() { r.removeCrashCheck(check) })
+	})
+}
+
+func (r *Relay) removeCrashCheck(check *crashCheck) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.crashChecks[incarnationOf(check.server)] == check {
+		delete(r.crashChecks, incarnationOf(check.server))
+	}
+}
+
+// hasCrashed reports whether it is certain that a server has crashed.
+func (r *Relay) hasCrashed(s backends.Server) bool {
+	if r.Registry.HasRestarted(s) {
+		return true
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
+	defer cancel()
+	return r.Upstream.IsDown(ctx, s)
+}
+
+// reportCrash reports the requests of a check whose server has crashed.
+func (r *Relay) reportCrash(check *crashCheck) {
+	r.mu.Lock()
+	requests, first := check.requests, !check.crashed
+	check.requests, check.crashed = nil, true
+	r.mu.Unlock()
+	if len(requests) == 0 {
+		return
+	}
+	if first {
+		r.Observer.ServerCrashed(check.server.Service)
+	}
+	r.Log.WithFields(logrus.Fields{
+		"server": check.server.ID, "born": check.server.StartTime, "service": check.server.Service, "requests": len(requests), "ran": requestLogFields(requests),
+	}).Warn("server crashed under requests")
+	ids := make([]quarantine.ID, 0, len(requests))
+	for _, b := range requests {
+		ids = append(ids, b.id)
+	}
+	r.Quarantine.Crashed(check.server, ids)
+}
+
+// requestLogFields returns log fields that describe the requests that ran on a server.
+func requestLogFields(requests []brokenRequest) (out []map[string]any) {
+	for _, b := range requests[:min(len(requests), maxLoggedRequests)] {
+		out = append(out, map[string]any{"request": b.requestID, "content": b.id.String(), "events": b.events, "try": b.attempt})
+	}
+	return out
+}
+
+// errQuarantined is the cause for canceling a request in flight that has been quarantined.
+var errQuarantined = errors.New("request is quarantined")
+
+// CancelQuarantined cancels the attempts of a newly quarantined request to which no server has
+// begun to respond: they would crash their servers. An attempt with a response continues, as its
+// outcome shows whether the quarantine is right.
+func (r *Relay) CancelQuarantined(id quarantine.ID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for j := range r.jobs {
+		if !j.responseBegun.Load() && j.quarantineID() == id {
+			j.cancel(errQuarantined)
+		}
+	}
+}
+
+// quarantined reports whether a request is quarantined. Without any records its content is not
+// hashed.
+func (r *Relay) quarantined(j *job) (retryAfter time.Duration, quarantined bool) {
+	if !r.Quarantine.HasRecords() {
+		return 0, false
+	}
+	return r.Quarantine.Quarantined(j.quarantineID())
+}
+
+// mustRefuse reports whether a request is quarantined and no trial of it is due. The trial itself
+// starts only when a server is available: otherwise it would count as a trial without a result.
+func (r *Relay) mustRefuse(j *job) (retryAfter time.Duration, refuse bool) {
+	retryAfter, quarantined := r.quarantined(j)
+	return retryAfter, quarantined && !(j.attempts == 0 && r.Quarantine.TrialDue(j.quarantineID()))
+}
+
+// mustNotSend reports whether a request must not be sent to a server now. It may start a trial of
+// a quarantined request, and must be called only by the request's own goroutine.
+func (r *Relay) mustNotSend(j *job) (retryAfter time.Duration, quarantined bool) {
+	if j.isTrial {
+		return 0, false
+	}
+	retryAfter, quarantined = r.quarantined(j)
+	if quarantined && j.attempts == 0 && r.Quarantine.StartTrial(j.quarantineID()) {
+		j.isTrial = true
+		return 0, false
+	}
+	return retryAfter, quarantined
+}
+
+// recordAnswered records that a server has answered a request completely, which shows that the
+// request does not crash servers. A response put together from several servers does not show
+// that, as all but the last of them may have crashed.
+func (r *Relay) recordAnswered(j *job) {
+	if r.Quarantine.HasRecords() && !j.hadBrokenResponse && j.LastEventID == "" {
+		r.Quarantine.Answered(j.quarantineID())
+	}
+}
+
+// quarantineRefusal returns the refusal of a quarantined request. If it has not run, its caller
+// is told to retry after the quarantine and not before.
+func (j *job) quarantineRefusal(retryAfter time.Duration) *Refusal {
+	f := &Refusal{Reason: ReasonQuarantined, MayHaveRun: j.maybeRun > 0, Content: j.quarantineID().String()}
+	if !f.MayHaveRun {
+		f.RetryAfter = retryAfter
+	}
+	return f
+}
+
+// noQuarantine never quarantines a request.
+type noQuarantine struct{}
+
+func (noQuarantine) HasRecords() bool                                { return false }
+func (noQuarantine) Quarantined(quarantine.ID) (time.Duration, bool) { return 0, false }
+func (noQuarantine) TrialDue(quarantine.ID) bool                     { return false }
+func (noQuarantine) StartTrial(quarantine.ID) bool                   { return false }
+func (noQuarantine) NearThreshold(quarantine.ID) bool                { return false }
+func (noQuarantine) Crashed(backends.Server, []quarantine.ID)        {}
+func (noQuarantine) Answered(quarantine.ID)                          {}
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -16,158 +16,158 @@
 	// The load of the play: gateways before engines that are filled to half, a quarter of
 	// which end at once. Memory, prompts and rates are those of a deployment with short
 	// answers beside long ones.
-	playGateways, playEngines = 23, 43
-	playMemory                = 21900
-	playArrivals              = 70 // generations a second, over all gateways
-	playLongOf3               = 1
-	playLong, playShort       = 8 * time.Second, 300 * time.Millisecond
-	playEnds                  = 10 * time.Second
-	playLasts                 = 14 * time.Second
-	playPrompt                = 2600
-	playTold                  = 20 * time.Millisecond
-	playReadTime              = 250 * time.Millisecond
+	simGateways, simEngines = 23, 43
+	simMemory               = 21900
+	simArrivalRate          = 70 // generations a second, over all gateways
+	simLongOf3              = 1
+	simLongRun, simShortRun = 8 * time.Second, 300 * time.Millisecond
+	simCrashAt              = 10 * time.Second
+	simDuration             = 14 * time.Second
+	simPromptTokens         = 2600
+	simPeerDelay            = 20 * time.Millisecond
+	simReadTime             = 250 * time.Millisecond
 )
 
 // crashPlay is gateways that hear each other, before engines that they share.
-type crashPlay struct {
-	t      *testing.T
-	worlds []*world
-	mu     sync.Mutex
-	ended  map[string]bool
+type crashSimulation struct {
+	t        *testing.T
+	gateways []*fixture
+	mu       sync.Mutex
+	down     map[string]bool
 	// refusedAt are the attempts at ended engines, by gateway.
-	refusedAt map[int]int
-	last      time.Duration
+	refusedAttempts    map[int]int
+	lastRefusedAttempt time.Duration
 }
 
 // told passes what a gateway says of its servers to the others, as a state does.
-func (p *crashPlay) told(i int) {
-	time.Sleep(playTold)
-	w := p.worlds[i]
-	loads, losses := w.registry.Loads(), w.registry.Statuses(w.now())
-	for k, o := range p.worlds {
+func (sim *crashSimulation) reportLoads(i int) {
+	time.Sleep(simPeerDelay)
+	f := sim.gateways[i]
+	loads, statuses := f.registry.Loads(), f.registry.Statuses(f.now())
+	for k, peer := range sim.gateways {
 		if k != i {
-			o.registry.SetRemoteLoads(fmt.Sprint("vm-", i), loads)
-			o.registry.SetRemoteStatuses(fmt.Sprint("vm-", i), losses, o.now())
+			peer.registry.SetRemoteLoads(fmt.Sprint("vm-", i), loads)
+			peer.registry.SetRemoteStatuses(fmt.Sprint("vm-", i), statuses, peer.now())
 		}
 	}
 }
 
 // nudger tells the others at once.
-type nudger struct {
-	*others
-	told func()
+type notifyingPeers struct {
+	*fakePeers
+	notify func()
 }
 
-func (n *nudger) Notify() { go n.told() }
+func (n *notifyingPeers) Notify() { go n.notify() }
 
-func newCrashPlay(t *testing.T) *crashPlay {
-	p := &crashPlay{t: t, ended: make(map[string]bool), refusedAt: make(map[int]int)}
-	for i := range playGateways {
-		w := newWorld(t, Config{RetryRatio: 0.2, RetryExtra: 86})
-		w.others.known = playGateways
-		w.relay.Peers = &nudger{w.others, func() { p.told(i) }}
-		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) { return p.send(ctx, i, a) }
-		for k := range playEngines {
-			s := w.entry(fmt.Sprint("e-", k), modelService)
+func newCrashSimulation(t *testing.T) *crashSimulation {
+	sim := &crashSimulation{t: t, down: make(map[string]bool), refusedAttempts: make(map[int]int)}
+	for i := range simGateways {
+		f := newFixture(t, Config{RetryRatio: 0.2, RetryExtra: 86})
+		f.peers.count = simGateways
+		f.relay.Peers = &notifyingPeers{f.peers, func() { sim.reportLoads(i) }}
+		f.upstream.send = func(ctx context.Context, a *Attempt) (*Response, error) { return sim.send(ctx, i, a) }
+		for k := range simEngines {
+			s := f.newEntry(fmt.Sprint("e-", k), modelService)
 			s.Slots, s.FailureDomain = 24, fmt.Sprint("zone-", k%4)
-			w.registry.Put(s, w.now())
+			f.registry.Put(s, f.now())
 		}
-		p.worlds = append(p.worlds, w)
+		sim.gateways = append(sim.gateways, f)
 	}
-	return p
+	return sim
 }
 
-func (p *crashPlay) send(ctx context.Context, i int, a *Attempt) (*Response, error) {
-	p.mu.Lock()
-	ended := p.ended[a.Server.ID]
-	if ended {
-		p.refusedAt[i]++
-		p.last = p.worlds[i].now()
+func (sim *crashSimulation) send(ctx context.Context, i int, a *Attempt) (*Response, error) {
+	sim.mu.Lock()
+	down := sim.down[a.Server.ID]
+	if down {
+		sim.refusedAttempts[i]++
+		sim.lastRefusedAttempt = sim.gateways[i].now()
 	}
-	p.mu.Unlock()
-	if ended {
+	sim.mu.Unlock()
+	if down {
 		return nil, &NotRunError{Reason: NotRunDown, Detail: "connection refused"}
 	}
 	select {
-	case <-time.After(playReadTime):
+	case <-time.After(simReadTime):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	lasts := playShort
+	runTime := simShortRun
 	if a.Request.Path == "/plan/x" {
-		lasts = playLong
+		runTime = simLongRun
 	}
-	src := newSource()
+	body := newFakeBody()
 	go func() {
-		src.write(event(1))
-		time.Sleep(lasts)
-		p.mu.Lock()
-		ended := p.ended[a.Server.ID]
-		p.mu.Unlock()
-		if ended {
-			src.breakOff()
+		body.write(event(1))
+		time.Sleep(runTime)
+		sim.mu.Lock()
+		down := sim.down[a.Server.ID]
+		sim.mu.Unlock()
+		if down {
+			body.breakOff()
 			return
 		}
-		src.write(event(2))
-		src.w.Close()
+		body.write(event(2))
+		body.writer.Close()
 	}()
-	return src.answer(), nil
+	return body.response(), nil
 }
 
 // end ends a part of the engines.
-func (p *crashPlay) end(n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (sim *crashSimulation) crashServers(n int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	for k := range n {
-		p.ended[fmt.Sprint("e-", 4*k)] = true
+		sim.down[fmt.Sprint("e-", 4*k)] = true
 	}
 }
 
 // play returns how many generations that came once the engines had ended were refused.
-func (p *crashPlay) play() (came, refused int) {
+func (sim *crashSimulation) run() (sent, refused int) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	time.AfterFunc(playEnds, func() { p.end(playEngines / 4) })
-	for begun, n := time.Now(), 0; time.Since(begun) < playLasts; n++ {
-		time.Sleep(time.Duration(rng.ExpFloat64() * float64(time.Second) / playArrivals))
-		w := p.worlds[rng.IntN(playGateways)]
+	time.AfterFunc(simCrashAt, func() { sim.crashServers(simEngines / 4) })
+	for start, n := time.Now(), 0; time.Since(start) < simDuration; n++ {
+		time.Sleep(time.Duration(rng.ExpFloat64() * float64(time.Second) / simArrivalRate))
+		f := sim.gateways[rng.IntN(simGateways)]
 		r := request("/check/x")
-		r.Generation = &Generation{PromptTokens: playPrompt, MaxOutput: 8, Hint: 8}
-		if rng.IntN(3) < playLongOf3 {
+		r.Generation = &Generation{PromptTokens: simPromptTokens, MaxOutput: 8, Hint: 8}
+		if rng.IntN(3) < simLongOf3 {
 			r = request("/plan/x")
-			r.Generation = &Generation{PromptTokens: playPrompt, MaxOutput: 750, Hint: 750}
+			r.Generation = &Generation{PromptTokens: simPromptTokens, MaxOutput: 750, Hint: 750}
 		}
 		r.ID, r.Body = fmt.Sprint("r", n), []byte(fmt.Sprint(n))
-		after := time.Since(begun) >= playEnds
+		afterCrash := time.Since(start) >= simCrashAt
 		wg.Go(func() {
 			c := &caller{}
-			w.relay.Serve(p.t.Context(), r, c)
+			f.relay.Serve(sim.t.Context(), r, c)
 			mu.Lock()
 			defer mu.Unlock()
-			if after {
-				came++
+			if afterCrash {
+				sent++
 			}
-			if after && c.refusal != nil {
+			if afterCrash && c.refusal != nil {
 				refused++
 			}
 		})
 	}
 	wg.Wait()
-	return came, refused
+	return sent, refused
 }
 
 // Guards against generations being refused for lack of room, with three quarters of the
 // engines half empty, because ended engines that refuse connections use up their repeats.
-func TestEnginesThatEndVisiblyCostNoGeneration(t *testing.T) {
+func TestRefusedConnectionsUseNoRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newCrashPlay(t)
-		came, refused := p.play()
+		sim := newCrashSimulation(t)
+		sent, refused := sim.run()
 		attempts := 0
-		for _, n := range p.refusedAt {
+		for _, n := range sim.refusedAttempts {
 			attempts += n
 		}
-		t.Logf("%d came after the ends, %d refused, %d attempts at ended engines by %d gateways, the last %v after", came, refused, attempts, len(p.refusedAt), p.last-playEnds-time.Second)
+		t.Logf("%d came after the ends, %d refused, %d attempts at ended engines by %d gateways, the last %v after", sent, refused, attempts, len(sim.refusedAttempts), sim.lastRefusedAttempt-simCrashAt-time.Second)
 		require.Zero(t, refused)
 	})
 }
--- /dev/null
+++ b/internal/relay/enginequeue.go
@@ -0,0 +1,297 @@
+package relay
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"kingcupplank.example/kingcup/backends"
+	"kingcupplank.example/kingcup/flow"
+)
+
+const (
+	// maxMemoryFraction is the part of an engine's memory that its requests may take, including
+	// their growth in the next seconds. The rest covers requests of other gateways that are not
+	// known yet.
+	maxMemoryFraction = 0.97
+	// initialTokenRate is the rate of prompt tokens per second sent to engines that is assumed
+	// until it has been observed.
+	initialTokenRate = 20000
+	// queuePollInterval is how often the first request of a queue checks for capacity: loads also
+	// change through other gateways.
+	queuePollInterval = 20 * time.Millisecond
+	// outputMargin is the factor by which a response may exceed its estimated length and still
+	// finish in time; estimates are exceeded half of the time.
+	outputMargin = 1.5
+	// eventTimeoutShare is the part of the route's event timeout within which a request must have
+	// reached an engine; the rest covers a slow first token.
+	eventTimeoutShare = 0.9
+	// minRetryShare and maxRetryShare bound the random retry time of callers refused because of
+	// saturation, as parts of the time that callers accept as a wait. Bursts last seconds, and
+	// callers that all retried at once would cause the next one.
+	minRetryShare, maxRetryShare = 0.4, 1.0
+)
+
+// engineQueue is the queue in front of the engines of a service.
+type engineQueue struct {
+	mu    sync.Mutex
+	queue *flow.Queue
+	// wakeups notify a waiter that it is the first.
+	wakeups map[*flow.Waiter]chan struct{}
+	// shares counts the teams' usage of the service here.
+	shares *flow.Shares
+	// unplaced counts the queued requests that have found no server with capacity; lastUnplaced
+	// is when it last changed, 0 if never.
+	unplaced     int
+	lastUnplaced time.Duration
+}
+
+// saturatedSince reports whether a request was queued for lack of capacity after a time.
+func (eq *engineQueue) saturatedSince(t time.Duration) bool {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	return eq.unplaced > 0 || eq.lastUnplaced > 0 && eq.lastUnplaced > t
+}
+
+func (r *Relay) engineQueue(service string) *engineQueue {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	eq := r.engineQueues[service]
+	if eq == nil {
+		eq = &engineQueue{queue: flow.NewQueue(initialTokenRate), wakeups: make(map[*flow.Waiter]chan struct{}), shares: flow.NewShares()}
+		r.engineQueues[service] = eq
+	}
+	return eq
+}
+
+// add queues a request. It returns nil if the request cannot be served in time.
+func (eq *engineQueue) add(w *flow.Waiter, now time.Duration) (wakeup chan struct{}) {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	if eq.queue.ShouldReject(w, now) {
+		return nil
+	}
+	wakeup = make(chan struct{}, 1)
+	eq.wakeups[w] = wakeup
+	eq.queue.Add(w)
+	return wakeup
+}
+
+// mustRefuse reports whether a queued request cannot be served in time any more.
+func (eq *engineQueue) mustRefuse(w *flow.Waiter, now time.Duration) bool {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	return eq.queue.ShouldReject(w, now)
+}
+
+// remove removes a request and wakes the next one.
+func (eq *engineQueue) remove(w *flow.Waiter, sent bool, now time.Duration) {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	if _, queued := eq.wakeups[w]; !queued {
+		return
+	}
+	delete(eq.wakeups, w)
+	eq.queue.Remove(w, sent, now)
+	eq.wakeHead(now)
+}
+
+// wakeHead notifies the first request; mu must be locked.
+func (eq *engineQueue) wakeHead(now time.Duration) {
+	next := eq.queue.Next(now)
+	if next == nil {
+		return
+	}
+	select {
+	case eq.wakeups[next] <- struct{}{}:
+	default:
+	}
+}
+
+// isHead reports whether a request is the first, and wakes the first one otherwise: the order
+// changes as time passes.
+func (eq *engineQueue) isHead(w *flow.Waiter, now time.Duration) bool {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	if eq.queue.Next(now) == w {
+		return true
+	}
+	eq.wakeHead(now)
+	return false
+}
+
+// reportQueue reports the queue to the peers. It counts only requests that have found no server
+// with capacity: a request that is placed at once does not compete.
+func (r *Relay) reportQueue(service string, eq *engineQueue, change int) {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	eq.unplaced += change
+	eq.lastUnplaced = r.Now()
+	rank, first := eq.queue.HeadRank(r.Now())
+	r.Peers.ReportQueue(service, flow.Contender{Waiting: eq.unplaced, Rank: rank, WaitingAtRank: first})
+}
+
+// maxReportedTeams is the number of teams whose usage is reported to peers. Surges that matter
+// come from a few teams, and a team that is not reported counts as small.
+const maxReportedTeams = 8
+
+// chargeTeam charges a generation to its team's share: its expected memory times the time for
+// which it takes that.
+func (r *Relay) chargeTeam(j *job, eq *engineQueue) {
+	duration := r.promptReadTime(j) + time.Duration(j.expectedEvents(0))*r.usualPause()
+	amount := float64(j.expectedMemory(0)) * duration.Seconds()
+	now := r.Now()
+	eq.mu.Lock()
+	eq.shares.Charge(j.team, amount, now)
+	top := eq.shares.Top(maxReportedTeams, now)
+	eq.mu.Unlock()
+	r.Peers.ReportUsage(j.service, top)
+}
+
+// teamLevel returns how far a request's team is above an equal share.
+func (r *Relay) teamLevel(j *job, eq *engineQueue) int {
+	peerUsage := r.Peers.Usage(j.service)
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	return eq.shares.Level(j.team, peerUsage, r.Now())
+}
+
+// engineWaiter returns the queue entry of a generation.
+func (r *Relay) engineWaiter(j *job, eq *engineQueue) *flow.Waiter {
+	readTime := r.promptReadTime(j)
+	runTime := readTime + time.Duration(outputMargin*float64(j.expectedEvents(0))*float64(r.usualPause()))
+	dispatchDeadline := j.arrived + j.timeLeft() - runTime
+	if s := j.route.EventTimeout; s > 0 {
+		dispatchDeadline = min(dispatchDeadline, j.arrived+time.Duration(eventTimeoutShare*float64(s))-readTime)
+	}
+	return &flow.Waiter{
+		Priority: j.priority, Level: r.teamLevel(j, eq), PromptTokens: j.promptTokens(), Arrived: j.arrived,
+		OnTimeDeadline:   j.arrived + j.route.Target - readTime,
+		DispatchDeadline: max(dispatchDeadline, j.arrived+j.maxWait()),
+	}
+}
+
+// acquireEngine waits for an engine with capacity and reserves it.
+func (r *Relay) acquireEngine(ctx context.Context, j *job) (*backends.Reservation, *Refusal) {
+	eq := r.engineQueue(j.service)
+	w := r.engineWaiter(j, eq)
+	wakeup := eq.add(w, r.Now())
+	if wakeup == nil {
+		return nil, r.refuseSaturated(j)
+	}
+	reserved, reported := false, 0
+	defer func() {
+		eq.remove(w, reserved, r.Now())
+		if reported > 0 {
+			r.reportQueue(j.service, eq, -reported)
+		}
+	}()
+	if refusal := r.refuseIfBackingOff(j, w); refusal != nil {
+		return nil, refusal
+	}
+	entered := r.Now()
+	for lastReset := entered; ; {
+		if eq.isHead(w, r.Now()) {
+			if reservation := r.reserveEngine(j, eq, w, r.Now()-entered > spillAfter); reservation != nil {
+				reserved = true
+				return reservation, nil
+			}
+			if refusal := r.refuseIfBackingOff(j, w); refusal != nil {
+				return nil, refusal
+			}
+			if r.Now()-lastReset > fullRetryInterval {
+				j.resetExcluded()
+				lastReset = r.Now()
+			}
+		}
+		if refusal := r.refuseIfCordoned(j); refusal != nil {
+			return nil, refusal
+		}
+		if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 && r.Now()-j.arrived > j.maxWait() {
+			return nil, r.refuse(j, ReasonNoServer)
+		}
+		if eq.mustRefuse(w, r.Now()) {
+			return nil, r.refuseSaturated(j)
+		}
+		// Reported each time, as the rank of the first request changes over time.
+		r.reportQueue(j.service, eq, 1-reported)
+		reported = 1
+		if !waitForWakeup(ctx, wakeup) {
+			return nil, r.refuse(j, ReasonDeadline)
+		}
+	}
+}
+
+// refuseIfBackingOff returns a refusal if all engines back off for longer than a request can
+// wait, nil otherwise.
+func (r *Relay) refuseIfBackingOff(j *job, w *flow.Waiter) *Refusal {
+	p := r.availability(j)
+	if !p.MustWait() || p.HasRateLimited || r.Now()+p.BackoffWait <= w.DispatchDeadline {
+		return nil
+	}
+	return r.refuseLateTurn(j, p, p.BackoffWait)
+}
+
+// spillAfter is how long a request waits for an engine of its own gateway's cell before it may
+// use another's. An engine of the own cell usually gets capacity within that time. An engine of
+// another cell may be full without this gateway knowing, and a request that finds another prompt
+// there waits twice as long.
+const spillAfter = 150 * time.Millisecond
+
+// reserveEngine reserves an engine for the first request of a queue. It returns nil if none has
+// capacity or another gateway has the turn.
+func (r *Relay) reserveEngine(j *job, eq *engineQueue, w *flow.Waiter, spill bool) *backends.Reservation {
+	q := r.engineQuery(j, w.Rank(r.Now()))
+	q.Spill = spill
+	reservation := r.Registry.Acquire(q, r.Now())
+	if reservation == nil {
+		return nil
+	}
+	r.chargeTeam(j, eq)
+	r.Peers.Notify()
+	return reservation
+}
+
+// engineQuery returns the query for an engine, for a request of a rank.
+func (r *Relay) engineQuery(j *job, rank int) backends.Query {
+	speed := r.currentPromptSpeed()
+	q := r.serverQuery(j)
+	q.ExpectedTokens, q.PromptTokens, q.PromptSpeed = j.expectedMemory(0), j.promptTokens(), speed
+	q.MaxMemoryUse, q.MaxPromptPending = maxMemoryFraction, int(speed*maxPromptWait.Seconds())
+	q.Turns = r.Peers.Turns(j.service, rank)
+	return q
+}
+
+// refuseSaturated refuses a request because its service is saturated.
+func (r *Relay) refuseSaturated(j *job) *Refusal {
+	f := r.refuse(j, ReasonNoCapacity)
+	if !f.MayHaveRun {
+		share := minRetryShare + (maxRetryShare-minRetryShare)*rand.Float64()
+		f.RetryAfter = max(f.RetryAfter, time.Duration(share*float64(j.timeLeft())/callerWaitDivisor))
+	}
+	return f
+}
+
+// callerWaitDivisor is the divisor of a caller's remaining time: callers wait for at most that
+// part of it before they retry.
+const callerWaitDivisor = 3
+
+// resetExcluded allows servers that refused to be asked again, as they may have capacity by now.
+// If a server may have run the request, all excluded servers stay excluded.
+func (j *job) resetExcluded() {
+	j.excluded = slices.DeleteFunc(j.excluded, func(string) bool { return j.maybeRun == 0 })
+}
+
+func waitForWakeup(ctx context.Context, wakeup <-chan struct{}) bool {
+	t := time.NewTimer(queuePollInterval)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-wakeup:
+	case <-t.C:
+	}
+	return true
+}
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -9,31 +9,31 @@
 	"github.com/pkg/errors"
 )
 
-// errGap says that a stream's events are not consecutive.
+// errGap means that the events of a stream are not consecutive.
 var errGap = errors.New("gap in the events of a stream")
 
-// errEventTooLarge says that an event exceeds its bound.
+// errEventTooLarge means that an event exceeds maxEventSize.
 var errEventTooLarge = errors.New("event too large")
 
 const (
-	eventBuffer = 2 << 10
-	// maxEvent bounds an event in bytes; events hold a few tokens.
-	maxEvent = 256 << 10
+	eventBufferSize = 2 << 10
+	// maxEventSize bounds an event in bytes; events contain a few tokens.
+	maxEventSize = 256 << 10
 )
 
-// eventReader splits a stream into whole events. Half an event at a break is
-// never passed on: its rest would come from another server.
+// eventReader splits a stream into complete events. An event cut off at a break is never
+// forwarded: its remainder would come from another server.
 type eventReader struct {
 	in  *bufio.Reader
 	buf []byte
 }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{in: bufio.NewReaderSize(r, eventBuffer)}
+	return &eventReader{in: bufio.NewReaderSize(r, eventBufferSize)}
 }
 
-// next returns the next event with its blank line; it is valid until the next
-// call. io.EOF is a clean end between two events.
+// next returns the next event including its blank line. The result is valid until the next call.
+// io.EOF means that the stream ended between two events.
 func (e *eventReader) next() ([]byte, error) {
 	e.buf = e.buf[:0]
 	for {
@@ -43,9 +43,9 @@
 			err = nil
 		}
 		if err != nil {
-			return nil, e.broken(err)
+			return nil, e.atEnd(err)
 		}
-		if len(e.buf) > maxEvent {
+		if len(e.buf) > maxEventSize {
 			return nil, errEventTooLarge
 		}
 		if isBlank(line) && len(e.buf) > len(line) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (e *eventReader) broken(err error) error {
+func (e *eventReader) atEnd(err error) error {
 	if err == io.EOF && len(e.buf) > 0 {
 		return io.ErrUnexpectedEOF
 	}
@@ -78,43 +78,43 @@
 	return 0, false
 }
 
-// sequence checks that events follow one another.
+// sequence checks that events are consecutive.
 type sequence struct {
-	last  uint64
-	begun bool
+	lastID  uint64
+	started bool
 }
 
-// sequenceAfter continues behind the event that a caller has.
+// sequenceAfter returns the sequence that follows the event with an id.
 func sequenceAfter(id string) sequence {
-	n, err := strconv.ParseUint(id, 10, 64)
-	return sequence{last: n, begun: err == nil}
+	last, err := strconv.ParseUint(id, 10, 64)
+	return sequence{lastID: last, started: err == nil}
 }
 
-// take reports whether an event is to be passed on. An event seen before is not,
-// and a gap is an error. Events without an id pass.
-func (s *sequence) take(event []byte) (bool, error) {
+// accept reports whether an event is to be forwarded. It is false for a duplicate, and a gap is
+// an error. Events without an id are accepted.
+func (s *sequence) accept(event []byte) (bool, error) {
 	id, ok := eventID(event)
 	if !ok {
 		return true, nil
 	}
-	if !s.begun {
-		s.last, s.begun = id, true
+	if !s.started {
+		s.lastID, s.started = id, true
 		return true, nil
 	}
-	if id <= s.last {
+	if id <= s.lastID {
 		return false, nil
 	}
-	if id != s.last+1 {
-		return false, errors.Wrapf(errGap, "event %d follows %d", id, s.last)
+	if id != s.lastID+1 {
+		return false, errors.Wrapf(errGap, "event %d follows %d", id, s.lastID)
 	}
-	s.last = id
+	s.lastID = id
 	return true, nil
 }
 
-// after is the last event passed on, empty if none.
-func (s *sequence) after() string {
-	if !s.begun {
+// lastEventID returns the id of the last accepted event, empty if none.
+func (s *sequence) lastEventID() string {
+	if !s.started {
 		return ""
 	}
-	return strconv.FormatUint(s.last, 10)
+	return strconv.FormatUint(s.lastID, 10)
 }
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -26,15 +26,15 @@
 )
 
 // world is a Relay over servers that a test plays.
-type world struct {
+type fixture struct {
 	suspended atomic.Int64
 	t         *testing.T
 	start     time.Time
 	replica   *routing.Replica
 	registry  *backends.Registry
-	up        *fakeUpstream
+	upstream  *fakeUpstream
 	relay     *Relay
-	others    *others
+	peers     *fakePeers
 	// checkServers is how many servers a request of the route check may go to, 2 if fewer.
 	checkServers int
 	// plain are the traits of the plain service.
@@ -42,116 +42,116 @@
 }
 
 // others are the other processes.
-type others struct {
-	known  int
-	taking bool
+type fakePeers struct {
+	count     int
+	accepting bool
 	// mu guards queued and nudges, which the relay told, and turns, which it is told.
-	mu     sync.Mutex
-	queued int
-	turns  *flow.Turns
-	nudges int
-	usage  []flow.Usage
+	mu            sync.Mutex
+	queued        int
+	turns         *flow.Turns
+	notifications int
+	usage         []flow.Usage
 }
 
-func (o *others) Count() int              { return o.known }
-func (o *others) AcceptingRequests() bool { return o.taking }
-func (o *others) ConfigCurrent() bool     { return true }
+func (p *fakePeers) Count() int              { return p.count }
+func (p *fakePeers) AcceptingRequests() bool { return p.accepting }
+func (p *fakePeers) ConfigCurrent() bool     { return true }
 
-func (o *others) Notify() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.nudges++
+func (p *fakePeers) Notify() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.notifications++
 }
 
-func (o *others) nudged() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.nudges
+func (p *fakePeers) notified() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.notifications
 }
 
-func (o *others) ReportQueue(_ string, q flow.Contender) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.queued = q.Waiting
+func (p *fakePeers) ReportQueue(_ string, q flow.Contender) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.queued = q.Waiting
 }
 
-func (o *others) Turns(string, int) *flow.Turns {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.turns
+func (p *fakePeers) Turns(string, int) *flow.Turns {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.turns
 }
 
-func (o *others) ReportUsage(string, []flow.Usage) {}
+func (p *fakePeers) ReportUsage(string, []flow.Usage) {}
 
-func (o *others) Usage(string) []flow.Usage {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.usage
+func (p *fakePeers) Usage(string) []flow.Usage {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.usage
 }
 
-func (o *others) SharedClock() pacing.SharedTime { return pacing.SharedTime{} }
+func (p *fakePeers) SharedClock() pacing.SharedTime { return pacing.SharedTime{} }
 
-func (o *others) MigrationTurns(string) *flow.Turns { return o.Turns("", 0) }
+func (p *fakePeers) MigrationTurns(string) *flow.Turns { return p.Turns("", 0) }
 
-func (o *others) set(turns *flow.Turns) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.turns = turns
+func (p *fakePeers) setTurns(turns *flow.Turns) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.turns = turns
 }
 
-func (o *others) waiting() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.queued
+func (p *fakePeers) waiting() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.queued
 }
 
-func quietLog() *logrus.Logger {
+func discardLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func newWorld(t *testing.T, cfg Config) *world {
-	w := &world{t: t, start: time.Now(), replica: routing.NewReplica(), up: &fakeUpstream{}}
-	w.registry = backends.New("zone-1", func(s string) backends.Traits {
+func newFixture(t *testing.T, cfg Config) *fixture {
+	f := &fixture{t: t, start: time.Now(), replica: routing.NewReplica(), upstream: &fakeUpstream{}}
+	f.registry = backends.New("zone-1", func(s string) backends.Traits {
 		if s == modelService {
 			return backends.Traits{MemoryTokens: 30000}
 		}
-		return w.plain
-	}, func(s backends.Server, n backends.LeaveReason) { w.relay.HandleLeaving(s, n) })
+		return f.plain
+	}, func(s backends.Server, n backends.LeaveReason) { f.relay.HandleLeaving(s, n) })
 	if cfg.RetryExtra == 0 {
 		cfg.RetryExtra = 100
 	}
-	w.others = &others{known: 1, taking: true}
-	w.relay = New(cfg, Deps{Replica: w.replica, Registry: w.registry, Upstream: w.up, Now: w.now, Log: quietLog(), Observer: noObserver{}, Peers: w.others})
-	w.apply(1)
-	return w
+	f.peers = &fakePeers{count: 1, accepting: true}
+	f.relay = New(cfg, Deps{Replica: f.replica, Registry: f.registry, Upstream: f.upstream, Now: f.now, Log: discardLog(), Observer: noObserver{}, Peers: f.peers})
+	f.apply(1)
+	return f
 }
 
 // now counts the time that the VM was suspended, as the gateway's clock does; timers do
 // not.
-func (w *world) now() time.Duration {
-	return time.Since(w.start) + time.Second + time.Duration(w.suspended.Load())
+func (f *fixture) now() time.Duration {
+	return time.Since(f.start) + time.Second + time.Duration(f.suspended.Load())
 }
 
 // suspend has the VM stand still for d: no timer and no goroutine notices.
-func (w *world) suspend(d time.Duration) { w.suspended.Add(int64(d)) }
+func (f *fixture) suspend(d time.Duration) { f.suspended.Add(int64(d)) }
 
 // apply puts a version of the standard configuration in force and confirms it.
-func (w *world) apply(version uint64, keys ...string) {
+func (f *fixture) apply(version uint64, keys ...string) {
 	if keys == nil {
 		keys = []string{teamKey}
 	}
 	split := func(s string) []routing.Weighted { return []routing.Weighted{{Service: s, Weight: 1}} }
 	engine := &routing.Engine{Slots: 48, MemoryTokens: 30000, TokensPerEvent: 4, SupportsMigration: true, SupportsStandby: true}
-	w.replica.Put(routing.Content{Version: version, Keyed: true, Teams: teams(keys), Routes: []*routing.Route{
+	f.replica.Put(routing.Content{Version: version, Keyed: true, Teams: teams(keys), Routes: []*routing.Route{
 		{Name: "plan", Host: "h", Prefix: "/plan/", Kind: routing.Stream, Timeout: 39 * time.Second, Target: 1800 * time.Millisecond, EventTimeout: 7200 * time.Millisecond, Servers: 1, Split: split(modelService)},
-		{Name: "check", Host: "h", Prefix: "/check/", Kind: routing.Stream, Timeout: 6 * time.Second, Target: 1500 * time.Millisecond, Servers: max(2, w.checkServers), Resumable: true, Split: split(modelService)},
+		{Name: "check", Host: "h", Prefix: "/check/", Kind: routing.Stream, Timeout: 6 * time.Second, Target: 1500 * time.Millisecond, Servers: max(2, f.checkServers), Resumable: true, Split: split(modelService)},
 		{Name: "once", Host: "h", Prefix: "/once/", Kind: routing.Once, Target: 150 * time.Millisecond, Servers: 2, Split: split(deskService)},
 		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routing.Idempotent, Target: 150 * time.Millisecond, Servers: 2, Split: split(deskService)},
 		{Name: "open", Host: "h", Prefix: "/open/", Kind: routing.Idempotent, Public: true, Servers: 2, Split: split(deskService)},
 	}, Services: []*routing.Service{{Name: modelService, Engine: engine}, {Name: deskService}}}, func() {})
-	w.replica.Confirm(w.now())
+	f.replica.Confirm(f.now())
 }
 
 // teams gives each key a team of its own.
@@ -162,26 +162,26 @@
 	return out
 }
 
-func (w *world) entry(id, service string) backends.Server {
+func (f *fixture) newEntry(id, service string) backends.Server {
 	return backends.Server{ID: id, Service: service, Address: id + ":1", FailureDomain: "zone-1", Slots: 6}
 }
 
-func (w *world) entryBorn(id string, born int64) backends.Server {
-	s := w.entry(id, modelService)
+func (f *fixture) newIncarnation(id string, born int64) backends.Server {
+	s := f.newEntry(id, modelService)
 	s.StartTime = born
 	return s
 }
 
-func (w *world) server(id, service string) backends.Server {
-	s := w.entry(id, service)
-	w.registry.Put(s, w.now())
+func (f *fixture) addServer(id, service string) backends.Server {
+	s := f.newEntry(id, service)
+	f.registry.Put(s, f.now())
 	return s
 }
 
-func (w *world) drain(id, service string) {
-	s := w.entry(id, service)
+func (f *fixture) addLeavingServer(id, service string) {
+	s := f.newEntry(id, service)
 	s.Leaving = true
-	w.registry.Put(s, w.now())
+	f.registry.Put(s, f.now())
 }
 
 func request(path string) *Request {
@@ -194,9 +194,9 @@
 }
 
 // serve answers a request and returns what the caller saw.
-func (w *world) serve(r *Request) *caller {
+func (f *fixture) serve(r *Request) *caller {
 	c := &caller{}
-	w.relay.Serve(w.t.Context(), r, c)
+	f.relay.Serve(f.t.Context(), r, c)
 	return c
 }
 
@@ -206,7 +206,7 @@
 	refusal *Refusal
 	status  int
 	body    strings.Builder
-	ended   bool
+	done    bool
 	aborted bool
 }
 
@@ -224,28 +224,28 @@
 	return nil
 }
 
-func (c *caller) End()   { c.ended = true }
+func (c *caller) End()   { c.done = true }
 func (c *caller) Abort() { c.aborted = true }
 
 // whole requires an answer that came to its end.
-func (c *caller) whole(t *testing.T, body string) {
+func (c *caller) requireWhole(t *testing.T, body string) {
 	t.Helper()
 	require.Nil(t, c.refusal)
-	require.True(t, c.ended)
+	require.True(t, c.done)
 	require.False(t, c.aborted)
 	require.Equal(t, body, c.body.String())
 }
 
 // fakeUpstream plays the servers.
 type fakeUpstream struct {
-	mu      sync.Mutex
-	sent    []*Attempt
-	moves   []string
-	closed  []string
-	leaving map[string]bool
-	gone    map[string]bool
-	send    func(ctx context.Context, a *Attempt) (*Response, error)
-	move    func(ctx context.Context, from backends.Server, id, to string, final bool) (string, error)
+	mu         sync.Mutex
+	sent       []*Attempt
+	copies     []string
+	closedIdle []string
+	leaving    map[string]bool
+	down       map[string]bool
+	send       func(ctx context.Context, a *Attempt) (*Response, error)
+	copyRun    func(ctx context.Context, from backends.Server, id, to string, final bool) (string, error)
 }
 
 func (f *fakeUpstream) Send(ctx context.Context, a *Attempt) (*Response, error) {
@@ -264,31 +264,31 @@
 
 func (f *fakeUpstream) CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (string, error) {
 	f.mu.Lock()
-	f.moves = append(f.moves, fmt.Sprintf("%s %s>%s %v", id, from.ID, to, final))
+	f.copies = append(f.copies, fmt.Sprintf("%s %s>%s %v", id, from.ID, to, final))
 	f.mu.Unlock()
-	return f.move(ctx, from, id, to, final)
+	return f.copyRun(ctx, from, id, to, final)
 }
 
 func (f *fakeUpstream) CloseIdle(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closed = append(f.closed, address)
+	f.closedIdle = append(f.closedIdle, address)
 }
 
 func (f *fakeUpstream) IsDown(_ context.Context, s backends.Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.gone[s.ID]
+	return f.down[s.ID]
 }
 
 // end has a server listen no more.
-func (f *fakeUpstream) end(id string) {
+func (f *fakeUpstream) setDown(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.gone == nil {
-		f.gone = make(map[string]bool)
+	if f.down == nil {
+		f.down = make(map[string]bool)
 	}
-	f.gone[id] = true
+	f.down[id] = true
 }
 
 func (f *fakeUpstream) DropCopy(context.Context, KVCopy) {}
@@ -315,7 +315,7 @@
 	return ids
 }
 
-func answer(status int, body string) *Response {
+func newResponse(status int, body string) *Response {
 	return &Response{Status: status, Length: int64(len(body)), Signed: true, Body: io.NopCloser(strings.NewReader(body))}
 }
 
@@ -330,24 +330,24 @@
 }
 
 // source is an answer's body that a test writes; closing it breaks it off.
-type source struct {
+type fakeBody struct {
 	*io.PipeReader
-	w *io.PipeWriter
+	writer *io.PipeWriter
 }
 
-func newSource() *source {
-	r, w := io.Pipe()
-	return &source{r, w}
+func newFakeBody() *fakeBody {
+	reader, writer := io.Pipe()
+	return &fakeBody{reader, writer}
 }
 
-func (s *source) answer() *Response {
+func (s *fakeBody) response() *Response {
 	return &Response{Status: 200, Length: -1, IsStream: true, Signed: true, Body: s.PipeReader}
 }
 
 // write passes bytes to the reader; a reader that has gone is no matter.
-func (s *source) write(text string) { io.WriteString(s.w, text) }
+func (s *fakeBody) write(text string) { io.WriteString(s.writer, text) }
 
-func (s *source) breakOff() { s.w.CloseWithError(io.ErrUnexpectedEOF) }
+func (s *fakeBody) breakOff() { s.writer.CloseWithError(io.ErrUnexpectedEOF) }
 
 type noObserver struct{}
 
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -10,79 +10,80 @@
 )
 
 const (
-	// silentPart is the part of the longest pause on time after which a stream with a
-	// standing copy is continued there; the rest is for the first event from the copy,
+	// maxPauseShare is the part of the route's maximum pause after which a stream with a standby
+	// copy is continued from the copy. The rest is for the first event from the copy, which takes
 	// some 30 to 50 ms.
-	silentPart = 0.65
-	// silentPauses is how many times the longest pause so far a stream may be silent, so
-	// that an engine that is slow throughout raises no alarm.
-	silentPauses = 1.8
-	// silentLeast bounds the silence from below, also where the route names no pause:
-	// four tokens beside a prompt that is being read take 62 ms.
-	silentLeast = 110 * time.Millisecond
-	// stallSlack is how late the check may run before this process itself is taken to
-	// have stalled. What has arrived meanwhile is then read first.
+	maxPauseShare = 0.65
+	// longestPauseFactor is how many times its longest pause so far a stream may be silent, so
+	// that an engine that is always slow causes no hedge.
+	longestPauseFactor = 1.8
+	// minSilence is the lower bound of the allowed silence, also where the route sets no maximum
+	// pause: four tokens beside a prompt that is being read take 62 ms.
+	minSilence = 110 * time.Millisecond
+	// stallSlack is how late the timer may fire before this process itself is assumed to have
+	// stalled. Events that arrived in the meantime are then read first.
 	stallSlack = 15 * time.Millisecond
 )
 
-// hedge continues a silent stream from its standing copy while its own server may still
-// come back. It belongs to one answer of a server.
+// hedge continues a silent stream from its standby copy while its own server may still resume
+// sending. It belongs to one response of a server.
 //
-// An engine that hangs or is cut off sends no reset; the connection's probes notice after
-// 4 s, while its events come every 30 to 60 ms. The old answer is cut only once the copy
-// answers, so a false alarm costs neither the stream nor an event: those that both bring
-// are passed on once.
+// An engine that hangs or is behind a network partition sends no reset. The connection's
+// keepalive probes detect that after 4 s, while events come every 30 to 60 ms. The old response
+// is canceled only once the standby server responds, so a false alarm costs neither the stream
+// nor an event: events that both servers send are forwarded once.
 type hedge struct {
 	session *session
-	// unwatch ends the wait for silence, abort the attempt to go on too.
-	unwatch, abort context.CancelFunc
-	// over is closed when nothing more comes of it; next is the answer from the copy,
-	// nil if there is none. next is written before over is closed.
-	over chan struct{}
-	next *offer
+	// stopWatching ends the wait for silence, abort also the attempt at the standby server.
+	stopWatching, abort context.CancelFunc
+	// done is closed when the hedge is over; response is the standby server's response, nil if
+	// there is none. response is written before done is closed.
+	done     chan struct{}
+	response *placedResponse
 }
 
-// startHedge watches an answer whose run has a standing copy.
+// startHedge watches a response whose run has a standby copy.
 func (s *session) startHedge(ctx context.Context) *hedge {
 	ctx, abort := context.WithCancel(ctx)
-	watching, unwatch := context.WithCancel(ctx)
-	h := &hedge{session: s, unwatch: unwatch, abort: abort, over: make(chan struct{})}
+	watching, stopWatching := context.WithCancel(ctx)
+	h := &hedge{session: s, stopWatching: stopWatching, abort: abort, done: make(chan struct{})}
 	go func() {
-		defer close(h.over)
+		defer close(h.done)
 		if h.awaitSilence(watching) {
-			h.next = h.goOn(ctx)
+			h.response = h.continueFromStandby(ctx)
 		}
 	}()
 	return h
 }
 
-// await ends the watch and returns the answer from the copy, nil if there is none.
-func (h *hedge) await() *offer {
+// result stops watching and returns the standby server's response, nil if there is none.
+func (h *hedge) result() *placedResponse {
 	if h == nil {
 		return nil
 	}
-	h.unwatch()
-	<-h.over
-	return h.next
+	h.stopWatching()
+	<-h.done
+	return h.response
 }
 
-// discard ends the watch, and the answer from the copy if there is one.
+// discard stops watching and closes the standby server's response if there is one.
 func (h *hedge) discard() {
 	if h == nil {
 		return
 	}
 	h.abort()
-	<-h.over
-	if o := h.next; o != nil {
-		o.answer.Body.Close()
-		o.lease.Release(backends.ResultInconclusive, h.session.Now())
+	<-h.done
+	if placed := h.response; placed != nil {
+		placed.response.Body.Close()
+		placed.reservation.Release(backends.ResultInconclusive, h.session.Now())
 	}
 }
 
-// awaitSilence waits until the stream is silent for too long; false if ctx ends first.
+// awaitSilence waits until the stream has been silent for too long. It returns false if ctx is
+// canceled first.
 func (h *hedge) awaitSilence(ctx context.Context) bool {
 	run, now := h.session.run, h.session.Now
-	t := time.NewTimer(h.session.job.silenceAfter(0))
+	t := time.NewTimer(h.session.job.maxSilence(0))
 	defer t.Stop()
 	for {
 		select {
@@ -90,20 +91,20 @@
 			return false
 		case <-t.C:
 		}
-		heard, longest, begun := run.progress()
-		if !begun {
-			// The engine still reads the prompt.
-			t.Reset(silentLeast)
+		lastEventAt, longestPause, started := run.eventTimes()
+		if !started {
+			// The engine is still reading the prompt.
+			t.Reset(minSilence)
 			continue
 		}
-		allowed := h.session.job.silenceAfter(longest)
-		left := allowed - (now() - heard)
+		maxSilence := h.session.job.maxSilence(longestPause)
+		remaining := maxSilence - (now() - lastEventAt)
 		switch {
-		case left > 0:
-			t.Reset(left)
-		case left < -stallSlack:
-			// The next check finds what was read since, or the same silence.
-			run.excuse(now() - allowed + stallSlack)
+		case remaining > 0:
+			t.Reset(remaining)
+		case remaining < -stallSlack:
+			// The next check sees the events read by then, or the same silence.
+			run.ignoreSilenceBefore(now() - maxSilence + stallSlack)
 			t.Reset(stallSlack)
 		default:
 			return true
@@ -111,82 +112,82 @@
 	}
 }
 
-// silenceAfter is how long a stream may be silent whose longest pause so far is known.
-func (j *job) silenceAfter(longest time.Duration) time.Duration {
-	return max(silentLeast, time.Duration(silentPart*float64(j.route.MaxPause)), time.Duration(silentPauses*float64(longest)))
+// maxSilence returns how long a stream may be silent, given its longest pause so far.
+func (j *job) maxSilence(longestPause time.Duration) time.Duration {
+	return max(minSilence, time.Duration(maxPauseShare*float64(j.route.MaxPause)), time.Duration(longestPauseFactor*float64(longestPause)))
 }
 
-// goOn asks the server of the standing copy to continue, and cuts the old answer if it
-// does.
-func (h *hedge) goOn(ctx context.Context) *offer {
+// continueFromStandby asks the standby server to continue the stream, and cancels the old
+// response if it does.
+func (h *hedge) continueFromStandby(ctx context.Context) *placedResponse {
 	s := h.session
-	if _, held := s.convicted(s.job); held {
+	if _, quarantined := s.quarantined(s.job); quarantined {
 		return nil
 	}
-	c := s.run.takeCover()
-	if c == nil {
+	standby := s.run.takeStandby()
+	if standby == nil {
 		return nil
 	}
-	s.spend(s.job.service)
-	ctx, giveUp := context.WithCancel(ctx)
-	timer := time.AfterFunc(awaitMove, giveUp)
-	next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.run.after(), ResumeFrom: &c.KVCopy})
-	begun := timer.Stop() && err == nil
-	if !begun || !next.streams() {
+	s.forceRetry(s.job.service)
+	ctx, cancel := context.WithCancel(ctx)
+	timer := time.AfterFunc(maxMigrationWait, cancel)
+	next, err := s.send(ctx, s.job, standby.reservation, &Attempt{LastEventID: s.run.lastEvent(), ResumeFrom: &standby.KVCopy})
+	inTime := timer.Stop() && err == nil
+	if !inTime || !next.isStream() {
 		if err == nil {
-			next.answer.Body.Close()
+			next.response.Body.Close()
 		}
-		giveUp()
-		c.lease.Release(missed(err), s.Now())
+		cancel()
+		standby.reservation.Release(copyFailureResult(err), s.Now())
 		return nil
 	}
-	s.job.log.WithFields(logrus.Fields{"server": s.run.host(), "to": c.lease.Server.ID}).Info("silent stream goes on from its standing copy")
+	s.job.log.WithFields(logrus.Fields{"server": s.run.serverID(), "to": standby.reservation.Server.ID}).Info("silent stream resumed from its standby copy")
 	s.Observer.Migrated("hedged")
-	s.run.breakOff()
+	s.run.cancelResponse()
 	return next
 }
 
-// takeCover takes the standing copy over, nil if there is none.
-func (u *run) takeCover() *copied {
+// takeStandby removes the standby copy from the run and returns it, nil if there is none.
+func (u *run) takeStandby() *reservedCopy {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	c := u.cover
-	u.cover = nil
+	c := u.standby
+	u.standby = nil
 	return c
 }
 
-// progress is when the last event came and the longest pause so far; begun is false
-// before the first.
-func (u *run) progress() (heard, longest time.Duration, begun bool) {
+// eventTimes returns the time of the last event and the longest pause so far; started is false
+// before the first event.
+func (u *run) eventTimes() (lastEventAt, longestPause time.Duration, started bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.heard, u.longest, u.made > 0
+	return u.lastEventAt, u.longestPause, u.eventCount > 0
 }
 
-// excuse counts the stream as heard of at a time at the least.
-func (u *run) excuse(at time.Duration) {
+// ignoreSilenceBefore makes the silence of the stream count from the given time or later.
+func (u *run) ignoreSilenceBefore(at time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.heard = max(u.heard, at)
+	u.lastEventAt = max(u.lastEventAt, at)
 }
 
-// after is the last event that the caller has, empty for none.
-func (u *run) after() string {
+// lastEvent returns the id of the last event that the caller has received, empty for none.
+func (u *run) lastEvent() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.lastID
+	return u.lastEventID
 }
 
-// breakOff ends the answer that is being read.
-func (u *run) breakOff() {
+// cancelResponse cancels the response that is being read.
+func (u *run) cancelResponse() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.cut()
+	u.cancel()
 }
 
-// adopt goes on with the answer from a copy in place of another.
-func (s *session) adopt(next, old *offer) {
-	s.job.ran--
-	old.lease.Release(backends.ResultInconclusive, s.Now())
-	s.relocate(s.run, next)
+// switchTo replaces a response by one that resumed the run from a copy.
+func (s *session) switchTo(next, old *placedResponse) {
+	s.job.maybeRun--
+	old.reservation.Release(backends.ResultInconclusive, s.Now())
+	s.relocateRun(s.run, next)
 }
--- a/internal/relay/hedge_test.go
+++ b/internal/relay/hedge_test.go
@@ -11,14 +11,14 @@
 
 // hedged serves a stream with a standing copy at a second engine. play writes the first
 // engine's events; the copy brings those behind the caller's last, up to the tenth.
-func hedged(t *testing.T, w *world, refuse bool, play func(src *source)) *caller {
-	w.server("a", modelService)
-	w.server("b", modelService)
-	w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
-		src := newSource()
+func serveHedged(t *testing.T, f *fixture, refuse bool, writeEvents func(body *fakeBody)) *caller {
+	f.addServer("a", modelService)
+	f.addServer("b", modelService)
+	f.upstream.send = func(ctx context.Context, a *Attempt) (*Response, error) {
+		body := newFakeBody()
 		if a.ResumeFrom == nil {
-			go play(src)
-			return src.answer(), nil
+			go writeEvents(body)
+			return body.response(), nil
 		}
 		if refuse {
 			return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
@@ -26,18 +26,18 @@
 		seq := sequenceAfter(a.LastEventID)
 		go func() {
 			time.Sleep(30 * time.Millisecond)
-			src.write(events(int(seq.last)+1, 10))
-			src.w.Close()
+			body.write(events(int(seq.lastID)+1, 10))
+			body.writer.Close()
 		}()
-		return src.answer(), nil
+		return body.response(), nil
 	}
-	return w.serve(request("/plan/x"))
+	return f.serve(request("/plan/x"))
 }
 
 // paced writes events with a pause behind each.
-func paced(src *source, from, to int, pause time.Duration) {
+func writePaced(body *fakeBody, from, to int, pause time.Duration) {
 	for n := from; n <= to; n++ {
-		src.write(event(n))
+		body.write(event(n))
 		time.Sleep(pause)
 	}
 }
@@ -45,59 +45,59 @@
 // An engine hangs or is cut off in the middle of an answer: no event, no reset. The
 // caller would wait for the connection's probes, 4 s. The stream goes on from its
 // standing copy inside the longest pause that is on time, 180 ms.
-func TestSilentStreamGoesOnInTime(t *testing.T) {
+func TestSilentStreamContinuesFromStandby(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		c := hedged(t, w, false, func(src *source) { paced(src, 1, 4, 40*time.Millisecond) })
-		c.whole(t, events(1, 10))
-		require.Less(t, w.now()-time.Second, 4*40*time.Millisecond+180*time.Millisecond)
-		require.ElementsMatch(t, []string{"a", "b"}, w.up.servers())
+		f := newFixture(t, Config{})
+		c := serveHedged(t, f, false, func(body *fakeBody) { writePaced(body, 1, 4, 40*time.Millisecond) })
+		c.requireWhole(t, events(1, 10))
+		require.Less(t, f.now()-time.Second, 4*40*time.Millisecond+180*time.Millisecond)
+		require.ElementsMatch(t, []string{"a", "b"}, f.upstream.servers())
 	})
 }
 
 // The silence was a pause: the engine goes on just as the copy is asked. The caller gets
 // each event once, from one generation.
-func TestFalseAlarmBringsNoEventTwice(t *testing.T) {
+func TestFalseAlarmDuplicatesNoEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		c := hedged(t, w, false, func(src *source) {
-			paced(src, 1, 4, 40*time.Millisecond)
+		f := newFixture(t, Config{})
+		c := serveHedged(t, f, false, func(body *fakeBody) {
+			writePaced(body, 1, 4, 40*time.Millisecond)
 			time.Sleep(75 * time.Millisecond)
-			paced(src, 5, 10, 2*time.Millisecond)
-			src.w.Close()
+			writePaced(body, 5, 10, 2*time.Millisecond)
+			body.writer.Close()
 		})
-		c.whole(t, events(1, 10))
+		c.requireWhole(t, events(1, 10))
 	})
 }
 
 // The copy is missing. The stream that was silent is not cut: its engine may come back,
 // and does.
-func TestSilentStreamWithoutItsCopyIsLeftAlone(t *testing.T) {
+func TestSilentStreamWithoutStandbyIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		c := hedged(t, w, true, func(src *source) {
-			paced(src, 1, 4, 40*time.Millisecond)
+		f := newFixture(t, Config{})
+		c := serveHedged(t, f, true, func(body *fakeBody) {
+			writePaced(body, 1, 4, 40*time.Millisecond)
 			time.Sleep(time.Second)
-			paced(src, 5, 10, 40*time.Millisecond)
-			src.w.Close()
+			writePaced(body, 5, 10, 40*time.Millisecond)
+			body.writer.Close()
 		})
-		c.whole(t, events(1, 10))
+		c.requireWhole(t, events(1, 10))
 	})
 }
 
 // An engine that is slow throughout raises no alarm: the silence is judged by the
 // stream's own pace.
-func TestSlowStreamIsNotSilent(t *testing.T) {
+func TestSlowStreamIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		c := hedged(t, w, false, func(src *source) {
+		f := newFixture(t, Config{})
+		c := serveHedged(t, f, false, func(body *fakeBody) {
 			for n := 1; n <= 10; n++ {
-				src.write(event(n))
+				body.write(event(n))
 				time.Sleep(time.Duration(60+15*n) * time.Millisecond)
 			}
-			src.w.Close()
+			body.writer.Close()
 		})
-		c.whole(t, events(1, 10))
-		require.Equal(t, 1, len(w.up.servers()))
+		c.requireWhole(t, events(1, 10))
+		require.Equal(t, 1, len(f.upstream.servers()))
 	})
 }
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -19,53 +19,53 @@
 
 // limitedWorld has plain servers that each take so many requests a second; an answer takes
 // 20 ms.
-func limitedWorld(t *testing.T, perSecond float64, servers int) *world {
-	w := newWorld(t, Config{})
+func newRateLimitedFixture(t *testing.T, perSecond float64, servers int) *fixture {
+	f := newFixture(t, Config{})
 	split := []routing.Weighted{{Service: deskService, Weight: 1}}
 	route := func(name string, priority int) *routing.Route {
 		return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Once, Public: true, Priority: priority, Target: 150 * time.Millisecond, Servers: 2, Split: split}
 	}
-	w.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("urgent", 0), route("other", 5)}}, func() {})
-	w.replica.Confirm(w.now())
+	f.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("urgent", 0), route("other", 5)}}, func() {})
+	f.replica.Confirm(f.now())
 	for i := range servers {
-		s := w.server(fmt.Sprint("s", i), deskService)
-		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
+		s := f.addServer(fmt.Sprint("s", i), deskService)
+		f.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
 	}
-	w.up.send = func(context.Context, *Attempt) (*Response, error) {
+	f.upstream.send = func(context.Context, *Attempt) (*Response, error) {
 		time.Sleep(20 * time.Millisecond)
-		return answer(200, "ok"), nil
+		return newResponse(200, "ok"), nil
 	}
-	return w
+	return f
 }
 
 // outcomes are those of requests by their path.
-type outcomes struct {
+type loadResult struct {
 	mu      sync.Mutex
 	served  map[string]int
 	refused map[string]int
 	// longest is how long a request waited that was refused, soonest the least time after
 	// which one may come back.
-	longest, soonest time.Duration
+	longestWait, minRetryAfter time.Duration
 }
 
 // press makes requests for a path, n at once each so often.
-func (w *world) press(o *outcomes, path string, n int, every, lasts time.Duration) {
+func (f *fixture) applyLoad(result *loadResult, path string, n int, interval, duration time.Duration) {
 	var wg sync.WaitGroup
-	for begun := time.Now(); time.Since(begun) < lasts; time.Sleep(every) {
+	for start := time.Now(); time.Since(start) < duration; time.Sleep(interval) {
 		for range n {
 			wg.Go(func() {
-				from := time.Now()
-				c := w.serve(request(path))
-				o.mu.Lock()
-				defer o.mu.Unlock()
+				start := time.Now()
+				c := f.serve(request(path))
+				result.mu.Lock()
+				defer result.mu.Unlock()
 				if c.refusal == nil {
-					o.served[path]++
+					result.served[path]++
 					return
 				}
-				o.refused[path]++
-				o.longest = max(o.longest, time.Since(from))
-				if o.soonest == 0 || c.refusal.RetryAfter < o.soonest {
-					o.soonest = c.refusal.RetryAfter
+				result.refused[path]++
+				result.longestWait = max(result.longestWait, time.Since(start))
+				if result.minRetryAfter == 0 || c.refusal.RetryAfter < result.minRetryAfter {
+					result.minRetryAfter = c.refusal.RetryAfter
 				}
 			})
 		}
@@ -73,155 +73,155 @@
 	wg.Wait()
 }
 
-func newOutcomes() *outcomes {
-	return &outcomes{served: make(map[string]int), refused: make(map[string]int)}
+func newLoadResult() *loadResult {
+	return &loadResult{served: make(map[string]int), refused: make(map[string]int)}
 }
 
 // Guards against callers of a service whose servers all name a limit waiting for what they
 // cannot get, against the urgent ones being served no sooner, and against servers standing idle.
-func TestServiceOfLimitedServersServesTheMostUrgent(t *testing.T) {
+func TestRateLimitedServiceServesMostUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const perSecond, servers, lasts = 10.0, 2, 4 * time.Second
-		w := limitedWorld(t, perSecond, servers)
-		o := newOutcomes()
+		const perSecond, servers, duration = 10.0, 2, 4 * time.Second
+		f := newRateLimitedFixture(t, perSecond, servers)
+		result := newLoadResult()
 		var wg sync.WaitGroup
-		wg.Go(func() { w.press(o, "/urgent/x", 3, 200*time.Millisecond, lasts) })
-		wg.Go(func() { w.press(o, "/other/x", 10, 100*time.Millisecond, lasts) })
+		wg.Go(func() { f.applyLoad(result, "/urgent/x", 3, 200*time.Millisecond, duration) })
+		wg.Go(func() { f.applyLoad(result, "/other/x", 10, 100*time.Millisecond, duration) })
 		wg.Wait()
-		urgent := o.served["/urgent/x"]
-		t.Logf("served %v, refused %v, refused after %v at the most, to come back in %v at the least", o.served, o.refused, o.longest, o.soonest)
-		require.GreaterOrEqual(t, float64(urgent+o.served["/other/x"]), 0.8*perSecond*servers*lasts.Seconds())
-		require.GreaterOrEqual(t, float64(urgent), 0.9*15*lasts.Seconds(), "they take three quarters of the limits")
-		require.LessOrEqual(t, o.longest, 500*time.Millisecond, "half of the time that callers have")
-		require.GreaterOrEqual(t, o.soonest, returnBase)
+		urgent := result.served["/urgent/x"]
+		t.Logf("served %v, refused %v, refused after %v at the most, to come back in %v at the least", result.served, result.refused, result.longestWait, result.minRetryAfter)
+		require.GreaterOrEqual(t, float64(urgent+result.served["/other/x"]), 0.8*perSecond*servers*duration.Seconds())
+		require.GreaterOrEqual(t, float64(urgent), 0.9*15*duration.Seconds(), "they take three quarters of the limits")
+		require.LessOrEqual(t, result.longestWait, 500*time.Millisecond, "half of the time that callers have")
+		require.GreaterOrEqual(t, result.minRetryAfter, retryAfterBase)
 	})
 }
 
 // Guards against a caller waiting in vain for servers that take next to nothing.
-func TestServiceThatTakesNothingRefusesAtOnce(t *testing.T) {
+func TestZeroRateLimitRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := limitedWorld(t, 0, 1)
-		w.serve(request("/urgent/x")).whole(t, "ok")
+		f := newRateLimitedFixture(t, 0, 1)
+		f.serve(request("/urgent/x")).requireWhole(t, "ok")
 		for range 5 {
-			begun := time.Now()
-			c := w.serve(request("/urgent/x"))
-			require.Equal(t, ReasonNoRoom, c.refusal.Reason)
+			start := time.Now()
+			c := f.serve(request("/urgent/x"))
+			require.Equal(t, ReasonNoCapacity, c.refusal.Reason)
 			require.False(t, c.refusal.MayHaveRun)
-			require.Zero(t, time.Since(begun))
+			require.Zero(t, time.Since(start))
 			require.Greater(t, c.refusal.RetryAfter, 5*time.Second, "the next look at the server")
 		}
-		require.Len(t, w.up.sent, 1)
+		require.Len(t, f.upstream.sent, 1)
 	})
 }
 
 // Guards against callers being told to come back in many minutes because this gateway is one of
 // many that take turns at a server.
-func TestCallersOfLimitedServersComeBackSoon(t *testing.T) {
+func TestRetryAfterForRateLimitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := limitedWorld(t, 0.1, 1)
+		f := newRateLimitedFixture(t, 0.1, 1)
 		var others []string
 		for i := range 100 {
 			others = append(others, fmt.Sprint("vm-", i))
 		}
-		w.registry.SetPlace(cells.Place{Self: "self", CellCount: 1, AllPeers: others})
-		c := w.serve(request("/urgent/x"))
-		require.Equal(t, ReasonNoRoom, c.refusal.Reason)
-		require.LessOrEqual(t, c.refusal.RetryAfter, latestReturn+returnSpread)
+		f.registry.SetPlace(cells.Place{Self: "self", CellCount: 1, AllPeers: others})
+		c := f.serve(request("/urgent/x"))
+		require.Equal(t, ReasonNoCapacity, c.refusal.Reason)
+		require.LessOrEqual(t, c.refusal.RetryAfter, maxRateLimitRetryAfter+retryAfterJitter)
 	})
 }
 
 // Guards against requests queueing behind a limit that has ended, or that a further server
 // has made up for.
-func TestLineEndsWithTheLimit(t *testing.T) {
+func TestPacedQueueEndsWithTheRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := limitedWorld(t, 2, 1)
-		o := newOutcomes()
-		go w.press(o, "/urgent/x", 1, 400*time.Millisecond, 2*time.Second)
+		f := newRateLimitedFixture(t, 2, 1)
+		result := newLoadResult()
+		go f.applyLoad(result, "/urgent/x", 1, 400*time.Millisecond, 2*time.Second)
 		time.Sleep(900 * time.Millisecond)
-		w.server("more", deskService)
-		begun := time.Now()
-		w.serve(request("/urgent/x")).whole(t, "ok")
-		require.Less(t, time.Since(begun), 30*time.Millisecond)
+		f.addServer("more", deskService)
+		start := time.Now()
+		f.serve(request("/urgent/x")).requireWhole(t, "ok")
+		require.Less(t, time.Since(start), 30*time.Millisecond)
 		time.Sleep(3 * time.Second)
 	})
 }
 
 // Guards against an answer at hand being held back for a second server that takes no more.
-func TestAnswerAtHandDoesNotWaitForLimitedServers(t *testing.T) {
+func TestAvailableResponseDoesNotWaitForRateLimitedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", deskService)
-		s := w.server("b", deskService)
-		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true}, 0)
-		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(500, "failed"), nil }
+		f := newFixture(t, Config{})
+		f.addServer("a", deskService)
+		s := f.addServer("b", deskService)
+		f.relay.HandleSignals(s, backends.Signals{HasRateLimit: true}, 0)
+		f.upstream.send = func(context.Context, *Attempt) (*Response, error) { return newResponse(500, "failed"), nil }
 		for range 3 {
-			begun := time.Now()
-			require.Equal(t, 500, w.serve(request("/safe/x")).status)
-			require.Zero(t, time.Since(begun))
+			start := time.Now()
+			require.Equal(t, 500, f.serve(request("/safe/x")).status)
+			require.Zero(t, time.Since(start))
 		}
 	})
 }
 
 // Guards against a stream going on from its standing copy at a server that has named a limit
 // since and has had its part.
-func TestCopyAtALimitedServerTakesItsTurn(t *testing.T) {
+func TestStandbyAtRateLimitedServerIsNotUsedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.breakBesideACopy(func(sent *Attempt) {
-			copied := w.entry(strings.TrimSuffix(sent.StandbyAddress, ":1"), modelService)
-			w.relay.HandleSignals(copied, backends.Signals{HasRateLimit: true}, 0)
-			lease := w.registry.Acquire(backends.Query{Service: modelService, Tried: []string{sent.Server.ID}}, w.now())
-			lease.Release(backends.ResultInconclusive, w.now())
+		f := newFixture(t, Config{})
+		f.breakWithUnusableStandby(func(sent *Attempt) {
+			standby := f.newEntry(strings.TrimSuffix(sent.StandbyAddress, ":1"), modelService)
+			f.relay.HandleSignals(standby, backends.Signals{HasRateLimit: true}, 0)
+			reservation := f.registry.Acquire(backends.Query{Service: modelService, Tried: []string{sent.Server.ID}}, f.now())
+			reservation.Release(backends.ResultInconclusive, f.now())
 		})
 	})
 }
 
 // Guards against requests waiting behind one that may have run and has only a server left that
 // rests.
-func TestRequestThatMayHaveRunHoldsUpNobody(t *testing.T) {
+func TestRetriedRequestDoesNotBlockPacedQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		a, b := w.server("a", deskService), w.server("b", deskService)
-		w.relay.HandleSignals(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
-		w.relay.HandleSignals(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
+		f := newFixture(t, Config{})
+		a, b := f.addServer("a", deskService), f.addServer("b", deskService)
+		f.relay.HandleSignals(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
+		f.relay.HandleSignals(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
 		lost := false
-		w.up.send = func(_ context.Context, at *Attempt) (*Response, error) {
+		f.upstream.send = func(_ context.Context, at *Attempt) (*Response, error) {
 			if at.Request.Path == "/safe/x" && !lost {
 				lost = true
 				return nil, io.ErrUnexpectedEOF
 			}
-			return answer(200, "ok"), nil
+			return newResponse(200, "ok"), nil
 		}
 		var wg sync.WaitGroup
-		wg.Go(func() { w.serve(request("/safe/x")).whole(t, "ok") })
+		wg.Go(func() { f.serve(request("/safe/x")).requireWhole(t, "ok") })
 		time.Sleep(100 * time.Millisecond)
 		require.True(t, lost)
 		for range 3 {
-			begun := time.Now()
-			w.serve(request("/once/x")).whole(t, "ok")
-			require.Less(t, time.Since(begun), 60*time.Millisecond)
+			start := time.Now()
+			f.serve(request("/once/x")).requireWhole(t, "ok")
+			require.Less(t, time.Since(start), 60*time.Millisecond)
 		}
 		wg.Wait()
-		require.Equal(t, []string{"a", "a", "a", "a", "b"}, w.up.servers())
+		require.Equal(t, []string{"a", "a", "a", "a", "b"}, f.upstream.servers())
 	})
 }
 
 // Guards against a request that a full server has turned away being refused while others, which
 // take a bounded rate, would take it in time.
-func TestRequestWaitsForLimitedServersBesideAFullOne(t *testing.T) {
+func TestRequestWaitsForRateLimitedServersBesideAFullOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("full", deskService)
-		s := w.server("limited", deskService)
-		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+		f := newFixture(t, Config{})
+		f.addServer("full", deskService)
+		s := f.addServer("limited", deskService)
+		f.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "full" {
 				return nil, &NotRunError{Reason: NotRunFull}
 			}
-			return answer(200, "ok"), nil
+			return newResponse(200, "ok"), nil
 		}
 		for range 3 {
-			w.serve(request("/once/x")).whole(t, "ok")
+			f.serve(request("/once/x")).requireWhole(t, "ok")
 		}
 	})
 }
--- /dev/null
+++ b/internal/relay/migration.go
@@ -0,0 +1,407 @@
+package relay
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"kingcupplank.example/kingcup/backends"
+)
+
+const (
+	// migrationTimeout bounds how long after the start of an evacuation runs continue on the old
+	// server while the links are busy. Reclaimed engines stop 1.5 s or more after their notice,
+	// others run for several seconds.
+	migrationTimeout = 4 * time.Second
+	// maxIdleLinkCopy is the duration of an incremental copy up to which the links count as idle.
+	// A final copy behind another run's whole KV cache (0.2 to 0.4 s) would stop the stream for
+	// as long, beyond the maximum pause.
+	maxIdleLinkCopy = 60 * time.Millisecond
+	// maxCopyTargets is the number of servers tried for a copy; a refusal takes a few ms.
+	maxCopyTargets = 8
+	// maxCopyTargetMemory is the part of a server's memory up to which its expected peak usage
+	// may add up for the server to be preferred for a copy: copies to fuller servers were mostly
+	// refused.
+	maxCopyTargetMemory = 0.9
+	// maxMigrationWait bounds how long a broken stream waits for the migration in progress.
+	maxMigrationWait = 1500 * time.Millisecond
+)
+
+// reservedCopy is a copy of a run's KV cache with the reservation at its server.
+type reservedCopy struct {
+	KVCopy
+	reservation *backends.Reservation
+}
+
+// run is a stream at a server.
+type run struct {
+	job *job
+
+	mu     sync.Mutex
+	server backends.Server
+	// eventCount is the number of events forwarded, lastEventAt the time of the last.
+	eventCount  int
+	lastEventAt time.Duration
+	// lastEventID is the id of the last event, longestPause the longest time between two events.
+	lastEventID  string
+	longestPause time.Duration
+	// cancel cancels the response that is being read.
+	cancel func()
+	// migrating is closed when the migration in progress is over, nil without one.
+	migrating chan struct{}
+	copies    []reservedCopy
+	// standby is the standby copy, nil without one.
+	standby *reservedCopy
+	done    bool
+}
+
+func newRun(j *job) *run { return &run{job: j} }
+
+// canMigrate reports whether the run can be migrated and would be lost otherwise.
+func (u *run) canMigrate() bool {
+	e := u.job.engine
+	return e != nil && e.SupportsMigration && u.job.Generation != nil && !u.job.route.Resumable
+}
+
+func (u *run) recordEvent(p progress, id string, now time.Duration) {
+	u.mu.Lock()
+	u.eventCount, u.longestPause, u.lastEventID, u.lastEventAt = p.events, p.longestPause, id, now
+	u.mu.Unlock()
+}
+
+// setResponse sets the response that is read from now on.
+func (u *run) setResponse(placed *placedResponse) {
+	u.mu.Lock()
+	u.server, u.cancel = placed.reservation.Server, placed.cancel
+	u.mu.Unlock()
+}
+
+// cancelIfSilent cancels the response if it comes from the given server incarnation and has had
+// no event since a time. It reports whether it did.
+func (u *run) cancelIfSilent(s backends.Server, since time.Duration) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.done || !u.server.SameIncarnation(s) || u.lastEventAt > since {
+		return false
+	}
+	u.cancel()
+	return true
+}
+
+// expectedMemory returns the memory, in tokens, that the run is expected to need.
+func (u *run) expectedMemory() int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.job.expectedMemory(u.eventCount)
+}
+
+// remainingEvents returns the expected number of events still to come.
+func (u *run) remainingEvents() int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return max(0, u.job.expectedEvents(u.eventCount)-u.eventCount)
+}
+
+// isAt reports whether the run is still at a server incarnation.
+func (u *run) isAt(s backends.Server) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return !u.done && u.server.SameIncarnation(s)
+}
+
+// serverID returns the id of the run's server.
+func (u *run) serverID() string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.server.ID
+}
+
+// beginMigration marks the run as migrating from a server. It returns false if the run is not
+// there or is migrating already.
+func (u *run) beginMigration(from backends.Server) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.done || u.migrating != nil || !u.server.SameIncarnation(from) {
+		return false
+	}
+	u.migrating = make(chan struct{})
+	return true
+}
+
+func (u *run) endMigration() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	close(u.migrating)
+	u.migrating = nil
+}
+
+// addCopy adds a copy; the newest is tried first. It returns false if the run is over.
+func (u *run) addCopy(c reservedCopy) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.done {
+		return false
+	}
+	u.copies = slices.DeleteFunc(u.copies, func(old reservedCopy) bool { return old.reservation == c.reservation })
+	u.copies = append([]reservedCopy{c}, u.copies...)
+	return true
+}
+
+// takeCopies waits for the migration in progress, removes all copies from the run and returns
+// them. The standby copy is last, as copies of a migration are newer.
+func (u *run) takeCopies(ctx context.Context) []reservedCopy {
+	u.mu.Lock()
+	migrating := u.migrating
+	u.mu.Unlock()
+	if migrating != nil {
+		t := time.NewTimer(maxMigrationWait)
+		defer t.Stop()
+		select {
+		case <-migrating:
+		case <-t.C:
+		case <-ctx.Done():
+		}
+	}
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	out := u.copies
+	u.copies = nil
+	if u.standby != nil {
+		out = append(out, *u.standby)
+		u.standby = nil
+	}
+	return out
+}
+
+// addRun records that a run has started. Its server may have reported that it is leaving before
+// the response began, when Evacuate did not see the run yet.
+func (r *Relay) addRun(u *run) {
+	r.mu.Lock()
+	r.trackRun(u, u.server.ID)
+	r.mu.Unlock()
+	r.evacuateIfLeaving(u.server)
+}
+
+func (r *Relay) trackRun(u *run, server string) {
+	if r.runs[server] == nil {
+		r.runs[server] = make(map[*run]struct{})
+	}
+	r.runs[server][u] = struct{}{}
+}
+
+func (r *Relay) untrackRun(u *run, server string) {
+	delete(r.runs[server], u)
+	if len(r.runs[server]) == 0 {
+		delete(r.runs, server)
+	}
+}
+
+// relocateRun records that the run continues at another server.
+func (r *Relay) relocateRun(u *run, placed *placedResponse) {
+	r.mu.Lock()
+	from := u.serverID()
+	u.setResponse(placed)
+	r.untrackRun(u, from)
+	r.trackRun(u, placed.reservation.Server.ID)
+	r.mu.Unlock()
+	r.evacuateIfLeaving(placed.reservation.Server)
+}
+
+func (r *Relay) evacuateIfLeaving(s backends.Server) {
+	if r.Registry.HasRestarted(s) {
+		r.HandleRestart(s)
+		return
+	}
+	if _, leaving := r.Registry.State(s); leaving {
+		r.Evacuate(s)
+	}
+}
+
+// removeRun removes a run that is over and frees its copies.
+func (r *Relay) removeRun(u *run) {
+	u.mu.Lock()
+	u.done = true
+	server, copies, standby := u.server.ID, u.copies, u.standby
+	u.copies, u.standby = nil, nil
+	u.mu.Unlock()
+	if standby != nil {
+		// The engine frees the copy when the run ends.
+		standby.reservation.Release(backends.ResultInconclusive, r.Now())
+	}
+	r.mu.Lock()
+	r.untrackRun(u, server)
+	r.mu.Unlock()
+	for _, c := range copies {
+		go r.dropCopy(c)
+	}
+}
+
+// dropTimeout bounds the call that frees a copy; a copy that is not freed expires by itself.
+const dropTimeout = time.Second
+
+func (r *Relay) dropCopy(c reservedCopy) {
+	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
+	defer cancel()
+	r.Upstream.DropCopy(ctx, c.KVCopy)
+	c.reservation.Release(backends.ResultInconclusive, r.Now())
+}
+
+// Evacuate migrates the runs of a server that is leaving. It does not block.
+func (r *Relay) Evacuate(s backends.Server) {
+	runs := r.migratableRuns(s)
+	if len(runs) == 0 {
+		return
+	}
+	r.Log.WithFields(logrus.Fields{"server": s.ID, "runs": len(runs)}).Info("migrating runs off a leaving server")
+	go r.evacuate(s, runs)
+}
+
+// migratableRuns returns the runs to migrate off a server, those with the most remaining events
+// first: runs that are about to end by themselves come last.
+func (r *Relay) migratableRuns(s backends.Server) []*run {
+	runs := slices.DeleteFunc(r.runsAt(s), func(u *run) bool {
+		_, quarantined := r.quarantined(u.job)
+		return quarantined || !u.canMigrate()
+	})
+	slices.SortFunc(runs, func(a, b *run) int { return cmp.Compare(b.remainingEvents(), a.remainingEvents()) })
+	return runs
+}
+
+// evacuate copies all runs before it stops any: a copy takes time in proportion to the run's KV
+// cache, and copies queue on the server's link.
+func (r *Relay) evacuate(s backends.Server, runs []*run) {
+	ctx, cancel := context.WithTimeout(context.Background(), migrationTimeout+maxMigrationWait)
+	defer cancel()
+	deadline := time.Now().Add(migrationTimeout)
+	var migrations []*migration
+	for _, u := range runs {
+		if !u.beginMigration(s) {
+			continue
+		}
+		m := &migration{relay: r, run: u, from: s}
+		if m.copy(ctx) {
+			migrations = append(migrations, m)
+		} else {
+			u.endMigration()
+		}
+	}
+	var wg sync.WaitGroup
+	for _, m := range migrations {
+		wg.Go(func() {
+			defer m.run.endMigration()
+			m.finish(ctx, deadline)
+		})
+	}
+	wg.Wait()
+}
+
+// migration moves one run from a server to another.
+type migration struct {
+	relay  *Relay
+	run    *run
+	from   backends.Server
+	target reservedCopy
+	tried  []string
+}
+
+// copy copies the run's KV cache to a server with capacity while the run continues.
+func (m *migration) copy(ctx context.Context) bool {
+	m.tried = []string{m.from.ID}
+	for range maxCopyTargets {
+		reservation := m.reserveTarget()
+		if reservation == nil {
+			return false
+		}
+		m.target = reservedCopy{reservation: reservation}
+		_, err := m.transfer(ctx, false)
+		if err == nil {
+			reservation.FinishCopy()
+			return true
+		}
+		reservation.Release(backends.ResultInconclusive, m.relay.Now())
+		if !errors.Is(err, ErrNoCapacity) {
+			return false
+		}
+		m.tried = append(m.tried, reservation.Server.ID)
+	}
+	return false
+}
+
+// reserveTarget reserves a server for the copy: one that has capacity for the run, or else any
+// that has not refused.
+//
+// All gateways learn of a leaving server within milliseconds and copy its runs at the same time.
+// With the same view of the loads they would all choose the same few servers: a server that had
+// just started was sent four copies, and callers whose requests were sent there waited 5 s. So
+// each gateway prefers servers for which it has the turn, as long as they are in the same failure
+// domain.
+func (m *migration) reserveTarget() *backends.Reservation {
+	r := m.relay
+	q := r.serverQuery(m.run.job)
+	q.ExpectedTokens, q.Tried, q.MaxMemoryUse = m.run.expectedMemory(), m.tried, maxCopyTargetMemory
+	q.ForCopy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
+	q.PreferredDomain = m.from.FailureDomain
+	preferred := q
+	preferred.Turns, preferred.SameDomainOnly = r.Peers.MigrationTurns(m.from.FailureDomain), true
+	unbounded := q
+	unbounded.MaxMemoryUse = 0
+	for _, q := range []backends.Query{preferred, q, unbounded} {
+		if reservation := r.Registry.Acquire(q, r.Now()); reservation != nil {
+			r.Peers.Notify()
+			return reservation
+		}
+	}
+	return nil
+}
+
+// finish stops the run at its server once the links are idle, so that the stream resumes from the
+// copy. While the links are busy the copy is only updated. If the server stops first, the stream
+// resumes from the copy and computes what is missing in a few ms, whereas a queued final copy
+// would stop the stream until the other copies are done.
+func (m *migration) finish(ctx context.Context, deadline time.Time) {
+	for time.Now().Before(deadline) && m.run.isAt(m.from) {
+		took, err := m.transfer(ctx, false)
+		if err != nil {
+			return
+		}
+		if took < maxIdleLinkCopy {
+			break
+		}
+	}
+	if m.run.isAt(m.from) {
+		m.transfer(ctx, true)
+	}
+}
+
+// transfer makes one copy call and records the returned handle.
+func (m *migration) transfer(ctx context.Context, final bool) (took time.Duration, err error) {
+	start := time.Now()
+	to := m.target.reservation.Server
+	handle, err := m.relay.Upstream.CopyRun(ctx, m.from, m.run.job.ID, to.Address, final)
+	took = time.Since(start)
+	entry := m.run.job.log.WithFields(logrus.Fields{"server": m.from.ID, "to": to.ID, "final": final, "took_ms": took.Milliseconds()})
+	if err != nil {
+		entry.WithError(err).Info("run not copied")
+		m.relay.Observer.Migrated("failed")
+	} else {
+		entry.Info("run copied")
+		m.relay.Observer.Migrated("copied")
+	}
+	if handle == "" {
+		return took, err
+	}
+	c := reservedCopy{KVCopy: KVCopy{Source: m.from.Address, Handle: handle}, reservation: m.target.reservation}
+	if err != nil && final {
+		// The run has stopped and only its own server has its KV cache.
+		c.reservation = m.relay.Registry.ReserveAt(m.from, m.run.expectedMemory())
+	}
+	if c.reservation != nil && !m.run.addCopy(c) {
+		go m.relay.dropCopy(c)
+	}
+	return took, err
+}
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -6,17 +6,19 @@
 	"kingcupplank.example/kingcup/forecast"
 )
 
-// outputs estimates the lengths of the generations of each route. It is safe for
-// concurrent use; its lock is a leaf.
-type outputs struct {
+// outputForecasts estimates the lengths of the generations of each route. It is safe for
+// concurrent use; no other lock is taken while its mu is locked.
+type outputForecasts struct {
 	mu      sync.Mutex
 	byRoute map[string]*forecast.Outputs
 }
 
-func newOutputs() *outputs { return &outputs{byRoute: make(map[string]*forecast.Outputs)} }
+func newOutputForecasts() *outputForecasts {
+	return &outputForecasts{byRoute: make(map[string]*forecast.Outputs)}
+}
 
-// of returns the estimator of a route; mu is held.
-func (o *outputs) of(route string) *forecast.Outputs {
+// forRoute returns the estimator of a route; mu must be locked.
+func (o *outputForecasts) forRoute(route string) *forecast.Outputs {
 	f := o.byRoute[route]
 	if f == nil {
 		f = forecast.NewOutputs()
@@ -25,57 +27,60 @@
 	return f
 }
 
-func (o *outputs) expect(route string, said forecast.CallerHint, made int) int {
+func (o *outputForecasts) expect(route string, hint forecast.CallerHint, tokens int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(route).ExpectedTokens(said, made)
+	return o.forRoute(route).ExpectedTokens(hint, tokens)
 }
 
-func (o *outputs) observe(route string, tokens int, said forecast.CallerHint) {
+func (o *outputForecasts) observe(route string, tokens int, hint forecast.CallerHint) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.of(route).Observe(tokens, said)
+	o.forRoute(route).Observe(tokens, hint)
 }
 
-// said is what the caller says of its generation's output.
-func (j *job) said() forecast.CallerHint {
+// callerHint returns what the caller stated about the length of its generation.
+func (j *job) callerHint() forecast.CallerHint {
 	return forecast.CallerHint{EstimatedTokens: j.Generation.Hint, MaxTokens: j.Generation.MaxOutput}
 }
 
-// perEvent is the number of tokens in an event.
-func (j *job) perEvent() int {
+// tokensPerEvent returns the number of tokens in an event.
+func (j *job) tokensPerEvent() int {
 	if j.engine == nil {
 		return 1
 	}
 	return max(1, j.engine.TokensPerEvent)
 }
 
-// expect is the expected output, in tokens, of a generation that has made some
-// events.
-func (j *job) expect(made int) int {
-	return j.outputs.expect(j.route.Name, j.said(), made*j.perEvent())
+// expectedTokens returns the expected total output, in tokens, of a generation that has produced
+// eventCount events.
+func (j *job) expectedTokens(eventCount int) int {
+	return j.forecasts.expect(j.route.Name, j.callerHint(), eventCount*j.tokensPerEvent())
 }
 
-// events is the expected number of events of a generation that has made some.
-func (j *job) events(made int) int { return j.expect(made) / j.perEvent() }
+// expectedEvents returns the expected total number of events of a generation that has produced
+// eventCount events.
+func (j *job) expectedEvents(eventCount int) int {
+	return j.expectedTokens(eventCount) / j.tokensPerEvent()
+}
 
 const (
-	// growthAhead is how many tokens of a run's growth are counted as memory in use:
-	// three seconds at the usual pace. Counting all that a run will ever make leaves
-	// a tenth of each engine empty, as runs of a batch do not peak together: in three
-	// seconds a third of them ends, and each frees ten times that much.
-	growthAhead = 300
-	// reviseEvery is the events after which a run's memory is counted anew: half a
-	// second at the usual pace.
-	reviseEvery = 12
+	// maxCountedGrowth is the number of tokens of a run's future growth that count as memory in
+	// use: three seconds at the usual pace. Counting the whole expected output leaves a tenth of
+	// each engine empty, as the runs of a batch do not peak at the same time: in three seconds a
+	// third of them ends, and each frees ten times that much.
+	maxCountedGrowth = 300
+	// memoryUpdateInterval is the number of events after which a run's expected memory is
+	// updated: half a second at the usual pace.
+	memoryUpdateInterval = 12
 )
 
-// memory is the memory, in tokens, that a generation which has made some events is
-// taken to need.
-func (j *job) memory(made int) int {
+// expectedMemory returns the memory, in tokens, that a generation which has produced eventCount
+// events is expected to need.
+func (j *job) expectedMemory(eventCount int) int {
 	if j.Generation == nil {
 		return 0
 	}
-	tokens := made * j.perEvent()
-	return j.prompt() + tokens + min(growthAhead, j.expect(made)-tokens)
+	tokens := eventCount * j.tokensPerEvent()
+	return j.promptTokens() + tokens + min(maxCountedGrowth, j.expectedTokens(eventCount)-tokens)
 }
--- /dev/null
+++ b/internal/relay/pacedqueue.go
@@ -0,0 +1,115 @@
+package relay
+
+import (
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"kingcupplank.example/kingcup/backends"
+	"kingcupplank.example/kingcup/flow"
+)
+
+// pacedQueue is the queue of plain requests for a service whose servers are all rate-limited or
+// backing off. The most urgent request goes first. A request that cannot get its turn in time is
+// refused at once: waiting would cost its caller the time to go elsewhere or to retry.
+type pacedQueue struct {
+	mu    sync.Mutex
+	queue *flow.Queue
+}
+
+func (r *Relay) pacedQueue(service string) *pacedQueue {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	pq := r.pacedQueues[service]
+	if pq == nil {
+		pq = &pacedQueue{queue: flow.NewQueue(1)}
+		r.pacedQueues[service] = pq
+	}
+	return pq
+}
+
+// canAskServers reports whether a request, queued or not, may ask for a server now. A request
+// that may have run does not queue, as it would block the others for the few servers that it has
+// left. The queue is not used once a server without rate limit is available.
+func (r *Relay) canAskServers(j *job, pq *pacedQueue, w *flow.Waiter) bool {
+	return j.maybeRun > 0 || pq.isHead(w, r.Now()) || r.availability(j).HasUnlimited
+}
+
+// joinPacedQueue queues a request if all its servers are rate-limited or backing off. It returns
+// a refusal if the request's turn would come too late, nil otherwise.
+func (r *Relay) joinPacedQueue(j *job, pq *pacedQueue, w *flow.Waiter, p backends.Availability) *Refusal {
+	if !p.MustWait() {
+		return nil
+	}
+	if j.maybeRun == 0 {
+		pq.add(w)
+	}
+	if wait := pq.estimateWait(w, p, r.Now()); r.Now()+wait > w.DispatchDeadline {
+		return r.refuseLateTurn(j, p, wait)
+	}
+	return nil
+}
+
+// isHead reports whether a request is the first of the queue or the queue is empty.
+func (pq *pacedQueue) isHead(w *flow.Waiter, now time.Duration) bool {
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	next := pq.queue.Next(now)
+	return next == nil || next == w
+}
+
+// add adds a request unless it is queued already.
+func (pq *pacedQueue) add(w *flow.Waiter) {
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	if !pq.queue.Contains(w) {
+		pq.queue.Add(w)
+	}
+}
+
+// remove removes a request; nil is ignored.
+func (pq *pacedQueue) remove(w *flow.Waiter, now time.Duration) {
+	if w == nil {
+		return
+	}
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	pq.queue.Remove(w, false, now)
+}
+
+// estimateWait estimates how long a request waits for its turn.
+func (pq *pacedQueue) estimateWait(w *flow.Waiter, p backends.Availability, now time.Duration) time.Duration {
+	if !p.HasRateLimited {
+		return p.BackoffWait
+	}
+	pq.mu.Lock()
+	pq.queue.SetRate(p.PerSecond)
+	wait := p.RateWait + pq.queue.EstimateWait(w, now)
+	pq.mu.Unlock()
+	if p.HasBackingOff {
+		wait = min(wait, p.BackoffWait)
+	}
+	return wait
+}
+
+// pacedWaiter returns the queue entry of a plain request.
+func (r *Relay) pacedWaiter(j *job) *flow.Waiter {
+	dispatchDeadline := j.arrived + max(j.maxWait(), r.maxPacedWait(j))
+	return &flow.Waiter{Priority: j.priority, PromptTokens: 1, Arrived: j.arrived, OnTimeDeadline: dispatchDeadline, DispatchDeadline: dispatchDeadline}
+}
+
+// maxRateLimitRetryAfter bounds the retry time because of rate limits: the rate limit may end,
+// and the retry may reach another gateway that has its turn sooner.
+const maxRateLimitRetryAfter = 10 * time.Second
+
+// refuseLateTurn refuses a request whose turn would come too late.
+func (r *Relay) refuseLateTurn(j *job, p backends.Availability, wait time.Duration) *Refusal {
+	f := r.refuse(j, ReasonNoCapacity)
+	if p.HasRateLimited {
+		wait = min(wait, maxRateLimitRetryAfter)
+	}
+	if !f.MayHaveRun {
+		f.RetryAfter = max(f.RetryAfter, wait+time.Duration(rand.Float64()*float64(retryAfterJitter)))
+	}
+	return f
+}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -13,117 +13,116 @@
 )
 
 const (
-	// roomPoll is the wait before servers that refused are asked again. A batch of
-	// a few dozen generations of seconds each frees a place every 100 to 200 ms.
-	roomPoll = 150 * time.Millisecond
-	// pacePoll is the wait before servers are asked again that are cold: they take a request
-	// each few ms, by turns of all gateways.
-	pacePoll = 10 * time.Millisecond
-	// patienceShare is the part of a route's target that a request may wait for a
-	// server with room; the rest is needed to run it on time.
-	patienceShare = 0.5
-	// defaultPatience stands where a route has no target.
-	defaultPatience = 500 * time.Millisecond
-	// returnBase and returnSpread give when a refused caller may come back: not
-	// before running generations have had time to end, and not all at once.
-	returnBase   = 400 * time.Millisecond
-	returnSpread = 800 * time.Millisecond
-	// cordonReturn is when a caller may come back whose servers are all cordoned: operators
-	// empty a failure domain for seconds at least.
-	cordonReturn = 2 * time.Second
-	// leastLeft is the time below which a request is not sent to another server:
-	// no answer could arrive in it.
-	leastLeft = 20 * time.Millisecond
+	// fullRetryInterval is the wait before servers that refused are asked again. A batch of a few
+	// dozen generations of seconds each frees a slot every 100 to 200 ms.
+	fullRetryInterval = 150 * time.Millisecond
+	// pacedRetryInterval is the wait before rate-limited and cold servers are asked again: they
+	// take a request every few ms, and the gateways take turns.
+	pacedRetryInterval = 10 * time.Millisecond
+	// maxWaitShare is the part of a route's target latency that a request may wait for a server
+	// with capacity; the rest is needed to run it in time.
+	maxWaitShare = 0.5
+	// defaultMaxWait applies where a route has no target latency.
+	defaultMaxWait = 500 * time.Millisecond
+	// retryAfterBase and retryAfterJitter give the retry time of refused callers: running
+	// generations need time to end, and callers must not all retry at once.
+	retryAfterBase   = 400 * time.Millisecond
+	retryAfterJitter = 800 * time.Millisecond
+	// cordonedRetryAfter is the retry time if all servers are cordoned: operators evacuate a
+	// failure domain for seconds at least.
+	cordonedRetryAfter = 2 * time.Second
+	// minTimeLeft is the remaining time below which a request is not sent to another server: no
+	// response could arrive in it.
+	minTimeLeft = 20 * time.Millisecond
 )
 
-// offer is a server's answer, and the lease that counts the request there.
-type offer struct {
-	lease  *backends.Reservation
-	answer *Response
-	// cut breaks the answer off.
-	cut context.CancelFunc
-	// cover counts the run's standing copy, nil without one.
-	cover *backends.Reservation
+// placedResponse is a server's response with the reservation that counts the request there.
+type placedResponse struct {
+	reservation *backends.Reservation
+	response    *Response
+	// cancel cancels the response.
+	cancel context.CancelFunc
+	// standby is the reservation of the run's standby copy, nil without one.
+	standby *backends.Reservation
 }
 
-// place asks servers until one answers. A server that certainly did not run the
-// request is followed by another; one whose outcome is unknown only where the
-// request may run again.
-func (r *Relay) place(ctx context.Context, j *job, after string) (*offer, *Refusal) {
-	if j.sent == 0 {
-		r.first(j.service)
+// place asks servers until one responds. After a server that certainly did not run the request,
+// another one is asked; after an unknown outcome, only if the request may run again.
+func (r *Relay) place(ctx context.Context, j *job, lastEventID string) (*placedResponse, *Refusal) {
+	if j.attempts == 0 {
+		r.recordFirstAttempt(j.service)
 	}
 	for {
-		lease, refusal := r.acquire(ctx, j)
+		reservation, refusal := r.acquire(ctx, j)
 		if refusal != nil {
 			return nil, refusal
 		}
-		if left, held := r.held(j); held {
-			lease.Release(backends.ResultInconclusive, r.Now())
-			return nil, j.refuseHeld(left)
+		if retryAfter, quarantined := r.mustNotSend(j); quarantined {
+			reservation.Release(backends.ResultInconclusive, r.Now())
+			return nil, j.quarantineRefusal(retryAfter)
 		}
-		if j.reached > 0 && !r.repeat(j.service) {
-			lease.Release(backends.ResultInconclusive, r.Now())
-			j.log.WithField("sent", j.sent).Warn("retry budget is used up")
-			return nil, r.refuse(j, ReasonNoRoom)
+		if j.arrivals > 0 && !r.takeRetry(j.service) {
+			reservation.Release(backends.ResultInconclusive, r.Now())
+			j.log.WithField("sent", j.attempts).Warn("retry budget is used up")
+			return nil, r.refuse(j, ReasonNoCapacity)
 		}
-		o, used, err := r.sendRaced(ctx, j, lease, &Attempt{LastEventID: after})
+		placed, used, err := r.sendWithRace(ctx, j, reservation, &Attempt{LastEventID: lastEventID})
 		if err == nil {
-			return o, nil
+			return placed, nil
 		}
-		if refusal := r.passOver(ctx, j, used, err); refusal != nil {
+		if refusal := r.handleFailedAttempt(ctx, j, used, err); refusal != nil {
 			return nil, refusal
 		}
 	}
 }
 
-// passOver judges a failed attempt. It returns nil if another server may be
-// asked.
-func (r *Relay) passOver(ctx context.Context, j *job, lease *backends.Reservation, err error) *Refusal {
-	id := lease.Server.ID
-	j.tried = append(j.tried, id)
+// handleFailedAttempt records a failed attempt. It returns nil if another server may be asked.
+func (r *Relay) handleFailedAttempt(ctx context.Context, j *job, reservation *backends.Reservation, err error) *Refusal {
+	id := reservation.Server.ID
+	j.excluded = append(j.excluded, id)
 	var refused *NotRunError
 	if errors.As(err, &refused) {
 		r.Observer.AttemptFailed(j.service, string(refused.Reason))
-		lease.Release(resultOf(refused.Reason), r.Now())
-		r.unreached(j, refused.Reason)
+		reservation.Release(resultForReason(refused.Reason), r.Now())
+		r.discountAttempt(j, refused.Reason)
 		if refused.Reason == NotRunReplaced {
-			r.Registry.MarkReplaced(lease.Server)
+			r.Registry.MarkReplaced(reservation.Server)
 		}
-		if ctx.Err() != nil || j.left() < leastLeft {
+		if ctx.Err() != nil || j.timeLeft() < minTimeLeft {
 			return r.refuse(j, ReasonDeadline)
 		}
 		return nil
 	}
-	j.ran++
+	j.maybeRun++
 	if ctx.Err() != nil {
-		lease.Release(backends.ResultInconclusive, r.Now())
+		reservation.Release(backends.ResultInconclusive, r.Now())
 		return r.refuse(j, ReasonDeadline)
 	}
 	r.Observer.AttemptFailed(j.service, "lost")
-	lease.Release(backends.ResultLost, r.Now())
+	reservation.Release(backends.ResultLost, r.Now())
 	r.Peers.Notify()
-	r.broke(ctx, j, lease.Server)
-	if !j.mayRepeat() {
-		return r.refuse(j, ReasonLost)
+	r.handleBrokenResponse(ctx, j, reservation.Server)
+	if !j.canRetry() {
+		return r.refuse(j, ReasonServerLost)
 	}
 	return nil
 }
 
-// unreached takes back what an attempt counts for that never arrived at a server. Callers
-// would be refused for a budget that protects servers which are not there. Others are told of
-// a server that has ended: each would find out by attempts of its own.
-func (r *Relay) unreached(j *job, why NotRunReason) {
-	if why == NotRunUnreachable || why == NotRunDown {
-		j.reached--
+// discountAttempt does not count an attempt that never reached a server towards the retry budget.
+// The budget protects servers that are up, and callers would be refused for servers that are
+// down. Peers are notified of a server that is down, as each would find out only by attempts of
+// its own.
+func (r *Relay) discountAttempt(j *job, reason NotRunReason) {
+	if reason == NotRunUnreachable || reason == NotRunDown {
+		j.arrivals--
 	}
-	if why == NotRunDown {
+	if reason == NotRunDown {
 		r.Peers.Notify()
 	}
 }
 
-func resultOf(why NotRunReason) backends.Result {
-	switch why {
+func resultForReason(reason NotRunReason) backends.Result {
+	switch reason {
 	case NotRunFull:
 		return backends.ResultFull
 	case NotRunUnreachable:
@@ -134,12 +133,12 @@
 	return backends.ResultInconclusive
 }
 
-// mayRepeat reports whether the request may run once more.
-func (j *job) mayRepeat() bool {
-	return j.route.Repeatable() && j.ran < j.route.Servers && j.left() > leastLeft
+// canRetry reports whether the request may run once more.
+func (j *job) canRetry() bool {
+	return j.route.Repeatable() && j.maybeRun < j.route.Servers && j.timeLeft() > minTimeLeft
 }
 
-// acquire takes a lease on a server, waiting a while for one with room.
+// acquire reserves a server, waiting for a limited time for one with capacity.
 func (r *Relay) acquire(ctx context.Context, j *job) (*backends.Reservation, *Refusal) {
 	if j.engine != nil && j.Generation != nil {
 		return r.acquireEngine(ctx, j)
@@ -147,100 +146,100 @@
 	return r.acquirePlain(ctx, j)
 }
 
-// acquirePlain takes a server for a request that waits for no engine.
+// acquirePlain reserves a server for a request that does not need an engine.
 func (r *Relay) acquirePlain(ctx context.Context, j *job) (*backends.Reservation, *Refusal) {
-	l := r.line(j.service)
+	pq := r.pacedQueue(j.service)
 	var w *flow.Waiter
-	defer func() { l.leave(w, r.Now()) }()
+	defer func() { pq.remove(w, r.Now()) }()
 	for {
-		if r.mayAsk(j, l, w) {
-			q := r.query(j)
-			q.ExpectedTokens, q.PromptTokens, q.Spill = j.memory(0), j.prompt(), true
-			if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
-				return lease, nil
+		if r.canAskServers(j, pq, w) {
+			q := r.serverQuery(j)
+			q.ExpectedTokens, q.PromptTokens, q.Spill = j.expectedMemory(0), j.promptTokens(), true
+			if reservation := r.Registry.Acquire(q, r.Now()); reservation != nil {
+				return reservation, nil
 			}
 		}
-		if refusal := r.cordoned(j); refusal != nil {
+		if refusal := r.refuseIfCordoned(j); refusal != nil {
 			return nil, refusal
 		}
-		poll, until := roomPoll, j.arrived+j.patience()
-		if pace := r.paceOf(j); pace.HasRateLimited || pace.HasBackingOff {
-			if j.hasAnswer {
-				return nil, r.refuse(j, ReasonNoRoom)
+		interval, waitUntil := fullRetryInterval, j.arrived+j.maxWait()
+		if pace := r.availability(j); pace.HasRateLimited || pace.HasBackingOff {
+			if j.hasResponse {
+				return nil, r.refuse(j, ReasonNoCapacity)
 			}
 			if w == nil {
-				w = r.lineWaiter(j)
+				w = r.pacedWaiter(j)
 			}
-			if refusal := r.standInLine(j, l, w, pace); refusal != nil {
+			if refusal := r.joinPacedQueue(j, pq, w, pace); refusal != nil {
 				return nil, refusal
 			}
-			poll, until = pacePoll, w.DispatchDeadline
+			interval, waitUntil = pacedRetryInterval, w.DispatchDeadline
 		}
-		if r.Now()+poll > until || j.left() < poll {
+		if r.Now()+interval > waitUntil || j.timeLeft() < interval {
 			return nil, r.refuseUnplaced(j)
 		}
-		if !wait.For(ctx, poll) {
+		if !wait.For(ctx, interval) {
 			return nil, r.refuse(j, ReasonDeadline)
 		}
-		j.tryAgain()
+		j.resetExcluded()
 	}
 }
 
-// refuseUnplaced refuses a request that found no server in the time that it may wait.
+// refuseUnplaced refuses a request that found no server in its maximum wait.
 func (r *Relay) refuseUnplaced(j *job) *Refusal {
 	if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 {
 		return r.refuse(j, ReasonNoServer)
 	}
-	return r.refuse(j, ReasonNoRoom)
+	return r.refuse(j, ReasonNoCapacity)
 }
 
-// paceOf is at what rate servers take requests like this one.
-func (r *Relay) paceOf(j *job) backends.Availability {
+// availability returns at what rate servers accept requests like this one.
+func (r *Relay) availability(j *job) backends.Availability {
 	return r.Registry.Availability(j.service, j.regions, r.Peers.SharedClock(), r.Now())
 }
 
-// paceWait is how long a request may wait for cold servers from its arrival: half of the time
-// that it had, as the other half may be needed to run it there.
-func (r *Relay) paceWait(j *job) time.Duration {
-	return (r.Now() - j.arrived + j.left()) / 2
+// maxPacedWait is how long after its arrival a request may wait for rate-limited or cold servers:
+// half of its total time, as the other half may be needed to run it.
+func (r *Relay) maxPacedWait(j *job) time.Duration {
+	return (r.Now() - j.arrived + j.timeLeft()) / 2
 }
 
-// query asks for a server for a request.
-func (r *Relay) query(j *job) backends.Query {
-	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, SharedTime: r.Peers.SharedClock(), Draw: rand.Uint64()}
+// serverQuery returns the query for a server.
+func (r *Relay) serverQuery(j *job) backends.Query {
+	return backends.Query{Service: j.service, Tried: j.excluded, Regions: j.regions, SharedTime: r.Peers.SharedClock(), Draw: rand.Uint64()}
 }
 
-// cordoned refuses a request whose servers are all in cordoned failure domains: waiting does
-// not help it. It returns nil otherwise.
-func (r *Relay) cordoned(j *job) *Refusal {
+// refuseIfCordoned returns a refusal if all servers of a request are in cordoned failure domains,
+// where waiting does not help, and nil otherwise.
+func (r *Relay) refuseIfCordoned(j *job) *Refusal {
 	ready, cordoned := r.Registry.CountReadyWithin(j.service, j.regions)
 	if ready > 0 || cordoned == 0 {
 		return nil
 	}
 	f := r.refuse(j, ReasonCordoned)
 	if !f.MayHaveRun {
-		f.RetryAfter = cordonReturn + time.Duration(rand.Float64()*float64(returnSpread))
+		f.RetryAfter = cordonedRetryAfter + time.Duration(rand.Float64()*float64(retryAfterJitter))
 	}
 	return f
 }
 
-func (j *job) patience() time.Duration {
+func (j *job) maxWait() time.Duration {
 	if j.route.Target <= 0 {
-		return defaultPatience
+		return defaultMaxWait
 	}
-	return time.Duration(patienceShare * float64(j.route.Target))
+	return time.Duration(maxWaitShare * float64(j.route.Target))
 }
 
-// refuse is the refusal of a request that may have been sent before.
-func (r *Relay) refuse(j *job, why Reason) *Refusal {
-	f := &Refusal{Reason: why, MayHaveRun: j.ran > 0}
+// refuse returns the refusal of a request that may have been sent before.
+func (r *Relay) refuse(j *job, reason Reason) *Refusal {
+	f := &Refusal{Reason: reason, MayHaveRun: j.maybeRun > 0}
 	if !f.MayHaveRun {
-		f.RetryAfter = returnBase + time.Duration(rand.Float64()*float64(returnSpread))
+		f.RetryAfter = retryAfterBase + time.Duration(rand.Float64()*float64(retryAfterJitter))
 	}
 	return f
 }
 
-func (j *job) prompt() int {
+func (j *job) promptTokens() int {
 	if j.Generation == nil {
 		return 0
 	}
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -8,132 +8,132 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// wholeUpTo is the size in bytes up to which an answer is read whole before it is
-// passed on. A spoilt one can then be replaced by another server's; longer ones
-// pass through and are broken off where they break.
-const wholeUpTo = 64 << 10
+// maxBufferedSize is the size in bytes up to which a response is read completely before it is
+// forwarded, so that an invalid one can be replaced by another server's. Longer responses are
+// streamed and aborted where they break.
+const maxBufferedSize = 64 << 10
 
 // Outcomes of requests, for logs and metrics.
 const (
 	OutcomeAnswered   = "answered"
-	OutcomeBrokenOff  = "broken off"
+	OutcomeAborted    = "broken off"
 	OutcomeCallerGone = "caller left"
 	OutcomeTimeout    = "time is up"
 )
 
-// plain answers a request whose answer is one body.
+// plain answers a request whose response is one body.
 func (r *Relay) plain(ctx context.Context, j *job, out Responder) string {
-	var spare *whole
+	var fallback *bufferedResponse
 	for {
-		o, refusal := r.place(ctx, j, "")
+		placed, refusal := r.place(ctx, j, "")
 		if refusal != nil {
-			if spare != nil {
-				return r.deliver(spare, out)
+			if fallback != nil {
+				return r.deliver(fallback, out)
 			}
-			return r.giveUp(ctx, j, *refusal, out)
+			return r.sendRefusal(ctx, j, *refusal, out)
 		}
-		w, err := readWhole(o.answer)
-		if err == nil && w.proper() {
+		response, err := bufferResponse(placed.response)
+		if err == nil && response.isValid() {
 			r.Observer.FirstByte(j.team, j.service, j.route.Kind, r.Now()-j.arrived)
-			if w.failed() {
-				o.lease.Release(backends.ResultFailed, r.Now())
-				if j.mayRepeat() && !w.more {
+			if response.isServerError() {
+				placed.reservation.Release(backends.ResultFailed, r.Now())
+				if j.canRetry() && !response.hasMore {
 					r.Observer.AttemptFailed(j.service, "server error")
-					j.tried = append(j.tried, o.lease.Server.ID)
-					spare, j.hasAnswer = w, true
+					j.excluded = append(j.excluded, placed.reservation.Server.ID)
+					fallback, j.hasResponse = response, true
 					continue
 				}
 			} else {
-				o.lease.Release(backends.ResultOK, r.Now())
-				r.answered(j)
+				placed.reservation.Release(backends.ResultOK, r.Now())
+				r.recordAnswered(j)
 			}
-			return r.deliver(w, out)
+			return r.deliver(response, out)
 		}
 		if ctx.Err() != nil {
-			o.lease.Release(backends.ResultInconclusive, r.Now())
-			return r.giveUp(ctx, j, *r.refuse(j, ReasonDeadline), out)
+			placed.reservation.Release(backends.ResultInconclusive, r.Now())
+			return r.sendRefusal(ctx, j, *r.refuse(j, ReasonDeadline), out)
 		}
 		if err != nil {
-			r.broke(ctx, j, o.lease.Server)
+			r.handleBrokenResponse(ctx, j, placed.reservation.Server)
 		}
 		r.Observer.AttemptFailed(j.service, "spoilt")
-		o.lease.Release(backends.ResultFailed, r.Now())
-		j.tried = append(j.tried, o.lease.Server.ID)
-		j.log.WithError(err).WithField("server", o.lease.Server.ID).WithField("status", o.answer.Status).Warn("answer is spoilt")
-		if !j.mayRepeat() {
-			return r.giveUp(ctx, j, *r.refuse(j, ReasonSpoilt), out)
+		placed.reservation.Release(backends.ResultFailed, r.Now())
+		j.excluded = append(j.excluded, placed.reservation.Server.ID)
+		j.log.WithError(err).WithField("server", placed.reservation.Server.ID).WithField("status", placed.response.Status).Warn("invalid response")
+		if !j.canRetry() {
+			return r.sendRefusal(ctx, j, *r.refuse(j, ReasonInvalidResponse), out)
 		}
 	}
 }
 
-// giveUp gives the final answer of the system's own.
-func (r *Relay) giveUp(ctx context.Context, j *job, f Refusal, out Responder) string {
+// sendRefusal sends a refusal as the final response.
+func (r *Relay) sendRefusal(ctx context.Context, j *job, f Refusal, out Responder) string {
 	if context.Cause(ctx) == context.Canceled {
 		out.Abort()
 		return OutcomeCallerGone
 	}
-	if left, barred := r.barred(j); barred {
-		f = *j.refuseHeld(left)
+	if retryAfter, refuse := r.mustRefuse(j); refuse {
+		f = *j.quarantineRefusal(retryAfter)
 	}
 	j.log.WithField("content", f.Content).WithField("reason", f.Reason).WithField("may_have_run", f.MayHaveRun).WithField("retry_after_ms", f.RetryAfter.Milliseconds()).Info("gave up")
 	out.Refuse(f)
 	return string(f.Reason)
 }
 
-// whole is an answer, read to its end or to wholeUpTo bytes.
-type whole struct {
+// bufferedResponse is a response, read to its end or to maxBufferedSize bytes.
+type bufferedResponse struct {
 	*Response
 	body []byte
-	// more says that the body goes on.
-	more bool
+	// hasMore is set if the body continues after the buffered part.
+	hasMore bool
 }
 
-func readWhole(a *Response) (*whole, error) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, wholeUpTo+1))
+func bufferResponse(a *Response) (*bufferedResponse, error) {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedSize+1))
 	if err != nil {
 		a.Body.Close()
 		return nil, err
 	}
-	w := &whole{Response: a, body: body, more: len(body) > wholeUpTo}
-	if !w.more {
+	buffered := &bufferedResponse{Response: a, body: body, hasMore: len(body) > maxBufferedSize}
+	if !buffered.hasMore {
 		a.Body.Close()
 	}
-	return w, nil
+	return buffered, nil
 }
 
-// proper reports whether the answer is the server's own, as it made it. A success
-// without the server's signature, or recoded on its way, is not.
-func (w *whole) proper() bool {
-	return w.Status >= 300 || w.Signed && !w.Recoded
+// isValid reports whether the response is as the server sent it. A success without the server's
+// signature, or recoded on the way, is not valid.
+func (b *bufferedResponse) isValid() bool {
+	return b.Status >= 300 || b.Signed && !b.Recoded
 }
 
-func (w *whole) failed() bool { return w.Status >= 500 }
+func (b *bufferedResponse) isServerError() bool { return b.Status >= 500 }
 
-func (r *Relay) deliver(w *whole, out Responder) string {
-	defer w.Body.Close()
-	if !w.more && w.Length < 0 {
-		w.Length = int64(len(w.body))
+func (r *Relay) deliver(response *bufferedResponse, out Responder) string {
+	defer response.Body.Close()
+	if !response.hasMore && response.Length < 0 {
+		response.Length = int64(len(response.body))
 	}
-	if out.Begin(w.Response) != nil {
+	if out.Begin(response.Response) != nil {
 		out.Abort()
 		return OutcomeCallerGone
 	}
-	if err := pass(w, out); err != nil {
+	if err := writeBody(response, out); err != nil {
 		out.Abort()
-		return OutcomeBrokenOff
+		return OutcomeAborted
 	}
 	out.End()
 	return OutcomeAnswered
 }
 
-func pass(w *whole, out Responder) error {
-	if err := out.Write(w.body); err != nil || !w.more {
+func writeBody(response *bufferedResponse, out Responder) error {
+	if err := out.Write(response.body); err != nil || !response.hasMore {
 		return err
 	}
 	buf := bytes.NewBuffer(make([]byte, 0, bytes.MinRead))
 	for {
 		buf.Reset()
-		n, err := w.Body.Read(buf.AvailableBuffer()[:bytes.MinRead])
+		n, err := response.Body.Read(buf.AvailableBuffer()[:bytes.MinRead])
 		if n > 0 {
 			if err := out.Write(buf.AvailableBuffer()[:n]); err != nil {
 				return err
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -8,99 +8,100 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// raceAfter is the part of its target after which an idempotent request that no server has
-// begun to answer goes to a second one as well.
-const raceAfter = 0.5
+// raceDelayShare is the part of its target latency after which an idempotent request without a
+// response is sent to a second server as well.
+const raceDelayShare = 0.5
 
-// mayRace reports whether a request may run at two servers at the same time.
-func (j *job) mayRace() bool {
-	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.Target > 0 && j.ran+1 < j.route.Servers
+// canRace reports whether a request may run at two servers at the same time.
+func (j *job) canRace() bool {
+	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.Target > 0 && j.maybeRun+1 < j.route.Servers
 }
 
-// sendRaced makes one attempt. One that may run again goes to a second server as well if the
-// first does not begin to answer in time; the first answer counts. It returns the lease of
-// the attempt that the answer or the error is of.
+// sendWithRace makes one attempt. A request that may run more than once is sent to a second
+// server as well if the first does not begin to respond in time; the first response is used. It
+// returns the reservation of the attempt that the response or the error belongs to.
 //
-// A server that hangs says nothing: its requests would end with their callers' time, until
-// enough are lost for it to be left. Waiting for its end and repeating then comes too late.
-func (r *Relay) sendRaced(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, *backends.Reservation, error) {
-	if !j.mayRace() {
-		o, err := r.sendCovered(ctx, j, lease, a)
-		return o, lease, err
+// A server that hangs sends nothing. Without a race, its requests would fail at their callers'
+// deadlines until enough are lost for the server to be avoided, and a retry after that would come
+// too late.
+func (r *Relay) sendWithRace(ctx context.Context, j *job, reservation *backends.Reservation, a *Attempt) (*placedResponse, *backends.Reservation, error) {
+	if !j.canRace() {
+		placed, err := r.sendWithStandby(ctx, j, reservation, a)
+		return placed, reservation, err
 	}
-	first, err := r.startAttempt(ctx, j, lease, a)
+	first, err := r.startAttempt(ctx, j, reservation, a)
 	if err != nil {
-		return nil, lease, err
+		return nil, reservation, err
 	}
-	replies := make(chan reply, 2)
-	go func() { replies <- first.run() }()
-	t := time.NewTimer(time.Duration(raceAfter * float64(j.route.Target)))
+	results := make(chan attemptResult, 2)
+	go func() { results <- first.send() }()
+	t := time.NewTimer(time.Duration(raceDelayShare * float64(j.route.Target)))
 	defer t.Stop()
 	select {
-	case p := <-replies:
-		return r.finishRaced(j, p)
+	case result := <-results:
+		return r.finishRace(j, result)
 	case <-t.C:
 	}
-	second := r.startSecond(ctx, j, first)
+	second := r.startSecondAttempt(ctx, j, first)
 	if second == nil {
-		return r.finishRaced(j, <-replies)
+		return r.finishRace(j, <-results)
 	}
-	go func() { replies <- second.run() }()
-	p := <-replies
+	go func() { results <- second.send() }()
+	result := <-results
 	other := first
-	if p.attempt == first {
+	if result.attempt == first {
 		other = second
 	}
-	if p.err == nil {
-		r.abandon(j, other, replies)
-		return r.finishRaced(j, p)
+	if result.err == nil {
+		r.abandon(j, other, results)
+		return r.finishRace(j, result)
 	}
-	// The one that failed is judged, the other may answer yet.
-	_, err = r.finishAttempt(j, p)
-	r.passOver(ctx, j, p.lease, err)
-	return r.finishRaced(j, <-replies)
+	// The failed attempt is recorded; the other one may still get a response.
+	_, err = r.finishAttempt(j, result)
+	r.handleFailedAttempt(ctx, j, result.reservation, err)
+	return r.finishRace(j, <-results)
 }
 
-func (r *Relay) finishRaced(j *job, p reply) (*offer, *backends.Reservation, error) {
-	o, err := r.finishAttempt(j, p)
-	return o, p.lease, err
+func (r *Relay) finishRace(j *job, result attemptResult) (*placedResponse, *backends.Reservation, error) {
+	placed, err := r.finishAttempt(j, result)
+	return placed, result.reservation, err
 }
 
-// startSecond counts the second attempt of a race, nil if there is no other server, or no
-// repeat left.
-func (r *Relay) startSecond(ctx context.Context, j *job, first *attempt) *attempt {
-	q := r.query(j)
-	q.Tried, q.Spill = append([]string{first.Server.ID}, j.tried...), true
-	lease := r.Registry.Acquire(q, r.Now())
-	if lease == nil {
+// startSecondAttempt starts the second attempt of a race. It returns nil if there is no other
+// server or no retry left.
+func (r *Relay) startSecondAttempt(ctx context.Context, j *job, first *attempt) *attempt {
+	q := r.serverQuery(j)
+	q.Tried, q.Spill = append([]string{first.Server.ID}, j.excluded...), true
+	reservation := r.Registry.Acquire(q, r.Now())
+	if reservation == nil {
 		return nil
 	}
-	if _, held := r.convicted(j); held || !r.repeat(j.service) {
-		lease.Release(backends.ResultInconclusive, r.Now())
+	if _, quarantined := r.quarantined(j); quarantined || !r.takeRetry(j.service) {
+		reservation.Release(backends.ResultInconclusive, r.Now())
 		return nil
 	}
-	second, err := r.startAttempt(ctx, j, lease, &Attempt{})
+	second, err := r.startAttempt(ctx, j, reservation, &Attempt{})
 	if err != nil {
-		lease.Release(backends.ResultInconclusive, r.Now())
+		reservation.Release(backends.ResultInconclusive, r.Now())
 		return nil
 	}
-	j.log.WithField("server", first.Server.ID).WithField("to", lease.Server.ID).Info("silent request goes to a second server as well")
+	j.log.WithField("server", first.Server.ID).WithField("to", reservation.Server.ID).Info("no response yet, request also sent to a second server")
 	return second
 }
 
-// abandon ends the attempt that another has overtaken. Its server may have run the request.
-func (r *Relay) abandon(j *job, slow *attempt, replies <-chan reply) {
-	j.ran++
-	j.tried = append(j.tried, slow.Server.ID)
-	slow.cut()
+// abandon cancels the attempt that lost a race. Its server may have run the request.
+func (r *Relay) abandon(j *job, loser *attempt, results <-chan attemptResult) {
+	j.maybeRun++
+	j.excluded = append(j.excluded, loser.Server.ID)
+	loser.cancel()
 	result := backends.ResultInconclusive
-	if r.Now()-slow.SentAt >= j.route.Target {
+	if r.Now()-loser.SentAt >= j.route.Target {
 		result = backends.ResultLost
 	}
-	slow.lease.Release(result, r.Now())
+	loser.reservation.Release(result, r.Now())
 	go func() {
-		if p := <-replies; p.err == nil {
-			p.answer.Body.Close()
+		if result := <-results; result.err == nil {
+			result.response.Body.Close()
 		}
 	}()
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,31 +18,31 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// Config tunes a Relay.
+// Config holds the settings of a Relay.
 type Config struct {
-	// RevokeTimeout is how long after its removal a key may still be served, 0 for
-	// no bound.
+	// RevokeTimeout bounds how long a key may still be accepted after its removal, 0 for no
+	// bound.
 	RevokeTimeout time.Duration
-	// ApplyTimeout is how long a new version may take to be in force.
+	// ApplyTimeout bounds how long a new configuration version may take to be in force.
 	ApplyTimeout time.Duration
-	// RetryRatio is the repeats allowed for each request, RetryExtra those that
-	// all processes together have besides.
+	// RetryRatio is the number of retries allowed per request. RetryExtra is the number of
+	// further retries that all gateways share.
 	RetryRatio float64
 	RetryExtra int
 }
 
-// Observer counts what a Relay does. Its methods must not block.
+// Observer receives events for metrics. Its methods must not block.
 type Observer interface {
 	Finished(team, service string, kind routing.Kind, outcome string)
 	FirstByte(team, service string, kind routing.Kind, d time.Duration)
 	EventPause(team string, d time.Duration)
 	AttemptFailed(service, result string)
 	Migrated(result string)
-	// ServerCrashed is told of a server that has ended under requests.
+	// ServerCrashed is called for each server that crashed while running requests.
 	ServerCrashed(service string)
 }
 
-// Deps are the parts a Relay works with.
+// Deps are the dependencies of a Relay.
 type Deps struct {
 	Replica    *routing.Replica
 	Registry   *backends.Registry
@@ -54,116 +54,117 @@
 	Quarantine Quarantine
 }
 
-// Quarantine remembers under which requests servers have ended, here and at all other
-// processes.
+// Quarantine decides which requests are quarantined, from the crashes that all gateways have
+// observed.
 type Quarantine interface {
-	// HasRecords reports whether anything is known of any request.
+	// HasRecords reports whether there is a record of any request.
 	HasRecords() bool
-	// Quarantined reports whether a request must not be sent to servers, and for how much longer.
-	Quarantined(id quarantine.ID) (left time.Duration, held bool)
-	// TrialDue reports whether a request that is held is to be tried.
+	// Quarantined reports whether a request is quarantined, and after what time its caller should
+	// retry.
+	Quarantined(id quarantine.ID) (retryAfter time.Duration, quarantined bool)
+	// TrialDue reports whether a trial of a quarantined request is due.
 	TrialDue(id quarantine.ID) bool
-	// StartTrial reports whether a request that is held may be sent to one server all the same, to
-	// see whether it is harmful. It says so once.
+	// StartTrial reports whether a quarantined request may be sent to one server, to find out
+	// whether it crashes servers. A call that returns true starts the trial.
 	StartTrial(id quarantine.ID) bool
-	// NearThreshold reports whether a request would be held if one more server ended under it.
+	// NearThreshold reports whether one more crash would quarantine a request.
 	NearThreshold(id quarantine.ID) bool
-	// Crashed is told of a server that has ended, and of the requests that ran there.
-	Crashed(s backends.Server, ran []quarantine.ID)
-	// Answered is told of a request that a server has answered whole.
+	// Crashed records that a server crashed while it ran requests.
+	Crashed(s backends.Server, requests []quarantine.ID)
+	// Answered records that a server has answered a request completely.
 	Answered(id quarantine.ID)
 }
 
-// Peers tells of the other processes that serve callers.
+// Peers gives access to the other gateways.
 type Peers interface {
-	// Count counts the processes, this one included; 0 if not known.
+	// Count returns the number of gateways, including this one; 0 if unknown.
 	Count() int
-	// ConfigCurrent reports whether they know no newer configuration than the one that this process
-	// started with.
+	// ConfigCurrent reports whether no peer knows a newer configuration than the one that this
+	// gateway started with.
 	ConfigCurrent() bool
-	// AcceptingRequests reports whether another process takes requests.
+	// AcceptingRequests reports whether another gateway accepts requests.
 	AcceptingRequests() bool
-	// Notify has them told at once of what has changed here: a generation, or a copy of
-	// one, was put on an engine, or a server fails.
+	// Notify sends the state of this gateway to its peers without delay. It is called when a
+	// generation or a copy of one was put on an engine, and when a server fails.
 	Notify()
-	// ReportQueue tells them what waits here for a service; the name is left out.
+	// ReportQueue reports to the peers what is queued here for a service; q needs no name.
 	ReportQueue(service string, q flow.Contender)
-	// ReportUsage tells them what the teams that use a service most have used here, and
-	// Usage is what they tell.
+	// ReportUsage reports to the peers the usage of the teams that use a service most here. Usage
+	// returns what the peers have reported.
 	ReportUsage(service string, top []flow.Usage)
 	Usage(service string) []flow.Usage
-	// Turns is whose turn it is at the servers of a service for a request of some
-	// rank, nil while no other process has one waiting that is as urgent.
+	// Turns returns which gateway may use the servers of a service, for a request of a rank. It
+	// is nil while no peer has an equally urgent request queued.
 	Turns(service string, rank int) *flow.Turns
-	// MigrationTurns is whose turn it is to copy runs off the servers that leave a failure
-	// domain, nil while only this process has such runs.
+	// MigrationTurns returns which gateway may copy runs off the servers that leave a failure
+	// domain. It is nil while only this gateway has such runs.
 	MigrationTurns(domain string) *flow.Turns
-	// SharedClock is a clock that all processes go by.
+	// SharedClock returns the time of the clock that all gateways share.
 	SharedClock() pacing.SharedTime
 }
 
-// Relay serves requests. It is safe for concurrent use; mu is taken before the lock
-// of a run and those of Others.
+// Relay serves requests. It is safe for concurrent use. Its mu is locked before the mu of a run
+// and the locks of Peers.
 type Relay struct {
 	cfg atomic.Pointer[Config]
 	Deps
 
-	mu      sync.Mutex
-	budgets map[string]*retry.Budget
-	runs    map[string]map[*run]struct{}
-	lanes   map[string]*lane
-	lines   map[string]*line
-	// inquests are those of the servers whose answers broke of late.
-	inquests map[life]*inquest
-	active   int
-	// jobs are the requests on their way.
+	mu           sync.Mutex
+	retryBudgets map[string]*retry.Budget
+	runs         map[string]map[*run]struct{}
+	engineQueues map[string]*engineQueue
+	pacedQueues  map[string]*pacedQueue
+	// crashChecks are the checks of servers whose responses broke off recently.
+	crashChecks map[incarnation]*crashCheck
+	inProgress  int
+	// jobs are the requests in flight.
 	jobs map[*job]struct{}
-	// pace is the usual time between two events of a stream.
-	pace time.Duration
-	// speed is the prompt tokens a second that an engine reads.
-	speed   float64
-	outputs *outputs
-	// ends is when this process will be gone, zero while none is known; from
-	// lastCall on nothing that would outlast it is taken.
-	ends, lastCall time.Time
+	// typicalPause is the moving average of the time between two events of a stream.
+	typicalPause time.Duration
+	// promptSpeed is the moving average of the prompt tokens per second that an engine reads.
+	promptSpeed float64
+	forecasts   *outputForecasts
+	// shutdownAt is when this process will stop, zero if unknown. From refuseFrom on, requests
+	// that would outlast it are refused in any case.
+	shutdownAt, refuseFrom time.Time
 }
 
 // New returns a Relay.
 func New(cfg Config, deps Deps) *Relay {
 	r := &Relay{
-		Deps:     deps,
-		budgets:  make(map[string]*retry.Budget),
-		runs:     make(map[string]map[*run]struct{}),
-		lanes:    make(map[string]*lane),
-		lines:    make(map[string]*line),
-		inquests: make(map[life]*inquest),
-		jobs:     make(map[*job]struct{}),
-		pace:     startPace,
-		speed:    startSpeed,
-		outputs:  newOutputs(),
+		Deps:         deps,
+		retryBudgets: make(map[string]*retry.Budget),
+		runs:         make(map[string]map[*run]struct{}),
+		engineQueues: make(map[string]*engineQueue),
+		pacedQueues:  make(map[string]*pacedQueue),
+		crashChecks:  make(map[incarnation]*crashCheck),
+		jobs:         make(map[*job]struct{}),
+		typicalPause: initialPause,
+		promptSpeed:  initialPromptSpeed,
+		forecasts:    newOutputForecasts(),
 	}
 	if r.Quarantine == nil {
-		r.Quarantine = noSuspects{}
+		r.Quarantine = noQuarantine{}
 	}
 	r.Configure(cfg)
 	return r
 }
 
-// Configure changes the tuning.
+// Configure replaces the settings.
 func (r *Relay) Configure(cfg Config) { r.cfg.Store(&cfg) }
 
 const (
-	// staleRetry is when a caller may come back to be served by another VM.
-	staleRetry = 100 * time.Millisecond
-	// noConfigRetry is the wait for a first configuration; a VM that starts has
-	// one after a few answers of the store.
-	noConfigRetry = 300 * time.Millisecond
-	// revokeMargin is the part of the bound on removed keys after which an
-	// unconfirmed key is refused; the rest covers timers that fire late.
-	revokeMargin = 0.85
+	// staleRetryAfter is the retry time for callers that another VM can serve.
+	staleRetryAfter = 100 * time.Millisecond
+	// noConfigRetryAfter is the retry time before the first configuration; a VM that starts has
+	// one after a few responses of the store.
+	noConfigRetryAfter = 300 * time.Millisecond
+	// revokeShare is the part of RevokeTimeout after which an unconfirmed key is refused; the
+	// rest covers timers that fire late.
+	revokeShare = 0.85
 )
 
-// job is a request on its way.
+// job is a request in flight.
 type job struct {
 	*Request
 	route    *routing.Route
@@ -171,59 +172,62 @@
 	engine   *routing.Engine
 	team     string
 	priority int
-	// regions are where the request may run.
-	regions  routing.Regions
-	arrived  time.Duration
-	deadline time.Time
-	version  uint64
-	// tried are servers not to ask again, ran how many may have run the request.
-	tried []string
-	ran   int
-	// sent counts the attempts, reached those that may have arrived at a server.
-	sent, reached int
-	// trial says that the request is held, and is sent to one server to see whether it is
-	// harmful.
-	trial bool
-	// hasAnswer says that a server's answer is at hand if no other one gives a better.
-	hasAnswer bool
-	// broken says that the answer of a server broke off.
-	broken bool
-	// progress is how far a stream came.
+	// regions are the regions in which the request may run.
+	regions       routing.Regions
+	arrived       time.Duration
+	deadline      time.Time
+	configVersion uint64
+	// excluded are the servers that must not be asked again; maybeRun counts the servers that may
+	// have run the request.
+	excluded []string
+	maybeRun int
+	// attempts counts the attempts at servers; arrivals counts those that may have reached a
+	// server.
+	attempts, arrivals int
+	// isTrial is set if the request is quarantined and is sent to one server as a trial.
+	isTrial bool
+	// hasResponse is set if a response is available that is delivered if no other server gives a
+	// better one.
+	hasResponse bool
+	// hadBrokenResponse is set if the response of a server broke off.
+	hadBrokenResponse bool
+	// progress is the progress of a stream.
 	progress progress
-	// outputs estimates how long generations become.
-	outputs *outputs
-	log     logrus.FieldLogger
-	// answering is set once a server has begun to answer, cut ends the request before.
-	answering atomic.Bool
-	cut       context.CancelCauseFunc
+	// forecasts estimates the lengths of generations.
+	forecasts *outputForecasts
+	log       logrus.FieldLogger
+	// responseBegun is set once a server has begun to respond. cancel cancels the request.
+	responseBegun atomic.Bool
+	cancel        context.CancelCauseFunc
 }
 
-// progress is how far a stream came, for its last log line.
+// progress describes a stream for its final log line.
 type progress struct {
 	events int
-	// first is the time to the first event, longest the longest pause between two.
-	first, longest time.Duration
+	// firstDelay is the time from the request's arrival to the first event, longestPause the
+	// longest time between two events.
+	firstDelay, longestPause time.Duration
 }
 
-func (j *job) left() time.Duration { return time.Until(j.deadline) }
+func (j *job) timeLeft() time.Duration { return time.Until(j.deadline) }
 
-// Serve answers one request. ctx ends when the caller leaves.
+// Serve answers one request. ctx is canceled when the caller disconnects.
 func (r *Relay) Serve(ctx context.Context, req *Request, out Responder) {
-	r.count(1)
-	defer r.count(-1)
+	r.addInProgress(1)
+	defer r.addInProgress(-1)
 	j, refusal := r.admit(req)
 	if refusal != nil {
-		r.Log.WithFields(r.refused(req, refusal)).Info("refused")
+		r.Log.WithFields(r.refusalLogFields(req, refusal)).Info("refused")
 		r.Observer.Finished("", "", 0, string(refusal.Reason))
 		out.Refuse(*refusal)
 		return
 	}
-	ctx, j.cut = context.WithCancelCause(ctx)
-	defer j.cut(nil)
+	ctx, j.cancel = context.WithCancelCause(ctx)
+	defer j.cancel(nil)
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
-	r.begin(j)
-	defer r.done(j)
+	r.addJob(j)
+	defer r.removeJob(j)
 	var outcome string
 	if j.route.Kind == routing.Stream {
 		outcome = r.stream(ctx, j, out)
@@ -231,75 +235,75 @@
 		outcome = r.plain(ctx, j, out)
 	}
 	r.Observer.Finished(j.team, j.service, j.route.Kind, outcome)
-	j.log.WithFields(j.summary(outcome, r.Now())).Info("finished")
+	j.log.WithFields(j.logFields(outcome, r.Now())).Info("finished")
 }
 
-// summary is what the last log line of a request says.
-func (j *job) summary(outcome string, now time.Duration) logrus.Fields {
-	f := logrus.Fields{"outcome": outcome, "sent": j.sent, "ran": j.ran, "took_ms": (now - j.arrived).Milliseconds()}
+// logFields returns the fields of a request's final log line.
+func (j *job) logFields(outcome string, now time.Duration) logrus.Fields {
+	f := logrus.Fields{"outcome": outcome, "sent": j.attempts, "ran": j.maybeRun, "took_ms": (now - j.arrived).Milliseconds()}
 	if g := j.Generation; g != nil {
 		f["prompt"], f["max_output"], f["hint"] = g.PromptTokens, g.MaxOutput, g.Hint
-		f["events"], f["first_ms"], f["pause_ms"] = j.progress.events, j.progress.first.Milliseconds(), j.progress.longest.Milliseconds()
+		f["events"], f["first_ms"], f["pause_ms"] = j.progress.events, j.progress.firstDelay.Milliseconds(), j.progress.longestPause.Milliseconds()
 	}
 	return f
 }
 
-func (r *Relay) count(n int) {
+func (r *Relay) addInProgress(n int) {
 	r.mu.Lock()
-	r.active += n
+	r.inProgress += n
 	r.mu.Unlock()
 }
 
-func (r *Relay) begin(j *job) {
+func (r *Relay) addJob(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobs[j] = struct{}{}
 }
 
-func (r *Relay) done(j *job) {
+func (r *Relay) removeJob(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.jobs, j)
 }
 
-// InProgress counts the requests that have no final answer yet.
+// InProgress returns the number of requests without a final response.
 func (r *Relay) InProgress() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.active
+	return r.inProgress
 }
 
-// refused is what the log says of a request that is refused before it is placed.
-func (r *Relay) refused(req *Request, f *Refusal) logrus.Fields {
-	out := logrus.Fields{"request": req.ID, "reason": f.Reason, "path": req.Path}
+// refusalLogFields returns the log fields of a request that is refused before it is placed.
+func (r *Relay) refusalLogFields(req *Request, f *Refusal) logrus.Fields {
+	fields := logrus.Fields{"request": req.ID, "reason": f.Reason, "path": req.Path}
 	if f.Content != "" {
-		out["content"] = f.Content
+		fields["content"] = f.Content
 	}
 	if cfg, confirmed := r.Replica.Current(); cfg != nil {
-		out["config"], out["config_age_ms"] = cfg.Version, (r.Now() - confirmed).Milliseconds()
+		fields["config"], fields["config_age_ms"] = cfg.Version, (r.Now() - confirmed).Milliseconds()
 	}
-	return out
+	return fields
 }
 
-// admit matches a request against the configuration in force.
+// admit matches a request against the configuration in force and authorizes it.
 func (r *Relay) admit(req *Request) (*job, *Refusal) {
 	cfg, confirmed := r.Replica.Current()
 	if cfg == nil {
-		return nil, &Refusal{Reason: ReasonNoConfig, RetryAfter: noConfigRetry}
+		return nil, &Refusal{Reason: ReasonNoConfig, RetryAfter: noConfigRetryAfter}
 	}
 	now := r.Now()
-	age := now - confirmed
+	configAge := now - confirmed
 	route := cfg.Match(req.Host, req.Path)
 	if route == nil {
-		// Behind its time this process may not know a route that others serve.
-		if r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
-			return nil, &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
+		// With a stale configuration, this process may lack a route that others serve.
+		if r.cfg.Load().ApplyTimeout > 0 && configAge > r.cfg.Load().ApplyTimeout {
+			return nil, &Refusal{Reason: ReasonStaleConfig, RetryAfter: staleRetryAfter}
 		}
 		return nil, &Refusal{Reason: ReasonNoRoute}
 	}
-	j := &job{Request: req, route: route, arrived: now, version: cfg.Version, priority: route.Priority, regions: route.Regions, outputs: r.outputs}
+	j := &job{Request: req, route: route, arrived: now, configVersion: cfg.Version, priority: route.Priority, regions: route.Regions, forecasts: r.forecasts}
 	if cfg.NeedsKey(route) {
-		if refusal := r.authorize(j, cfg, age); refusal != nil {
+		if refusal := r.authorize(j, cfg, configAge); refusal != nil {
 			return nil, refusal
 		}
 	}
@@ -308,33 +312,33 @@
 		j.engine = s.Engine
 	}
 	if j.engine != nil && req.Generation != nil && req.Generation.PromptTokens > j.engine.MemoryTokens {
-		return nil, &Refusal{Reason: ReasonTooLarge}
+		return nil, &Refusal{Reason: ReasonPromptTooLarge}
 	}
-	if left, barred := r.barred(j); barred {
-		return nil, &Refusal{Reason: ReasonHarmful, RetryAfter: left, Content: j.id().String()}
+	if retryAfter, refuse := r.mustRefuse(j); refuse {
+		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: retryAfter, Content: j.quarantineID().String()}
 	}
-	j.deadline = time.Now().Add(allowed(req.Timeout, route.Timeout))
-	if r.outlasts(j) {
-		return nil, &Refusal{Reason: ReasonStopping, RetryAfter: r.moveOn()}
+	j.deadline = time.Now().Add(effectiveTimeout(req.Timeout, route.Timeout))
+	if r.outlastsShutdown(j) {
+		return nil, &Refusal{Reason: ReasonStopping, RetryAfter: r.shutdownRetryAfter()}
 	}
 	j.log = r.Log.WithFields(logrus.Fields{
 		"request": req.ID, "route": route.Name, "service": j.service, "team": j.team,
-		"config": cfg.Version, "config_age_ms": age.Milliseconds(),
+		"config": cfg.Version, "config_age_ms": configAge.Milliseconds(),
 	})
 	return j, nil
 }
 
-// authorize finds the team of the request's key.
-func (r *Relay) authorize(j *job, cfg *routing.Config, age time.Duration) *Refusal {
-	// A key that was removed since the last confirmation would still be found, so
-	// beyond the bound no key is trusted; another VM may know better.
-	if r.KeysStale(age) || !r.Peers.ConfigCurrent() {
-		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
+// authorize sets the team of the request's key.
+func (r *Relay) authorize(j *job, cfg *routing.Config, configAge time.Duration) *Refusal {
+	// A key removed since the last confirmation is still found here. Beyond RevokeTimeout no key
+	// is accepted; the configuration of another VM may be newer.
+	if r.KeysStale(configAge) || !r.Peers.ConfigCurrent() {
+		return &Refusal{Reason: ReasonStaleConfig, RetryAfter: staleRetryAfter}
 	}
 	team := cfg.Team(j.APIKey)
 	if team == nil {
-		if j.APIKey != "" && r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
-			return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
+		if j.APIKey != "" && r.cfg.Load().ApplyTimeout > 0 && configAge > r.cfg.Load().ApplyTimeout {
+			return &Refusal{Reason: ReasonStaleConfig, RetryAfter: staleRetryAfter}
 		}
 		return &Refusal{Reason: ReasonBadKey}
 	}
@@ -345,11 +349,11 @@
 	return nil
 }
 
-// KeysStale reports whether a configuration confirmed age ago is too old to
-// trust keys.
-func (r *Relay) KeysStale(age time.Duration) bool {
+// KeysStale reports whether a configuration that was last confirmed configAge ago is too old to
+// accept keys.
+func (r *Relay) KeysStale(configAge time.Duration) bool {
 	bound := r.cfg.Load().RevokeTimeout
-	return bound > 0 && age > time.Duration(revokeMargin*float64(bound))
+	return bound > 0 && configAge > time.Duration(revokeShare*float64(bound))
 }
 
 // Ready reports whether requests with keys can be served.
@@ -358,18 +362,17 @@
 	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Peers.ConfigCurrent()
 }
 
-// defaultWait bounds requests for which neither caller nor route says how long
-// they may take.
-const defaultWait = 5 * time.Minute
+// defaultTimeout applies to requests for which neither caller nor route sets a timeout.
+const defaultTimeout = 5 * time.Minute
 
-func allowed(wait, timeout time.Duration) time.Duration {
+func effectiveTimeout(callerTimeout, routeTimeout time.Duration) time.Duration {
 	switch {
-	case wait <= 0 && timeout <= 0:
-		return defaultWait
-	case wait <= 0:
-		return timeout
-	case timeout <= 0:
-		return wait
+	case callerTimeout <= 0 && routeTimeout <= 0:
+		return defaultTimeout
+	case callerTimeout <= 0:
+		return routeTimeout
+	case routeTimeout <= 0:
+		return callerTimeout
 	}
-	return min(wait, timeout)
+	return min(callerTimeout, routeTimeout)
 }
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -13,31 +13,31 @@
 )
 
 // restingWorld has servers of a service that all ask for rest.
-func restingWorld(t *testing.T, service string, rests ...time.Duration) *world {
-	w := newWorld(t, Config{})
-	for i, rest := range rests {
-		s := w.server(string(rune('a'+i)), service)
-		w.relay.HandleSignals(s, backends.Signals{Backoff: rest}, 0)
+func newBackingOffFixture(t *testing.T, service string, backoffs ...time.Duration) *fixture {
+	f := newFixture(t, Config{})
+	for i, backoff := range backoffs {
+		s := f.addServer(string(rune('a'+i)), service)
+		f.relay.HandleSignals(s, backends.Signals{Backoff: backoff}, 0)
 	}
-	w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
-	return w
+	f.upstream.send = func(context.Context, *Attempt) (*Response, error) { return newResponse(200, "ok"), nil }
+	return f
 }
 
 // Guards against callers being refused for a rest that ends well within their time, and against
 // a server being asked before its rest is over.
-func TestRequestsWaitForAShortRest(t *testing.T) {
+func TestRequestsWaitForShortBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const rest = 300 * time.Millisecond
-		w := restingWorld(t, deskService, rest, time.Hour)
-		begun := time.Now()
+		const backoff = 300 * time.Millisecond
+		f := newBackingOffFixture(t, deskService, backoff, time.Hour)
+		start := time.Now()
 		var wg sync.WaitGroup
 		for range 20 {
-			wg.Go(func() { w.serve(request("/once/x")).whole(t, "ok") })
+			wg.Go(func() { f.serve(request("/once/x")).requireWhole(t, "ok") })
 		}
 		wg.Wait()
-		require.GreaterOrEqual(t, time.Since(begun), rest)
-		require.Less(t, time.Since(begun), rest+50*time.Millisecond)
-		for _, id := range w.up.servers() {
+		require.GreaterOrEqual(t, time.Since(start), backoff)
+		require.Less(t, time.Since(start), backoff+50*time.Millisecond)
+		for _, id := range f.upstream.servers() {
 			require.Equal(t, "a", id)
 		}
 	})
@@ -45,55 +45,55 @@
 
 // Guards against callers waiting for a rest that outlasts them, and against their coming back
 // before it is over.
-func TestLongRestIsRefusedAtOnce(t *testing.T) {
+func TestLongBackoffIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for service, path := range map[string]string{deskService: "/once/x", modelService: "/plan/x"} {
-			const rest = time.Minute
-			w := restingWorld(t, service, rest, 2*rest)
-			begun := time.Now()
-			c := w.serve(request(path))
-			require.Zero(t, time.Since(begun), service)
+			const backoff = time.Minute
+			f := newBackingOffFixture(t, service, backoff, 2*backoff)
+			start := time.Now()
+			c := f.serve(request(path))
+			require.Zero(t, time.Since(start), service)
 			require.False(t, c.refusal.MayHaveRun)
-			require.GreaterOrEqual(t, c.refusal.RetryAfter, rest, service)
-			require.Less(t, c.refusal.RetryAfter, rest+time.Second, service)
-			require.Empty(t, w.up.sent)
+			require.GreaterOrEqual(t, c.refusal.RetryAfter, backoff, service)
+			require.Less(t, c.refusal.RetryAfter, backoff+time.Second, service)
+			require.Empty(t, f.upstream.sent)
 		}
 	})
 }
 
 // Guards against a stream going on from its standing copy at a server that has asked for rest.
-func TestCopyAtARestingServerIsNotUsed(t *testing.T) {
+func TestStandbyAtBackingOffServerIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.breakBesideACopy(func(*Attempt) {
+		f := newFixture(t, Config{})
+		f.breakWithUnusableStandby(func(*Attempt) {
 			for _, id := range []string{"a", "b"} {
-				w.relay.HandleSignals(w.entry(id, modelService), backends.Signals{Backoff: time.Minute}, 0)
+				f.relay.HandleSignals(f.newEntry(id, modelService), backends.Signals{Backoff: time.Minute}, 0)
 			}
 		})
 	})
 }
 
 // Guards against questions to servers that have asked for rest, while the directory is away.
-func TestRestingServerIsNotAskedWhetherItLeaves(t *testing.T) {
+func TestBackingOffServerIsNotProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		s := w.server("a", modelService)
-		src := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Response, error) {
-			go src.write(events(1, 1))
-			return src.answer(), nil
+		f := newFixture(t, Config{})
+		s := f.addServer("a", modelService)
+		body := newFakeBody()
+		f.upstream.send = func(context.Context, *Attempt) (*Response, error) {
+			go body.write(events(1, 1))
+			return body.response(), nil
 		}
-		go w.serve(request("/plan/x"))
+		go f.serve(request("/plan/x"))
 		synctest.Wait()
-		w.up.setLeaving("a")
-		w.relay.HandleSignals(s, backends.Signals{Backoff: time.Second}, 0)
-		w.relay.scout(t.Context())
-		_, leaving := w.registry.State(s)
+		f.upstream.setLeaving("a")
+		f.relay.HandleSignals(s, backends.Signals{Backoff: time.Second}, 0)
+		f.relay.probeServers(t.Context())
+		_, leaving := f.registry.State(s)
 		require.False(t, leaving)
 		time.Sleep(time.Second)
-		w.relay.scout(t.Context())
-		_, leaving = w.registry.State(s)
+		f.relay.probeServers(t.Context())
+		_, leaving = f.registry.State(s)
 		require.True(t, leaving)
-		src.w.Close()
+		body.writer.Close()
 	})
 }
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -9,49 +9,48 @@
 )
 
 const (
-	// lifeSign is the time in which a stream must show that it still comes, once its
-	// server is known to have started again. Engines make an event every 30 to 60 ms.
-	lifeSign = 400 * time.Millisecond
-	// lifeSilence is how long it may have been silent at the end of that time: longer
-	// than the longest pause on time, 180 ms.
-	lifeSilence = 300 * time.Millisecond
+	// restartCheckDelay is the time in which a stream must get an event once its server is known
+	// to have restarted. Engines send an event every 30 to 60 ms.
+	restartCheckDelay = 400 * time.Millisecond
+	// restartMaxSilence is how long the stream may have been silent at the end of that time:
+	// longer than the maximum pause of 180 ms.
+	restartMaxSilence = 300 * time.Millisecond
 )
 
-// HandleLeaving is told of a server that begins to leave, or that has started again. It
-// returns at once.
+// HandleLeaving processes that a server has begun to leave or has restarted. It does not block.
 func (r *Relay) HandleLeaving(s backends.Server, n backends.LeaveReason) {
 	if n == backends.NoticeRestarted {
-		r.Ended(s)
+		r.HandleRestart(s)
 		return
 	}
 	r.Evacuate(s)
 }
 
-// Ended is told of a life of a server that has ended because the server has started
-// again. It returns at once.
+// HandleRestart processes the end of an incarnation of a server that has restarted. It does not
+// block.
 //
-// The connections to it may be silent rather than reset, when it died behind a cut:
-// its streams would then wait for seconds, and a request sent on an idle one would be
-// lost. Idle ones are closed, and streams that are silent go on from their copies or
-// are given up. A stream that still brings events was sent to the new life before its
-// entry was heard of, and stays.
-func (r *Relay) Ended(s backends.Server) {
+// If the server crashed behind a network partition, connections to it may be silent rather than
+// reset: its streams would then wait for seconds, and a request sent on an idle connection would
+// be lost. Idle connections are closed, and silent streams resume from their copies or fail. A
+// stream that still gets events was sent to the new incarnation before its directory entry
+// arrived here, and continues.
+func (r *Relay) HandleRestart(s backends.Server) {
 	r.Upstream.CloseIdle(s.Address)
-	runs := r.runsOf(s)
+	runs := r.runsAt(s)
 	if len(runs) == 0 {
 		return
 	}
-	time.AfterFunc(lifeSign, func() {
+	time.AfterFunc(restartCheckDelay, func() {
 		for _, u := range runs {
-			if u.cutSilent(s, r.Now()-lifeSilence) {
-				u.job.log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime}).Info("stream ended with its server's earlier life")
+			if u.cancelIfSilent(s, r.Now()-restartMaxSilence) {
+				u.job.log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime}).Info("canceled a silent stream of an earlier incarnation of its server")
 			}
 		}
 	})
 }
 
-// runsOf lists the runs at one life of a server.
-func (r *Relay) runsOf(s backends.Server) (out []*run) {
+// runsAt returns the runs at one incarnation of a server.
+func (r *Relay) runsAt(s backends.Server) (out []*run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for u := range r.runs[s.ID] {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -12,97 +12,98 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// errCaller says that the caller does not take the answer any more.
-var errCaller = errors.New("caller does not read")
+// errCallerGone means that the response cannot be written to the caller any more.
+var errCallerGone = errors.New("caller is gone")
 
-// session is a stream on its way to its caller.
+// session is a stream that is being forwarded to its caller.
 type session struct {
 	*Relay
-	job   *job
-	out   Responder
-	seq   sequence
-	run   *run
-	begun bool
-	last  time.Duration
+	job         *job
+	out         Responder
+	seq         sequence
+	run         *run
+	started     bool
+	lastEventAt time.Duration
 }
 
-// stream answers a request whose answer is a series of events.
+// stream answers a request whose response is a stream of events.
 func (r *Relay) stream(ctx context.Context, j *job, out Responder) string {
-	o, refusal := r.place(ctx, j, j.LastEventID)
-	for refusal == nil && !o.streams() {
-		w, err := readWhole(o.answer)
+	placed, refusal := r.place(ctx, j, j.LastEventID)
+	for refusal == nil && !placed.isStream() {
+		response, err := bufferResponse(placed.response)
 		if err != nil {
-			r.broke(ctx, j, o.lease.Server)
-		}
-		o.uncover(r.Now())
-		o.lease.Release(backends.ResultFailed, r.Now())
-		j.tried = append(j.tried, o.lease.Server.ID)
-		if !j.mayRepeat() {
-			if err == nil && w.proper() && w.Status >= 300 {
-				return r.deliver(w, out)
+			r.handleBrokenResponse(ctx, j, placed.reservation.Server)
+		}
+		placed.releaseStandby(r.Now())
+		placed.reservation.Release(backends.ResultFailed, r.Now())
+		j.excluded = append(j.excluded, placed.reservation.Server.ID)
+		if !j.canRetry() {
+			if err == nil && response.isValid() && response.Status >= 300 {
+				return r.deliver(response, out)
 			}
-			o.answer.Body.Close()
-			return r.giveUp(ctx, j, *r.refuse(j, ReasonSpoilt), out)
+			placed.response.Body.Close()
+			return r.sendRefusal(ctx, j, *r.refuse(j, ReasonInvalidResponse), out)
 		}
-		o.answer.Body.Close()
+		placed.response.Body.Close()
 		r.Observer.AttemptFailed(j.service, "server error")
-		o, refusal = r.place(ctx, j, j.LastEventID)
+		placed, refusal = r.place(ctx, j, j.LastEventID)
 	}
 	if refusal != nil {
-		return r.giveUp(ctx, j, *refusal, out)
+		return r.sendRefusal(ctx, j, *refusal, out)
 	}
 	s := &session{Relay: r, job: j, out: out, seq: sequenceAfter(j.LastEventID)}
-	return s.relay(ctx, o)
+	return s.forward(ctx, placed)
 }
 
-// streams reports whether the answer is a stream of the server's own.
-func (o *offer) streams() bool {
-	a := o.answer
+// isStream reports whether the response is a stream as the server sent it.
+func (p *placedResponse) isStream() bool {
+	a := p.response
 	return a.Status == http.StatusOK && a.IsStream && a.Signed && !a.Recoded
 }
 
-func (s *session) relay(ctx context.Context, o *offer) string {
+func (s *session) forward(ctx context.Context, placed *placedResponse) string {
 	s.run = newRun(s.job)
-	s.run.read(o)
-	s.run.keepCover(o)
-	s.enlist(s.run)
-	defer func() { s.strike(s.run) }()
-	first := o.answer
+	s.run.setResponse(placed)
+	s.run.setStandby(placed)
+	s.addRun(s.run)
+	defer func() { s.removeRun(s.run) }()
+	head := placed.response
 	for {
 		var h *hedge
-		if o.cover != nil {
+		if placed.standby != nil {
 			h = s.startHedge(ctx)
 		}
-		err := s.pump(first, o)
-		o.answer.Body.Close()
+		err := s.forwardEvents(head, placed)
+		placed.response.Body.Close()
 		if err == nil {
 			h.discard()
-			o.lease.Release(backends.ResultOK, s.Now())
-			s.answered(s.job)
-			s.learn()
-			return s.end(first)
+			placed.reservation.Release(backends.ResultOK, s.Now())
+			s.recordAnswered(s.job)
+			s.recordOutput()
+			return s.finish(head)
 		}
-		if ctx.Err() != nil || errors.Is(err, errCaller) {
+		if ctx.Err() != nil || errors.Is(err, errCallerGone) {
 			h.discard()
-			o.lease.Release(backends.ResultInconclusive, s.Now())
-			return s.cutOff(ctx, err)
+			placed.reservation.Release(backends.ResultInconclusive, s.Now())
+			return s.endCanceled(ctx, err)
 		}
-		if hedged := h.await(); hedged != nil {
-			s.adopt(hedged, o)
-			o = hedged
+		if hedged := h.result(); hedged != nil {
+			s.switchTo(hedged, placed)
+			placed = hedged
 			continue
 		}
-		next := s.goOn(ctx, o, err)
+		next := s.resume(ctx, placed, err)
 		if next == nil {
-			return s.broken(ctx)
+			return s.endBroken(ctx)
 		}
-		o = next
+		placed = next
 	}
 }
 
-// pump passes events on until the answer ends; nil is a clean end.
-func (s *session) pump(first *Response, o *offer) error {
-	events := newEventReader(o.answer.Body)
+// forwardEvents forwards events until the response ends; nil means that it ended between two
+// events.
+func (s *session) forwardEvents(head *Response, placed *placedResponse) error {
+	events := newEventReader(placed.response.Body)
 	for {
 		event, err := events.next()
 		if err == io.EOF {
@@ -111,139 +112,140 @@
 		if err != nil {
 			return err
 		}
-		fresh, err := s.seq.take(event)
+		fresh, err := s.seq.accept(event)
 		if err != nil {
 			return err
 		}
 		if !fresh {
 			continue
 		}
-		if !s.begun {
-			s.begun = true
-			s.job.progress.first = s.Now() - s.job.arrived
-			s.Observer.FirstByte(s.job.team, s.job.service, s.job.route.Kind, s.job.progress.first)
-			if s.out.Begin(first) != nil {
-				return errCaller
+		if !s.started {
+			s.started = true
+			s.job.progress.firstDelay = s.Now() - s.job.arrived
+			s.Observer.FirstByte(s.job.team, s.job.service, s.job.route.Kind, s.job.progress.firstDelay)
+			if s.out.Begin(head) != nil {
+				return errCallerGone
 			}
 		} else {
-			s.notePause(s.Now() - s.last)
+			s.noteEventPause(s.Now() - s.lastEventAt)
 		}
-		s.last = s.Now()
+		s.lastEventAt = s.Now()
 		s.job.progress.events++
 		if s.out.Write(event) != nil {
-			return errCaller
+			return errCallerGone
 		}
-		s.run.delivered(s.job.progress, s.seq.after(), s.last)
-		if s.job.Generation != nil && s.job.progress.events%reviseEvery == 0 {
-			o.lease.SetExpectedTokens(s.run.memory())
+		s.run.recordEvent(s.job.progress, s.seq.lastEventID(), s.lastEventAt)
+		if s.job.Generation != nil && s.job.progress.events%memoryUpdateInterval == 0 {
+			placed.reservation.SetExpectedTokens(s.run.expectedMemory())
 		}
 	}
 }
 
-// learn notes the length of a generation that ended by itself. One that its
-// caller resumed was not seen from its beginning.
-func (s *session) learn() {
+// recordOutput records the length of a generation that has finished. A generation that its caller
+// resumed was not seen from its beginning and does not count.
+func (s *session) recordOutput() {
 	if j := s.job; j.Generation != nil && j.LastEventID == "" {
-		s.outputs.observe(j.route.Name, j.progress.events*j.perEvent(), j.said())
+		s.forecasts.observe(j.route.Name, j.progress.events*j.tokensPerEvent(), j.callerHint())
 	}
 }
 
-// notePause takes note of the time between two events.
-func (s *session) notePause(d time.Duration) {
-	s.job.progress.longest = max(s.job.progress.longest, d)
+// noteEventPause records the time between two events.
+func (s *session) noteEventPause(d time.Duration) {
+	s.job.progress.longestPause = max(s.job.progress.longestPause, d)
 	s.Observer.EventPause(s.job.team, d)
-	s.paused(d)
-	if most := s.job.route.MaxPause; most > 0 && d > most {
-		s.job.log.WithFields(logrus.Fields{"server": s.run.host(), "after": s.seq.last, "pause_ms": d.Milliseconds()}).Info("stream stalled")
+	s.recordPause(d)
+	if maxPause := s.job.route.MaxPause; maxPause > 0 && d > maxPause {
+		s.job.log.WithFields(logrus.Fields{"server": s.run.serverID(), "after": s.seq.lastID, "pause_ms": d.Milliseconds()}).Info("stream stalled")
 	}
 }
 
-func (s *session) end(first *Response) string {
-	if !s.begun && s.out.Begin(first) != nil {
+func (s *session) finish(head *Response) string {
+	if !s.started && s.out.Begin(head) != nil {
 		return OutcomeCallerGone
 	}
 	s.out.End()
 	return OutcomeAnswered
 }
 
-// cutOff ends a stream whose caller left or whose time is up.
-func (s *session) cutOff(ctx context.Context, err error) string {
-	if errors.Is(err, errCaller) || context.Cause(ctx) == context.Canceled {
+// endCanceled ends a stream whose caller has disconnected or whose deadline has passed.
+func (s *session) endCanceled(ctx context.Context, err error) string {
+	if errors.Is(err, errCallerGone) || context.Cause(ctx) == context.Canceled {
 		s.out.Abort()
 		return OutcomeCallerGone
 	}
-	if s.begun {
+	if s.started {
 		s.out.Abort()
 		return OutcomeTimeout
 	}
-	return s.giveUp(ctx, s.job, *s.refuse(s.job, ReasonDeadline), s.out)
+	return s.sendRefusal(ctx, s.job, *s.refuse(s.job, ReasonDeadline), s.out)
 }
 
-// broken ends a stream that nothing can continue.
-func (s *session) broken(ctx context.Context) string {
-	if !s.begun {
-		return s.giveUp(ctx, s.job, *s.refuse(s.job, ReasonLost), s.out)
+// endBroken ends a stream that cannot be resumed.
+func (s *session) endBroken(ctx context.Context) string {
+	if !s.started {
+		return s.sendRefusal(ctx, s.job, *s.refuse(s.job, ReasonServerLost), s.out)
 	}
 	s.out.Abort()
-	return OutcomeBrokenOff
+	return OutcomeAborted
 }
 
-// goOn finds where a stream that broke at one server continues: at a copy of its
-// memory, or, where the route allows it, by a new run behind the last event.
-func (s *session) goOn(ctx context.Context, o *offer, cause error) *offer {
+// resume continues a stream that broke off at one server: from a copy of its KV cache or, where
+// the route allows it, by a new run that starts after the last event. It returns nil if neither
+// is possible.
+func (s *session) resume(ctx context.Context, placed *placedResponse, cause error) *placedResponse {
 	j := s.job
-	log := j.log.WithField("server", o.lease.Server.ID).WithField("after", s.seq.after()).WithField("content", j.id().String())
-	s.broke(ctx, j, o.lease.Server)
-	if _, held := s.held(j); held {
-		o.lease.Release(backends.ResultInconclusive, s.Now())
-		log.WithError(cause).Warn("stream broke and must not go on: servers end under it")
+	log := j.log.WithField("server", placed.reservation.Server.ID).WithField("after", s.seq.lastEventID()).WithField("content", j.quarantineID().String())
+	s.handleBrokenResponse(ctx, j, placed.reservation.Server)
+	if _, quarantined := s.mustNotSend(j); quarantined {
+		placed.reservation.Release(backends.ResultInconclusive, s.Now())
+		log.WithError(cause).Warn("stream broke and is not resumed: its request is quarantined")
 		s.Observer.Migrated("lost")
 		return nil
 	}
-	if next := s.resumeCopy(ctx, o); next != nil {
-		log.WithField("to", next.lease.Server.ID).WithField("cause", cause.Error()).Info("stream goes on from its copy")
+	if next := s.resumeFromCopy(ctx, placed); next != nil {
+		log.WithField("to", next.reservation.Server.ID).WithField("cause", cause.Error()).Info("stream resumed from a copy")
 		s.Observer.Migrated("resumed")
 		return next
 	}
-	o.lease.Release(backends.ResultFailed, s.Now())
-	if ctx.Err() != nil || !j.mayRepeat() {
-		log.WithError(cause).Warn("stream broke and cannot go on")
+	placed.reservation.Release(backends.ResultFailed, s.Now())
+	if ctx.Err() != nil || !j.canRetry() {
+		log.WithError(cause).Warn("stream broke and cannot be resumed")
 		s.Observer.Migrated("lost")
 		return nil
 	}
-	j.tried = append(j.tried, o.lease.Server.ID)
-	after := s.seq.after()
-	next, refusal := s.place(ctx, j, after)
-	if refusal != nil || !next.streams() {
-		log.WithError(cause).Warn("stream broke and no server goes on")
+	j.excluded = append(j.excluded, placed.reservation.Server.ID)
+	lastEventID := s.seq.lastEventID()
+	next, refusal := s.place(ctx, j, lastEventID)
+	if refusal != nil || !next.isStream() {
+		log.WithError(cause).Warn("stream broke and no server resumed it")
 		if refusal == nil {
-			next.answer.Body.Close()
-			next.lease.Release(backends.ResultFailed, s.Now())
+			next.response.Body.Close()
+			next.reservation.Release(backends.ResultFailed, s.Now())
 		}
 		return nil
 	}
-	log.WithField("to", next.lease.Server.ID).WithField("cause", cause.Error()).Info("stream goes on by a new run")
-	s.relocate(s.run, next)
+	log.WithField("to", next.reservation.Server.ID).WithField("cause", cause.Error()).Info("stream resumed by a new run")
+	s.relocateRun(s.run, next)
 	return next
 }
 
-// resumeCopy continues the run at a copy of its memory, if it has one.
-func (s *session) resumeCopy(ctx context.Context, o *offer) *offer {
+// resumeFromCopy continues the run from a copy of its KV cache, if there is one.
+func (s *session) resumeFromCopy(ctx context.Context, placed *placedResponse) *placedResponse {
 	copies := s.run.takeCopies(ctx)
 	for i, c := range copies {
-		s.spend(s.job.service)
-		next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.seq.after(), ResumeFrom: &c.KVCopy})
-		if err == nil && next.streams() {
-			s.adopt(next, o)
+		s.forceRetry(s.job.service)
+		next, err := s.send(ctx, s.job, c.reservation, &Attempt{LastEventID: s.seq.lastEventID(), ResumeFrom: &c.KVCopy})
+		if err == nil && next.isStream() {
+			s.switchTo(next, placed)
 			for _, unused := range copies[i+1:] {
-				go s.drop(unused)
+				go s.dropCopy(unused)
 			}
 			return next
 		}
 		if err == nil {
-			next.answer.Body.Close()
+			next.response.Body.Close()
 		}
-		c.lease.Release(missed(err), s.Now())
+		c.reservation.Release(copyFailureResult(err), s.Now())
 	}
 	return nil
 }
