--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -15,10 +15,10 @@
 
 // movable lets copies take some time and closes the run's stream when it is
 // stopped, as engines do.
-func (w *world) movable(run *source, took time.Duration) {
-	w.up.move = func(_ context.Context, _ backends.Server, _, _ string, final bool) (string, error) {
+func (f *fixture) setCopyRun(body *fakeBody, took time.Duration) {
+	f.upstream.copyRun = func(_ context.Context, _ backends.Server, _, _ string, final bool) (string, error) {
 		if final {
-			run.breakOff()
+			body.breakOff()
 			return "h2", nil
 		}
 		time.Sleep(took)
@@ -29,125 +29,125 @@
 // A server says that it is leaving while it runs a stream. The run's memory is
 // copied while it goes on, then it stops and goes on at the copy; the caller sees
 // every event once, and no half event of the old server.
-func TestStreamOutlivesItsServer(t *testing.T) {
+func TestStreamIsMigratedOffALeavingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		old := newSource()
-		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		old := newFakeBody()
+		f.setCopyRun(old, 20*time.Millisecond)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom == nil {
-				return old.answer(), nil
+				return old.response(), nil
 			}
 			require.Equal(t, &KVCopy{Source: "a:1", Handle: "h2"}, a.ResumeFrom)
 			require.Equal(t, "3", a.LastEventID)
-			next := newSource()
+			next := newFakeBody()
 			go func() {
 				next.write(events(4, 6))
-				next.w.Close()
+				next.writer.Close()
 			}()
-			return next.answer(), nil
+			return next.response(), nil
 		}
 		go func() {
 			old.write(events(1, 3) + "id: 4\nda")
-			w.server("b", modelService)
-			w.drain("a", modelService)
+			f.addServer("b", modelService)
+			f.addLeavingServer("a", modelService)
 		}()
-		w.serve(request("/plan/x")).whole(t, events(1, 6))
-		require.Equal(t, []string{"a", "b"}, w.up.servers())
-		require.Equal(t, "r1 a>b:1 false", w.up.moves[0])
-		require.Equal(t, "r1 a>b:1 true", w.up.moves[len(w.up.moves)-1])
+		f.serve(request("/plan/x")).requireWhole(t, events(1, 6))
+		require.Equal(t, []string{"a", "b"}, f.upstream.servers())
+		require.Equal(t, "r1 a>b:1 false", f.upstream.copies[0])
+		require.Equal(t, "r1 a>b:1 true", f.upstream.copies[len(f.upstream.copies)-1])
 	})
 }
 
 // A request is on its way to a server, without an answer yet, when the server's
 // notice arrives. Its stream begins after the notice, so the list of streams to
 // move did not have it; it must be moved all the same or it dies with its server.
-func TestStreamThatBeginsAfterTheNoticeIsMoved(t *testing.T) {
+func TestStreamThatBeginsOnALeavingServerIsMigrated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		old := newSource()
-		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
-			next := newSource()
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		old := newFakeBody()
+		f.setCopyRun(old, 20*time.Millisecond)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			next := newFakeBody()
 			if a.ResumeFrom == nil {
-				w.server("b", modelService)
-				w.drain("a", modelService)
+				f.addServer("b", modelService)
+				f.addLeavingServer("a", modelService)
 				go old.write(events(1, 2))
-				return old.answer(), nil
+				return old.response(), nil
 			}
 			go func() {
 				next.write(events(3, 4))
-				next.w.Close()
+				next.writer.Close()
 			}()
-			return next.answer(), nil
+			return next.response(), nil
 		}
-		w.serve(request("/plan/x")).whole(t, events(1, 4))
+		f.serve(request("/plan/x")).requireWhole(t, events(1, 4))
 	})
 }
 
 // The server dies before the copy is complete and the route does not allow a new
 // run. The answer breaks off; it must not look complete.
-func TestStreamWithoutACopyBreaksOff(t *testing.T) {
+func TestStreamWithoutACopyIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		old := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Response, error) {
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		old := newFakeBody()
+		f.upstream.send = func(context.Context, *Attempt) (*Response, error) {
 			go func() {
 				old.write(events(1, 2) + "id: 3\n")
 				old.breakOff()
 			}()
-			return old.answer(), nil
+			return old.response(), nil
 		}
-		c := w.serve(request("/plan/x"))
+		c := f.serve(request("/plan/x"))
 		require.True(t, c.aborted)
-		require.False(t, c.ended)
+		require.False(t, c.done)
 		require.Equal(t, events(1, 2), c.body.String())
 	})
 }
 
 // A server dies in the middle of a stream that may be resumed. A new run goes on
 // behind the last event that the caller has.
-func TestResumableStreamGoesOnByANewRun(t *testing.T) {
+func TestResumableStreamContinuesWithANewRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		w.server("b", modelService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
-			s := newSource()
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		f.addServer("b", modelService)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			s := newFakeBody()
 			if a.LastEventID == "" {
 				go func() {
 					s.write(events(1, 2) + "id: 3\nd")
 					s.breakOff()
 				}()
-				return s.answer(), nil
+				return s.response(), nil
 			}
 			require.Equal(t, "2", a.LastEventID)
 			go func() {
 				s.write(events(3, 4))
-				s.w.Close()
+				s.writer.Close()
 			}()
-			return s.answer(), nil
+			return s.response(), nil
 		}
-		w.serve(request("/check/x")).whole(t, events(1, 4))
-		require.NotEqual(t, w.up.sent[0].Server.ID, w.up.sent[1].Server.ID)
+		f.serve(request("/check/x")).requireWhole(t, events(1, 4))
+		require.NotEqual(t, f.upstream.sent[0].Server.ID, f.upstream.sent[1].Server.ID)
 	})
 }
 
 // A server skips an event. Joined pieces would look like one answer; the stream
 // breaks off instead.
-func TestGapInAStreamBreaksItOff(t *testing.T) {
+func TestGapInAStreamAbortsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		w.up.send = func(context.Context, *Attempt) (*Response, error) {
-			s := newSource()
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		f.upstream.send = func(context.Context, *Attempt) (*Response, error) {
+			s := newFakeBody()
 			go s.write(event(1) + event(3))
-			return s.answer(), nil
+			return s.response(), nil
 		}
-		c := w.serve(request("/plan/x"))
+		c := f.serve(request("/plan/x"))
 		require.True(t, c.aborted)
 		require.Equal(t, event(1), c.body.String())
 	})
@@ -159,95 +159,95 @@
 // still served, and where every VM is stopping, so are long ones for a while: the
 // caller would only be refused again. Later the first VMs are about to be back, and a
 // stream that must not be repeated is not risked on a guess of its length.
-func TestStoppingVMTakesNoStreamThatOutlastsIt(t *testing.T) {
+func TestStoppingVMRefusesStreamsThatOutlastIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		w.server("d", deskService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		f.addServer("d", deskService)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "d" {
-				return answer(200, "ok"), nil
+				return newResponse(200, "ok"), nil
 			}
-			s := newSource()
+			s := newFakeBody()
 			go func() {
 				s.write(events(1, 2))
-				s.w.Close()
+				s.writer.Close()
 			}()
-			return s.answer(), nil
+			return s.response(), nil
 		}
-		w.relay.SetShutdown(time.Now().Add(5*time.Second), time.Now().Add(2*time.Second))
-		c := w.serve(request("/plan/x"))
+		f.relay.SetShutdown(time.Now().Add(5*time.Second), time.Now().Add(2*time.Second))
+		c := f.serve(request("/plan/x"))
 		require.Equal(t, ReasonStopping, c.refusal.Reason)
 		require.False(t, c.refusal.MayHaveRun)
-		require.Empty(t, w.up.sent)
-		w.serve(request("/once/x")).whole(t, "ok")
+		require.Empty(t, f.upstream.sent)
+		f.serve(request("/once/x")).requireWhole(t, "ok")
 
 		short := request("/check/x")
 		short.Generation.Hint = 12
-		w.serve(short).whole(t, events(1, 2))
+		f.serve(short).requireWhole(t, events(1, 2))
 
-		w.others.taking = false
-		w.serve(request("/plan/x")).whole(t, events(1, 2))
+		f.peers.accepting = false
+		f.serve(request("/plan/x")).requireWhole(t, events(1, 2))
 		time.Sleep(2 * time.Second)
 		brief := request("/plan/x")
 		brief.Generation.Hint = 12
-		require.Equal(t, ReasonStopping, w.serve(brief).refusal.Reason)
+		require.Equal(t, ReasonStopping, f.serve(brief).refusal.Reason)
 	})
 }
 
 // The store is away when a server begins to leave, so its entry cannot say so. The
 // server itself is asked, and the stream is moved before the server ends.
-func TestStreamOutlivesAServerThatLeavesDuringAnOutage(t *testing.T) {
+func TestStreamIsMigratedDuringADirectoryOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		old := newSource()
-		w.movable(old, 20*time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
-			next := newSource()
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		old := newFakeBody()
+		f.setCopyRun(old, 20*time.Millisecond)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			next := newFakeBody()
 			if a.ResumeFrom == nil {
 				go old.write(events(1, 2))
-				return old.answer(), nil
+				return old.response(), nil
 			}
 			go func() {
 				next.write(events(3, 4))
-				next.w.Close()
+				next.writer.Close()
 			}()
-			return next.answer(), nil
+			return next.response(), nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go w.relay.RunProber(ctx, func() bool { return true })
+		go f.relay.RunProber(ctx, func() bool { return true })
 		time.AfterFunc(time.Second, func() {
-			w.server("b", modelService)
-			w.up.setLeaving("a")
+			f.addServer("b", modelService)
+			f.upstream.setLeaving("a")
 		})
 		time.AfterFunc(2500*time.Millisecond, old.breakOff)
-		w.serve(request("/plan/x")).whole(t, events(1, 4))
-		require.Equal(t, []string{"a", "b"}, w.up.servers())
+		f.serve(request("/plan/x")).requireWhole(t, events(1, 4))
+		require.Equal(t, []string{"a", "b"}, f.upstream.servers())
 	})
 }
 
 // When a user complains, the last line of a stream is what tells whether its first
 // token or a pause was late.
-func TestLastLineSaysHowFarAStreamCame(t *testing.T) {
+func TestFinalLogLineReportsStreamProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{})
+		f := newFixture(t, Config{})
 		log, lines := test.NewNullLogger()
-		w.relay.Log = log
-		w.server("a", modelService)
-		run := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Response, error) {
+		f.relay.Log = log
+		f.addServer("a", modelService)
+		body := newFakeBody()
+		f.upstream.send = func(context.Context, *Attempt) (*Response, error) {
 			time.Sleep(400 * time.Millisecond)
 			go func() {
-				run.write(event(1))
+				body.write(event(1))
 				time.Sleep(250 * time.Millisecond)
-				run.write(events(2, 5))
-				run.w.Close()
+				body.write(events(2, 5))
+				body.writer.Close()
 			}()
-			return run.answer(), nil
+			return body.response(), nil
 		}
-		w.serve(request("/plan/x")).whole(t, events(1, 5))
+		f.serve(request("/plan/x")).requireWhole(t, events(1, 5))
 		last := lines.LastEntry().Data
 		require.Equal(t, 5, last["events"])
 		require.EqualValues(t, 400, last["first_ms"])
@@ -260,40 +260,40 @@
 // others. If all copied there it would be overfull; each takes an engine where it is
 // its turn, and tells the others at once. Where none of those is near, it takes the
 // emptiest after all.
-func TestCopiesOfSeveralGatewaysSpread(t *testing.T) {
-	targetOf := func(t *testing.T, mine func(server string) bool) string {
-		w := newWorld(t, Config{})
-		w.server("a", modelService)
-		run := newSource()
-		w.movable(run, time.Millisecond)
-		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+func TestMigrationTargetsOfSeveralGatewaysDiffer(t *testing.T) {
+	targetOf := func(t *testing.T, hasTurn func(server string) bool) string {
+		f := newFixture(t, Config{})
+		f.addServer("a", modelService)
+		body := newFakeBody()
+		f.setCopyRun(body, time.Millisecond)
+		f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.ResumeFrom == nil {
-				return run.answer(), nil
+				return body.response(), nil
 			}
-			next := newSource()
+			next := newFakeBody()
 			go func() {
 				next.write(events(3, 4))
-				next.w.Close()
+				next.writer.Close()
 			}()
-			return next.answer(), nil
+			return next.response(), nil
 		}
 		done := make(chan *caller)
-		go func() { done <- w.serve(request("/plan/x")) }()
-		run.write(events(1, 2))
+		go func() { done <- f.serve(request("/plan/x")) }()
+		body.write(events(1, 2))
 		synctest.Wait()
-		w.server("empty", modelService)
-		w.server("fuller", modelService)
-		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"fuller": {Running: 2, ExpectedTokens: 8000}})
+		f.addServer("empty", modelService)
+		f.addServer("fuller", modelService)
+		f.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"fuller": {Running: 2, ExpectedTokens: 8000}})
 		turns := &flow.Turns{Self: "self", Contenders: []flow.Contender{{Name: "self", Waiting: 1}, {Name: "vm-2", Waiting: 3}}}
-		for turns.IsOwnTurn("empty") != mine("empty") || turns.IsOwnTurn("fuller") != mine("fuller") {
+		for turns.IsOwnTurn("empty") != hasTurn("empty") || turns.IsOwnTurn("fuller") != hasTurn("fuller") {
 			turns.Period++
 		}
-		w.others.set(turns)
-		told := w.others.nudged()
-		w.drain("a", modelService)
-		(<-done).whole(t, events(1, 4))
-		require.Greater(t, w.others.nudged(), told)
-		return w.up.servers()[1]
+		f.peers.setTurns(turns)
+		before := f.peers.notified()
+		f.addLeavingServer("a", modelService)
+		(<-done).requireWhole(t, events(1, 4))
+		require.Greater(t, f.peers.notified(), before)
+		return f.upstream.servers()[1]
 	}
 	synctest.Test(t, func(t *testing.T) {
 		require.Equal(t, "fuller", targetOf(t, func(server string) bool { return server == "fuller" }))
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -1,8 +1,8 @@
-// Package relay takes a caller's request to a backend server and its answer
-// back: it decides who may ask, which server is asked, when another one is, how a
-// stream goes on when its server leaves, and what a caller is told otherwise.
+// Package relay forwards callers' requests to backend servers and their responses back. It
+// authorizes requests, selects servers, retries and hedges, migrates streams off servers that are
+// leaving, and refuses requests that cannot be served.
 //
-// The package knows no wire format; ingress and upstream translate.
+// The package knows no wire format; the packages ingress and upstream translate.
 package relay
 
 import (
@@ -16,34 +16,35 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// HeaderField is a header line that passes through unchanged.
+// HeaderField is a header field that is forwarded unchanged.
 type HeaderField struct{ Name, Value string }
 
-// Generation is what a caller says of a request to a model engine.
+// Generation holds the sizes that a caller states for a request to a model engine.
 type Generation struct {
 	PromptTokens int
-	// MaxOutput is the most tokens that the caller wants.
+	// MaxOutput is the maximum number of tokens to generate.
 	MaxOutput int
 	// Hint is the caller's estimate of the output in tokens, 0 if none.
 	Hint int
 }
 
-// Request is one attempt of a caller.
+// Request is one attempt of a caller, which may become several attempts at servers.
 type Request struct {
 	// ID is the caller's id of this attempt; the server echoes it.
 	ID     string
 	Host   string
 	Path   string
 	Method string
-	// Target is the request target as the caller wrote it.
+	// Target is the request target as the caller sent it.
 	Target string
-	// Header is what passes through to the server.
+	// Header are the fields that are forwarded to the server.
 	Header []HeaderField
 	Body   []byte
-	// Timeout is how long the caller waits for the answer, 0 if it did not say.
+	// Timeout is how long the caller waits for the response, 0 if not stated.
 	Timeout time.Duration
 	APIKey  string
-	// LastEventID is the last event that the caller has of a stream, empty if none.
+	// LastEventID is the id of the last event that the caller has received of a stream, empty if
+	// none.
 	LastEventID string
 	// Generation is nil for plain requests.
 	Generation *Generation
@@ -53,50 +54,50 @@
 type Attempt struct {
 	Request *Request
 	Server  backends.Server
-	// SentAt is when it was sent.
+	// SentAt is the time at which the attempt was sent.
 	SentAt time.Duration
-	// Timeout is how long the server may take.
+	// Timeout bounds the time that the server may take.
 	Timeout time.Duration
-	// Team is the name of the key's holder, empty if none.
+	// Team is the team of the request's key, empty if none.
 	Team string
 	// Priority ranks the request at an engine, -1 for none.
 	Priority int
-	// LastEventID is the last event already delivered, empty for none.
+	// LastEventID is the id of the last event that was delivered, empty for none.
 	LastEventID string
-	// StandbyAddress is the address of a server that the run's memory is sent to as it grows,
-	// empty for none. The copy there has the request's id for a handle.
+	// StandbyAddress is the address of the server that receives the run's standby copy, empty for
+	// none. The request's id is the handle of the copy there.
 	StandbyAddress string
-	// ResumeFrom is a copy of the run's memory to go on from, nil for a new run.
+	// ResumeFrom is the copy from which the run resumes, nil for a new run.
 	ResumeFrom *KVCopy
-	// Recheck is the last look before the attempt is sent, once there is a connection for it. An
-	// error ends the attempt unsent. Errors: *Refused.
+	// Recheck is called once there is a connection for the attempt, just before it is sent. If it
+	// returns an error, the attempt is not sent. Errors: *NotRunError.
 	Recheck func() error
 }
 
-// KVCopy is a run's memory at another server.
+// KVCopy identifies a copy of a run's KV cache at another server.
 type KVCopy struct {
 	// Source is the address of the server that the run was on.
 	Source string
 	Handle string
 }
 
-// Response is a server's answer, head first.
+// Response is a server's response. Its head is complete, its body is read from Body.
 type Response struct {
 	Status int
 	Header []HeaderField
-	// Length is the body's, -1 if the answer does not say.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
-	// IsStream marks a stream.
+	// IsStream is set for a stream of events.
 	IsStream bool
-	// Signed marks an answer that bears the server's signature.
+	// Signed is set if the response carries the server's signature.
 	Signed bool
-	// Recoded marks a body that is not as the server made it.
+	// Recoded is set if the body was recoded on the way and is not as the server sent it.
 	Recoded bool
-	// Body ends with io.EOF only if it is whole.
+	// Body returns io.EOF only after the complete body.
 	Body io.ReadCloser
 }
 
-// NotRunError says that a server certainly did not and will not run a request.
+// NotRunError reports that a server has not run a request and will not run it.
 type NotRunError struct {
 	Reason NotRunReason
 	Detail string
@@ -105,96 +106,97 @@
 // NotRunReason is why a server did not run a request.
 type NotRunReason string
 
-// The reasons of servers.
+// Reasons why a server did not run a request.
 const (
-	// NotRunFull is a server without room.
+	// NotRunFull: the server has no capacity.
 	NotRunFull NotRunReason = "full"
-	// NotRunReplaced is another server at the address.
+	// NotRunReplaced: another server listens at the address.
 	NotRunReplaced NotRunReason = "replaced"
-	// NotRunUnreachable is a server that nothing could be sent to.
+	// NotRunUnreachable: nothing could be sent to the server.
 	NotRunUnreachable NotRunReason = "unreachable"
-	// NotRunDown is a server that does not listen at its address any more.
+	// NotRunDown: the server refuses connections at its address.
 	NotRunDown NotRunReason = "ended"
-	// NotRunIneligible is a server that the request must not be sent to: its failure domain is
-	// cordoned or outside the request's regions, it is leaving or rests, or it takes no more
-	// now.
+	// NotRunIneligible: the request must not be sent to the server now. Its failure domain is
+	// cordoned or outside the request's regions, or the server is leaving, backing off or at its
+	// rate limit.
 	NotRunIneligible NotRunReason = "barred"
 )
 
 // Error implements error.
-func (r *NotRunError) Error() string { return fmt.Sprintf("not run, %s: %s", r.Reason, r.Detail) }
+func (e *NotRunError) Error() string { return fmt.Sprintf("not run, %s: %s", e.Reason, e.Detail) }
 
-// Errors of an upstream; all others leave unknown whether a request has run.
+// Errors of an Upstream. After any other error it is unknown whether the request has run.
 var (
-	// ErrNoRun says that the server runs no such request.
+	// ErrNoRun means that the server runs no such request.
 	ErrNoRun = errors.New("no such run")
-	// ErrCopyInProgress says that the run is being copied by another call.
+	// ErrCopyInProgress means that another call is copying the run.
 	ErrCopyInProgress = errors.New("run is being copied")
-	// ErrNoCapacity says that the target of a copy has no room or is unreachable.
-	ErrNoCapacity = errors.New("no room for the copy")
+	// ErrNoCapacity means that the target of a copy has no memory for it or cannot be reached.
+	ErrNoCapacity = errors.New("no capacity for the copy")
 )
 
-// Upstream reaches backend servers. Implementations are safe for concurrent use.
+// Upstream sends requests to backend servers. Implementations are safe for concurrent use.
 type Upstream interface {
-	// Send sends an attempt and waits for the answer's head. The attempt ends
-	// with ctx. Errors: *Refused, or one that leaves the outcome unknown.
+	// Send sends an attempt and waits for the head of the response. Canceling ctx ends the
+	// attempt. Errors: *NotRunError, or one that leaves the outcome unknown.
 	Send(ctx context.Context, a *Attempt) (*Response, error)
-	// CopyRun copies the memory of a run to the server at the address to; a later
-	// call copies what is new. A final call stops the run first and closes its
-	// stream without an end. A handle may come with ErrNoRoom: then the run has
-	// stopped and its server keeps the memory.
+	// CopyRun copies the KV cache of a run to the server at the address to; a later call copies
+	// only what is new. A final call stops the run first and closes its stream without an end. A
+	// handle may be returned together with ErrNoCapacity: then the run has stopped and its own
+	// server keeps the KV cache.
 	CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
 	// DropCopy frees a copy that will not be used.
 	DropCopy(ctx context.Context, c KVCopy)
-	// CloseIdle closes the idle connections to an address, whose server has ended.
+	// CloseIdle closes the idle connections to the address of a server that has crashed.
 	CloseIdle(address string)
-	// IsDown reports whether nothing listens at a server's address any more. It is false
-	// where that cannot be told.
+	// IsDown reports whether a server's address refuses connections. It is false if that cannot
+	// be determined.
 	IsDown(ctx context.Context, s backends.Server) bool
-	// IsLeaving asks a server whether it is about to end.
+	// IsLeaving asks a server whether it is about to stop.
 	IsLeaving(ctx context.Context, s backends.Server) (bool, error)
 }
 
-// Responder takes the one final answer to a request: Refuse, or Begin, any
-// number of Write, and End or Abort.
+// Responder sends one response to the caller: either Refuse, or Begin, any number of Write calls,
+// and then End or Abort.
 type Responder interface {
 	Refuse(f Refusal)
 	Begin(a *Response) error
-	// Write passes bytes on at once.
+	// Write sends bytes to the caller without buffering.
 	Write(p []byte) error
 	End()
-	// Abort breaks off, so that the answer cannot look complete.
+	// Abort ends the response in a way that the caller cannot mistake for a complete one.
 	Abort()
 }
 
-// Reason is why a request got no answer of a server.
+// Reason is why a request is refused.
 type Reason string
 
-// The reasons.
+// Reasons of refusals.
 const (
-	ReasonNoConfig  Reason = "no configuration yet"
-	ReasonNoRoute   Reason = "no such route"
-	ReasonBadKey    Reason = "no or unknown key"
-	ReasonStale     Reason = "configuration not confirmed"
-	ReasonNoServer  Reason = "no server takes requests"
-	ReasonNoRoom    Reason = "servers have no room"
-	ReasonCordoned  Reason = "all servers are in cordoned failure domains"
-	ReasonTooLarge  Reason = "larger than a server's memory"
-	ReasonDeadline  Reason = "time is up"
-	ReasonLost      Reason = "server lost"
-	ReasonSpoilt    Reason = "server's answer was spoilt"
-	ReasonStopping  Reason = "this VM is stopping"
-	ReasonMalformed Reason = "malformed request"
-	ReasonHarmful   Reason = "servers end under it"
+	ReasonNoConfig        Reason = "no configuration yet"
+	ReasonNoRoute         Reason = "no such route"
+	ReasonBadKey          Reason = "no or unknown key"
+	ReasonStaleConfig     Reason = "configuration not confirmed"
+	ReasonNoServer        Reason = "no server takes requests"
+	ReasonNoCapacity      Reason = "servers have no room"
+	ReasonCordoned        Reason = "all servers are in cordoned failure domains"
+	ReasonPromptTooLarge  Reason = "larger than a server's memory"
+	ReasonDeadline        Reason = "time is up"
+	ReasonServerLost      Reason = "server lost"
+	ReasonInvalidResponse Reason = "server's answer was spoilt"
+	ReasonStopping        Reason = "this VM is stopping"
+	ReasonMalformed       Reason = "malformed request"
+	ReasonQuarantined     Reason = "servers end under it"
 )
 
-// Refusal is a final answer of the system's own.
+// Refusal is a final response that the gateway gives instead of a server.
 type Refusal struct {
 	Reason Reason
-	// MayHaveRun says that the request may have run.
+	// MayHaveRun is set if a server may have run the request.
 	MayHaveRun bool
-	// RetryAfter is when to come back, for a request that has not run.
+	// RetryAfter is the time after which the caller may retry; it is set only if the request has
+	// not run.
 	RetryAfter time.Duration
-	// Content identifies what a harmful request asks for, for the log.
+	// Content identifies the content of a quarantined request, for the log.
 	Content string
 }
