--- a/internal/relay/rest_test.go
+++ b/internal/relay/backoff_test.go
@@ -12,7 +12,7 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// restingWorld has servers of a service that all ask for rest.
+// newBackingOffFixture returns a fixture with servers of one service that all ask for backoff.
 func newBackingOffFixture(t *testing.T, service string, backoffs ...time.Duration) *fixture {
 	f := newFixture(t, Config{})
 	for i, backoff := range backoffs {
@@ -23,8 +23,8 @@
 	return f
 }
 
-// Guards against callers being refused for a rest that ends well within their time, and against
-// a server being asked before its rest is over.
+// Guards against callers being refused for a backoff that ends well within their timeout, and
+// against a server being asked before its backoff is over.
 func TestRequestsWaitForShortBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const backoff = 300 * time.Millisecond
@@ -43,8 +43,8 @@
 	})
 }
 
-// Guards against callers waiting for a rest that outlasts them, and against their coming back
-// before it is over.
+// Guards against callers waiting for a backoff that exceeds their timeout, and against retry
+// times before its end.
 func TestLongBackoffIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for service, path := range map[string]string{deskService: "/once/x", modelService: "/plan/x"} {
@@ -61,7 +61,7 @@
 	})
 }
 
-// Guards against a stream going on from its standing copy at a server that has asked for rest.
+// Guards against a stream resuming from its standby copy at a server that has asked for backoff.
 func TestStandbyAtBackingOffServerIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -73,7 +73,8 @@
 	})
 }
 
-// Guards against questions to servers that have asked for rest, while the directory is away.
+// Guards against probes of servers that have asked for backoff, while the directory is
+// unavailable.
 func TestBackingOffServerIsNotProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_simulation_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// The load of the play: gateways before engines that are filled to half, a quarter of
-	// which end at once. Memory, prompts and rates are those of a deployment with short
-	// answers beside long ones.
+	// The simulated load: gateways in front of engines that are half full, a quarter of which
+	// crash at the same time. Memory, prompts and rates are those of a deployment with short and
+	// long responses.
 	simGateways, simEngines = 23, 43
 	simMemory               = 21900
 	simArrivalRate          = 70 // generations a second, over all gateways
@@ -28,18 +28,18 @@
 	simReadTime             = 250 * time.Millisecond
 )
 
-// crashPlay is gateways that hear each other, before engines that they share.
+// crashSimulation simulates gateways that exchange their state and share engines.
 type crashSimulation struct {
 	t        *testing.T
 	gateways []*fixture
 	mu       sync.Mutex
 	down     map[string]bool
-	// refusedAt are the attempts at ended engines, by gateway.
+	// refusedAttempts counts the attempts at crashed engines by gateway.
 	refusedAttempts    map[int]int
 	lastRefusedAttempt time.Duration
 }
 
-// told passes what a gateway says of its servers to the others, as a state does.
+// reportLoads sends the loads and losses of a gateway to the others, as a state message does.
 func (sim *crashSimulation) reportLoads(i int) {
 	time.Sleep(simPeerDelay)
 	f := sim.gateways[i]
@@ -52,7 +52,7 @@
 	}
 }
 
-// nudger tells the others at once.
+// notifyingPeers sends the state of a gateway to its peers on each notification.
 type notifyingPeers struct {
 	*fakePeers
 	notify func()
@@ -114,7 +114,7 @@
 	return body.response(), nil
 }
 
-// end ends a part of the engines.
+// crashServers crashes n engines.
 func (sim *crashSimulation) crashServers(n int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// play returns how many generations that came once the engines had ended were refused.
+// run returns the number of generations sent after the crash, and how many of them were refused.
 func (sim *crashSimulation) run() (sent, refused int) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var wg sync.WaitGroup
@@ -157,8 +157,8 @@
 	return sent, refused
 }
 
-// Guards against generations being refused for lack of room, with three quarters of the
-// engines half empty, because ended engines that refuse connections use up their repeats.
+// Guards against generations being refused for lack of capacity, with three quarters of the
+// engines half empty, because crashed engines that refuse connections use up the retry budget.
 func TestRefusedConnectionsUseNoRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newCrashSimulation(t)
@@ -167,7 +167,7 @@
 		for _, n := range sim.refusedAttempts {
 			attempts += n
 		}
-		t.Logf("%d came after the ends, %d refused, %d attempts at ended engines by %d gateways, the last %v after", sent, refused, attempts, len(sim.refusedAttempts), sim.lastRefusedAttempt-simCrashAt-time.Second)
+		t.Logf("%d sent after the crash, %d refused, %d attempts at crashed engines by %d gateways, the last %v after the crash", sent, refused, attempts, len(sim.refusedAttempts), sim.lastRefusedAttempt-simCrashAt-time.Second)
 		require.Zero(t, refused)
 	})
 }
--- a/internal/relay/ended_test.go
+++ b/internal/relay/crash_test.go
@@ -18,7 +18,7 @@
 	"kingcupplank.example/kingcup/quarantine"
 )
 
-// endings lists the lines on servers that ended under requests.
+// crashLogLines returns the log lines about servers that crashed under requests.
 func crashLogLines(hook *logtest.Hook) (out []*logrus.Entry) {
 	for _, e := range hook.AllEntries() {
 		if e.Message == "server crashed under requests" {
@@ -28,8 +28,8 @@
 	return out
 }
 
-// breaking plays a generation that is broken off after its third event, at a server that
-// what happens to is up to the test.
+// serveBroken serves a generation whose response breaks off after its third event. beforeBreak
+// sets what has happened to its server.
 func (f *fixture) serveBroken(beforeBreak func()) {
 	body := newFakeBody()
 	f.upstream.send = func(context.Context, *Attempt) (*Response, error) { return body.response(), nil }
@@ -42,9 +42,8 @@
 	time.Sleep(2 * lateCrashCheckDelay)
 }
 
-// A caller's generation is broken off because the process that ran it has ended. The log
-// names the server, the request and its content, by which operators find the request that
-// a server does not survive.
+// A generation breaks off because the process that ran it has crashed. The log line names the
+// server, the request and its content, with which operators find a request that crashes servers.
 func TestCrashUnderARequestIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -60,8 +59,8 @@
 	})
 }
 
-// A connection that was reset, and a server that ends after its notice, are no ends under
-// a request: the one listens on, the other ends as planned.
+// A reset connection, and a server that stops while draining, are not crashes: the first still
+// listens, the second stops as planned.
 func TestResetsAndDrainsAreNoCrashes(t *testing.T) {
 	for name, beforeBreak := range map[string]func(f *fixture){
 		"reset":   func(*fixture) {},
@@ -80,8 +79,9 @@
 	}
 }
 
-// A connection to a server is reset, which is no end; a second later the server ends under
-// another request. That it listened just before must not hide it.
+// A connection to a server is reset, which is not a crash; a second later the server crashes
+// under another request. Guards against the first check hiding the crash because the server still
+// listened.
 func TestCrashAfterAResetIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -105,8 +105,8 @@
 	})
 }
 
-// A server that starts again at once under its id refuses no connection; that it ended is
-// known once its new entry is.
+// A server that restarts at once under its id refuses no connection. Its crash is known once its
+// new entry has arrived.
 func TestImmediateRestartIsACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -119,12 +119,12 @@
 	})
 }
 
-// noMove refuses every copy.
+// refuseCopy refuses every copy.
 func refuseCopy(context.Context, backends.Server, string, string, bool) (string, error) {
 	return "", ErrNoCapacity
 }
 
-// ledger is what is known of suspects by one process alone. It implements Suspects.
+// localQuarantine implements Quarantine with the crashes that one process has observed.
 type localQuarantine struct {
 	now     func() time.Duration
 	relay   *Relay
@@ -180,7 +180,7 @@
 	lq.tracker.Clear(id, lq.now())
 }
 
-// known counts the ends that are held against a request.
+// countedCrashes returns the number of crashes that count against a request.
 func (lq *localQuarantine) countedCrashes(r *Request) int {
 	lq.mu.Lock()
 	defer lq.mu.Unlock()
@@ -192,14 +192,14 @@
 	return n
 }
 
-// suspicious has a world remember suspects.
+// trackCrashes gives the relay a localQuarantine.
 func (f *fixture) trackCrashes() *localQuarantine {
 	lq := &localQuarantine{now: f.now, relay: f.relay, tracker: quarantine.NewTracker(quarantine.Default())}
 	f.relay.Quarantine = lq
 	return lq
 }
 
-// harmful has each server end under requests of a path, 50 ms after the first event; all
+// crashOnPath makes each server crash under requests for a path, 50 ms after the first event; all
 // others are answered.
 func (f *fixture) crashOnPath(path string) {
 	f.upstream.send = func(ctx context.Context, a *Attempt) (*Response, error) {
@@ -222,9 +222,9 @@
 	}
 }
 
-// A stream that may be resumed ends the server that runs it, and the gateway carries it on
-// to the next one itself. After the third it must not, however many servers the route
-// allows; its caller gets the final answer at once.
+// A resumable stream crashes the server that runs it, and the gateway resumes it on the next one.
+// After the third crash the gateway must not resume it, however many servers the route allows,
+// and aborts the response at once.
 func TestOwnRetriesEndAfterThirdCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -242,8 +242,8 @@
 	})
 }
 
-// A request under which three servers have ended comes again with a new id. It is refused
-// at once, as not run, and is told to come back when the verdict ends; no server sees it.
+// A request under which three servers have crashed is sent again with a new id. It is refused at
+// once as not run, with the end of the quarantine as its retry time, and no server gets it.
 // Another request of the same team is served.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -269,8 +269,8 @@
 	})
 }
 
-// Guards against a trial being spent on a request for which there is no server: the next one
-// would be due only twice as long after.
+// Guards against starting a trial of a request while there is no server for it: the delay before
+// the next trial would double.
 func TestTrialWaitsForAServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -294,13 +294,14 @@
 			c = f.serve(request("/plan/a"))
 		}
 		c.requireWhole(t, events(1, 2))
-		require.Equal(t, 1, lq.tracker.QuarantinedCount(), "the harmful one")
+		require.Equal(t, 1, lq.tracker.QuarantinedCount(), "the crashing one")
 	})
 }
 
-// Three servers end under a request while two more of its attempts are on their way: one is
-// at a server that reads its prompt, one is being answered. The first is given up at once,
-// or its server would end as well; the second goes on, as its answer shows.
+// Three servers crash under a request while two more of its attempts are in flight: one at a
+// server that reads its prompt, one whose response has begun. The first is canceled at once, as
+// it would crash its server too; the second continues, as its outcome shows whether the
+// quarantine is right.
 func TestAttemptsInFlightAreCanceledByQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -330,7 +331,7 @@
 		synctest.Wait()
 		require.NotNil(t, got[0])
 		require.Equal(t, ReasonQuarantined, got[0].refusal.Reason)
-		require.True(t, got[0].refusal.MayHaveRun, "the server had it")
+		require.True(t, got[0].refusal.MayHaveRun, "the server has received it")
 		require.Zero(t, time.Since(start))
 		answers.write(event(2))
 		answers.writer.Close()
@@ -339,8 +340,8 @@
 	})
 }
 
-// A run whose server ended has a standing copy elsewhere. Two servers have ended under the
-// request before; going on from the copy would end the one that holds it.
+// A run whose server crashed has a standby copy. Two servers have crashed under the request
+// before; resuming the run would crash the standby server.
 func TestQuarantinedStreamDoesNotUseItsStandby(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -361,8 +362,8 @@
 	})
 }
 
-// A caller's answer was put together from two servers, the first of which ended. That it is
-// whole says nothing about the request; an answer of one server does.
+// A response was put together from two servers, the first of which crashed. That it is complete
+// does not clear the request; a complete response of one server does.
 func TestOnlyAResponseOfOneServerClears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -373,7 +374,7 @@
 			body := newFakeBody()
 			go func() {
 				if a.LastEventID != "" {
-					// The end of the first server is known by then.
+					// The crash of the first server has been detected by then.
 					time.Sleep(2 * crashCheckInterval)
 					body.write(event(2))
 					body.writer.Close()
@@ -402,7 +403,7 @@
 	})
 }
 
-// Where nothing is known of any request, the content of a request is not looked at.
+// Without any records, a request's content is not hashed and looked up.
 func TestNoQuarantineLookupWithoutRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
--- a/internal/relay/lane_test.go
+++ b/internal/relay/enginequeue_test.go
@@ -13,9 +13,9 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// Engines are four times slower than assumed. After some streams the gateway knows:
-// no more prompts go to an engine than it reads in half a second, so that the next
-// caller is queued here, where an engine with room may come first.
+// Engines are four times slower than assumed. After some streams the gateway has learned the
+// speed: an engine gets no more prompts than it reads in half a second, so that the next caller
+// is queued here and can go to any engine that gets capacity first.
 func TestPromptSpeedIsLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -38,10 +38,10 @@
 	})
 }
 
-// A caller says that its generation will be short, and it is not. An engine that is
-// counted at the caller's word is given more than its memory holds, and takes the
-// newest generation off in the middle of its answer. So a run counts what it has
-// made and what it makes next, and a later caller waits for room.
+// A caller states that its generation will be short, and it is not. If the engine were charged
+// only the stated length, it would be sent more than its memory fits and preempt the newest
+// generation in the middle of its response. So a run counts with what it has generated and what
+// it will generate next, and a later caller waits for memory.
 func TestRunsBeyondTheirEstimateCountInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -66,9 +66,9 @@
 	})
 }
 
-// Requests wait at another gateway too, and an engine gets room. The request is not
-// sent while it is the other's turn there: both would send at once. It says that it
-// waits, so that it gets its turn, and goes when it has it.
+// Requests are queued at another gateway too, and an engine gets capacity. The request is not
+// sent while it is the other gateway's turn: both would send at the same time. The gateway
+// reports that it has a queued request, so that it gets its turn, and then sends it.
 func TestRequestsWaitForTheirTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -103,14 +103,14 @@
 	})
 }
 
-// A large team has used far more than its share, here and at other gateways. Its
-// request waits for an engine, and one of a small team that came later goes first.
+// A large team has used far more than its share, here and at other gateways. Its request is
+// queued for an engine, and a later request of a small team goes first.
 func TestRequestsOfSmallTeamsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
 		f.apply(2, teamKey, "key-2")
 		f.addServer("a", modelService)
-		// The engine has no room until the load of another gateway ends.
+		// The engine has no memory until the load of another gateway ends.
 		full := map[string]backends.Load{"a": {Running: 9, ExpectedTokens: 30000}}
 		f.registry.SetRemoteLoads("vm-2", full)
 		f.peers.usage = []flow.Usage{{Team: "team-1", Amount: 1e6}, {Team: "x", Amount: 1}, {Team: "y", Amount: 1}}
@@ -139,9 +139,9 @@
 	})
 }
 
-// An engine looks empty and does not begin to answer: runs of gateways that lost power
-// are still on it. The next caller is sent to another engine, though that one is known
-// to have less room, and not behind the first one.
+// An engine seems to be empty and does not begin to respond: runs of gateways that lost power
+// still run on it. The next caller is sent to another engine, although that one is known to have
+// less free memory.
 func TestEngineThatDoesNotBeginGetsNoMoreRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -25,7 +25,7 @@
 	teamKey      = "key-1"
 )
 
-// world is a Relay over servers that a test plays.
+// fixture is a Relay with fake servers that a test controls.
 type fixture struct {
 	suspended atomic.Int64
 	t         *testing.T
@@ -35,17 +35,19 @@
 	upstream  *fakeUpstream
 	relay     *Relay
 	peers     *fakePeers
-	// checkServers is how many servers a request of the route check may go to, 2 if fewer.
+	// checkServers is the number of servers that a request of the route check may be sent to, 2
+	// if lower.
 	checkServers int
 	// plain are the traits of the plain service.
 	plain backends.Traits
 }
 
-// others are the other processes.
+// fakePeers are the other gateways.
 type fakePeers struct {
 	count     int
 	accepting bool
-	// mu guards queued and nudges, which the relay told, and turns, which it is told.
+	// mu guards the fields below. queued and notifications record the relay's calls; the test
+	// sets turns and usage.
 	mu            sync.Mutex
 	queued        int
 	turns         *flow.Turns
@@ -128,13 +130,13 @@
 	return f
 }
 
-// now counts the time that the VM was suspended, as the gateway's clock does; timers do
+// now includes the time for which the VM was suspended, as the gateway's clock does; timers do
 // not.
 func (f *fixture) now() time.Duration {
 	return time.Since(f.start) + time.Second + time.Duration(f.suspended.Load())
 }
 
-// suspend has the VM stand still for d: no timer and no goroutine notices.
+// suspend simulates a suspension of the VM for d, which timers do not see.
 func (f *fixture) suspend(d time.Duration) { f.suspended.Add(int64(d)) }
 
 // apply puts a version of the standard configuration in force and confirms it.
@@ -154,7 +156,7 @@
 	f.replica.Confirm(f.now())
 }
 
-// teams gives each key a team of its own.
+// teams returns one team per key.
 func teams(keys []string) (out []*routing.Team) {
 	for i, key := range keys {
 		out = append(out, &routing.Team{Name: fmt.Sprint("team-", i+1), Keys: []string{key}})
@@ -193,14 +195,14 @@
 	return r
 }
 
-// serve answers a request and returns what the caller saw.
+// serve serves a request and returns the caller's view of the response.
 func (f *fixture) serve(r *Request) *caller {
 	c := &caller{}
 	f.relay.Serve(f.t.Context(), r, c)
 	return c
 }
 
-// caller records an answer.
+// caller records a response.
 type caller struct {
 	mu      sync.Mutex
 	refusal *Refusal
@@ -227,7 +229,7 @@
 func (c *caller) End()   { c.done = true }
 func (c *caller) Abort() { c.aborted = true }
 
-// whole requires an answer that came to its end.
+// requireWhole requires a complete response.
 func (c *caller) requireWhole(t *testing.T, body string) {
 	t.Helper()
 	require.Nil(t, c.refusal)
@@ -236,7 +238,7 @@
 	require.Equal(t, body, c.body.String())
 }
 
-// fakeUpstream plays the servers.
+// fakeUpstream simulates the servers.
 type fakeUpstream struct {
 	mu         sync.Mutex
 	sent       []*Attempt
@@ -254,7 +256,7 @@
 	f.mu.Unlock()
 	answer, err := f.send(ctx, a)
 	if err == nil {
-		// A real connection closes with its request's context.
+		// A real connection is closed when its request's context is canceled.
 		if s, ok := answer.Body.(*io.PipeReader); ok {
 			context.AfterFunc(ctx, func() { s.CloseWithError(ctx.Err()) })
 		}
@@ -281,7 +283,7 @@
 	return f.down[s.ID]
 }
 
-// end has a server listen no more.
+// setDown makes a server refuse connections.
 func (f *fakeUpstream) setDown(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -305,7 +307,7 @@
 	f.leaving = map[string]bool{id: true}
 }
 
-// servers lists the servers asked, in order.
+// servers returns the servers of all attempts, in order.
 func (f *fakeUpstream) servers() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -329,7 +331,7 @@
 	return b.String()
 }
 
-// source is an answer's body that a test writes; closing it breaks it off.
+// fakeBody is a response body that a test writes; breakOff ends it with an error.
 type fakeBody struct {
 	*io.PipeReader
 	writer *io.PipeWriter
@@ -344,7 +346,7 @@
 	return &Response{Status: 200, Length: -1, IsStream: true, Signed: true, Body: s.PipeReader}
 }
 
-// write passes bytes to the reader; a reader that has gone is no matter.
+// write passes bytes to the reader; it ignores a reader that is closed.
 func (s *fakeBody) write(text string) { io.WriteString(s.writer, text) }
 
 func (s *fakeBody) breakOff() { s.writer.CloseWithError(io.ErrUnexpectedEOF) }
--- a/internal/relay/hedge_test.go
+++ b/internal/relay/hedge_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hedged serves a stream with a standing copy at a second engine. play writes the first
-// engine's events; the copy brings those behind the caller's last, up to the tenth.
+// serveHedged serves a stream with a standby copy at a second engine. writeEvents writes the
+// first engine's events; the standby server sends those after the caller's last event, up to the
+// tenth.
 func serveHedged(t *testing.T, f *fixture, refuse bool, writeEvents func(body *fakeBody)) *caller {
 	f.addServer("a", modelService)
 	f.addServer("b", modelService)
@@ -34,7 +35,7 @@
 	return f.serve(request("/plan/x"))
 }
 
-// paced writes events with a pause behind each.
+// writePaced writes events with a pause after each.
 func writePaced(body *fakeBody, from, to int, pause time.Duration) {
 	for n := from; n <= to; n++ {
 		body.write(event(n))
@@ -42,9 +43,9 @@
 	}
 }
 
-// An engine hangs or is cut off in the middle of an answer: no event, no reset. The
-// caller would wait for the connection's probes, 4 s. The stream goes on from its
-// standing copy inside the longest pause that is on time, 180 ms.
+// An engine hangs or becomes unreachable in the middle of a response: no event, no reset. The
+// connection's keepalive probes would fail only after 4 s. The stream is resumed from its standby
+// copy within the maximum pause of 180 ms.
 func TestSilentStreamContinuesFromStandby(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -55,8 +56,8 @@
 	})
 }
 
-// The silence was a pause: the engine goes on just as the copy is asked. The caller gets
-// each event once, from one generation.
+// The silence was only a pause: the engine continues when the standby server is asked. The caller
+// gets each event once, all of one generation.
 func TestFalseAlarmDuplicatesNoEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -70,8 +71,8 @@
 	})
 }
 
-// The copy is missing. The stream that was silent is not cut: its engine may come back,
-// and does.
+// The standby copy is missing. The silent stream is not canceled: its engine may continue, and
+// does.
 func TestSilentStreamWithoutStandbyIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -85,8 +86,8 @@
 	})
 }
 
-// An engine that is slow throughout raises no alarm: the silence is judged by the
-// stream's own pace.
+// An engine that is always slow causes no hedge: the allowed silence depends on the stream's own
+// longest pause.
 func TestSlowStreamIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
--- a/internal/relay/barred_test.go
+++ b/internal/relay/ineligible_test.go
@@ -14,14 +14,15 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// breakBesideACopy plays a generation whose answer breaks off and whose standing copy must not be
-// used: meanwhile is called before, with the only attempt that may be sent.
+// breakWithUnusableStandby serves a generation whose response breaks off and whose standby copy
+// must not be used. beforeBreak is called before the break with the only attempt that may be
+// sent.
 func (f *fixture) breakWithUnusableStandby(beforeBreak func(sent *Attempt)) {
 	f.t.Helper()
 	f.addServer("a", modelService)
 	f.addServer("b", modelService)
 	f.upstream.send = func(_ context.Context, a *Attempt) (*Response, error) {
-		require.Nil(f.t, a.ResumeFrom, "sent to the copy")
+		require.Nil(f.t, a.ResumeFrom, "sent to the standby server")
 		body := newFakeBody()
 		go func() {
 			body.write(events(1, 3))
@@ -35,8 +36,8 @@
 	require.Empty(f.t, f.registry.Loads())
 }
 
-// Guards against a stream going on at a server of a cordoned failure domain because its
-// standing copy is there.
+// Guards against a stream resuming at a server of a cordoned failure domain because its standby
+// copy is there.
 func TestStandbyInCordonedDomainIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -44,7 +45,8 @@
 	})
 }
 
-// Guards against a repeat going to a domain that was cordoned while the first attempt ran.
+// Guards against a retry at a server whose failure domain was cordoned while the first attempt
+// ran.
 func TestRetrySkipsCordonedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -58,11 +60,11 @@
 		c := f.serve(request("/safe/x"))
 		require.Equal(t, 500, c.status, "what the server answered")
 		require.Len(t, f.upstream.sent, 1)
-		require.Zero(t, time.Since(start), "no wait for servers that get nothing")
+		require.Zero(t, time.Since(start), "no wait for servers in cordoned domains")
 	})
 }
 
-// Guards against a request that must stay in its regions being sent elsewhere, or waiting.
+// Guards against a request that is restricted to regions being sent elsewhere, or waiting.
 func TestRequestWithoutServerInItsRegionsIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -82,8 +84,8 @@
 	})
 }
 
-// Guards against callers being refused by the dozen because the only servers have just started:
-// they take a request each 50 ms, and the callers have a second.
+// Guards against dozens of callers being refused because all servers have just started: they
+// accept a request every 50 ms, and the callers have a second.
 func TestRequestsWaitForColdServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -106,7 +108,7 @@
 					return
 				}
 				refused++
-				require.Less(t, time.Since(start), 600*time.Millisecond, "told in time to come back")
+				require.Less(t, time.Since(start), 600*time.Millisecond, "refused in time to retry")
 				require.Positive(t, c.refusal.RetryAfter)
 			})
 		}
@@ -116,8 +118,8 @@
 	})
 }
 
-// Guards against a request going to a server that says it is leaving while the request is on its
-// way to it; a run that goes on there from its copy may.
+// Guards against a request being sent to a server that has reported that it is leaving after it
+// was selected. A run that resumes there from its copy may be sent.
 func TestRequestGoesElsewhereIfItsServerIsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -140,6 +142,6 @@
 		servers := f.upstream.servers()
 		require.Len(t, servers, 2)
 		require.NotEqual(t, servers[0], servers[1])
-		require.Positive(t, f.peers.notified(), "others are told at once")
+		require.Positive(t, f.peers.notified(), "peers are notified at once")
 	})
 }
--- a/internal/relay/line_test.go
+++ b/internal/relay/pacedqueue_test.go
@@ -17,8 +17,8 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// limitedWorld has plain servers that each take so many requests a second; an answer takes
-// 20 ms.
+// newRateLimitedFixture returns a fixture with plain servers that each accept perSecond requests
+// per second; a response takes 20 ms.
 func newRateLimitedFixture(t *testing.T, perSecond float64, servers int) *fixture {
 	f := newFixture(t, Config{})
 	split := []routing.Weighted{{Service: deskService, Weight: 1}}
@@ -38,17 +38,17 @@
 	return f
 }
 
-// outcomes are those of requests by their path.
+// loadResult counts the outcomes of requests by path.
 type loadResult struct {
 	mu      sync.Mutex
 	served  map[string]int
 	refused map[string]int
-	// longest is how long a request waited that was refused, soonest the least time after
-	// which one may come back.
+	// longestWait is the longest wait of a refused request, minRetryAfter the shortest retry
+	// time.
 	longestWait, minRetryAfter time.Duration
 }
 
-// press makes requests for a path, n at once each so often.
+// applyLoad sends n requests for a path at once, in each interval.
 func (f *fixture) applyLoad(result *loadResult, path string, n int, interval, duration time.Duration) {
 	var wg sync.WaitGroup
 	for start := time.Now(); time.Since(start) < duration; time.Sleep(interval) {
@@ -77,8 +77,8 @@
 	return &loadResult{served: make(map[string]int), refused: make(map[string]int)}
 }
 
-// Guards against callers of a service whose servers all name a limit waiting for what they
-// cannot get, against the urgent ones being served no sooner, and against servers standing idle.
+// Guards against callers of a service whose servers are all rate-limited waiting in vain, against
+// urgent requests not being served first, and against unused rate of the servers.
 func TestRateLimitedServiceServesMostUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond, servers, duration = 10.0, 2, 4 * time.Second
@@ -89,15 +89,15 @@
 		wg.Go(func() { f.applyLoad(result, "/other/x", 10, 100*time.Millisecond, duration) })
 		wg.Wait()
 		urgent := result.served["/urgent/x"]
-		t.Logf("served %v, refused %v, refused after %v at the most, to come back in %v at the least", result.served, result.refused, result.longestWait, result.minRetryAfter)
+		t.Logf("served %v, refused %v, longest wait before a refusal %v, shortest retry time %v", result.served, result.refused, result.longestWait, result.minRetryAfter)
 		require.GreaterOrEqual(t, float64(urgent+result.served["/other/x"]), 0.8*perSecond*servers*duration.Seconds())
-		require.GreaterOrEqual(t, float64(urgent), 0.9*15*duration.Seconds(), "they take three quarters of the limits")
+		require.GreaterOrEqual(t, float64(urgent), 0.9*15*duration.Seconds(), "they need three quarters of the rate limits")
 		require.LessOrEqual(t, result.longestWait, 500*time.Millisecond, "half of the time that callers have")
 		require.GreaterOrEqual(t, result.minRetryAfter, retryAfterBase)
 	})
 }
 
-// Guards against a caller waiting in vain for servers that take next to nothing.
+// Guards against a caller waiting in vain for servers with a rate limit of zero.
 func TestZeroRateLimitRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRateLimitedFixture(t, 0, 1)
@@ -108,14 +108,14 @@
 			require.Equal(t, ReasonNoCapacity, c.refusal.Reason)
 			require.False(t, c.refusal.MayHaveRun)
 			require.Zero(t, time.Since(start))
-			require.Greater(t, c.refusal.RetryAfter, 5*time.Second, "the next look at the server")
+			require.Greater(t, c.refusal.RetryAfter, 5*time.Second, "until the server is tried again")
 		}
 		require.Len(t, f.upstream.sent, 1)
 	})
 }
 
-// Guards against callers being told to come back in many minutes because this gateway is one of
-// many that take turns at a server.
+// Guards against retry times of many minutes because this gateway is one of many that take turns
+// at a server.
 func TestRetryAfterForRateLimitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRateLimitedFixture(t, 0.1, 1)
@@ -130,8 +130,8 @@
 	})
 }
 
-// Guards against requests queueing behind a limit that has ended, or that a further server
-// has made up for.
+// Guards against requests being queued because of a rate limit that has ended, or when a further
+// server without one is available.
 func TestPacedQueueEndsWithTheRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRateLimitedFixture(t, 2, 1)
@@ -146,7 +146,7 @@
 	})
 }
 
-// Guards against an answer at hand being held back for a second server that takes no more.
+// Guards against an available response waiting for a second server that is rate-limited.
 func TestAvailableResponseDoesNotWaitForRateLimitedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -162,8 +162,8 @@
 	})
 }
 
-// Guards against a stream going on from its standing copy at a server that has named a limit
-// since and has had its part.
+// Guards against a stream resuming from its standby copy at a server that has set a rate limit in
+// the meantime and has used it up.
 func TestStandbyAtRateLimitedServerIsNotUsedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -176,8 +176,8 @@
 	})
 }
 
-// Guards against requests waiting behind one that may have run and has only a server left that
-// rests.
+// Guards against requests waiting behind one that may have run and whose only remaining server
+// backs off.
 func TestRetriedRequestDoesNotBlockPacedQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -206,8 +206,8 @@
 	})
 }
 
-// Guards against a request that a full server has turned away being refused while others, which
-// take a bounded rate, would take it in time.
+// Guards against a request that a full server did not run being refused while a rate-limited
+// server would accept it in time.
 func TestRequestWaitsForRateLimitedServersBesideAFullOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
--- a/internal/relay/race_test.go
+++ b/internal/relay/race_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// raceTarget is the target of the routes of the plain service.
+// routeTarget is the target latency of the routes of the plain service.
 const routeTarget = 150 * time.Millisecond
 
-// racing is a world with two plain servers; play answers the n-th attempt.
+// newRaceFixture returns a fixture with two plain servers; respond handles the n-th attempt.
 func newRaceFixture(t *testing.T, cfg Config, respond func(ctx context.Context, n int, a *Attempt) (*Response, error)) *fixture {
 	f := newFixture(t, cfg)
 	f.addServer("a", deskService)
@@ -26,13 +26,13 @@
 	return f
 }
 
-// hang answers nothing until the attempt is cut.
+// blockUntilCanceled returns only when the attempt is canceled.
 func blockUntilCanceled(ctx context.Context) (*Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// Guards against a confirmation that may run again being lost because its server hangs.
+// Guards against an idempotent request being lost because its server hangs.
 func TestRaceAnswersWhenFirstServerHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cut := false
@@ -48,13 +48,13 @@
 		f.serve(request("/safe/x")).requireWhole(t, "ok")
 		require.Less(t, time.Since(start), routeTarget)
 		synctest.Wait()
-		require.True(t, cut, "the first server stops")
+		require.True(t, cut, "the first attempt is canceled")
 		require.Empty(t, f.registry.Loads())
 	})
 }
 
-// A server that is only slow answers first: the second attempt is ended, and neither is held
-// against a server.
+// A server that is only slow responds first: the second attempt is canceled, and neither server
+// counts as failing.
 func TestSlowServerMayWinTheRace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRaceFixture(t, Config{}, func(ctx context.Context, n int, _ *Attempt) (*Response, error) {
@@ -86,7 +86,7 @@
 	})
 }
 
-// Guards against races where a request must not run twice, or repeats are used up.
+// Guards against races where a request must not run twice or no retry is left.
 func TestNoRaceWhereNotAllowed(t *testing.T) {
 	for _, tt := range []struct {
 		path        string
@@ -108,7 +108,7 @@
 	}
 }
 
-// Guards against a caller that leaves both attempts of a race at work.
+// Guards against the attempts of a race continuing after the caller has disconnected.
 func TestCallerDisconnectCancelsBothAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := 0
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,8 +16,8 @@
 
 var errReset = errors.New("connection reset")
 
-// A server that is full says so; the caller's request has not run and another
-// server answers it, whatever its kind.
+// A full server does not run the request, and another server answers it, whatever the request's
+// kind.
 func TestRequestThatDidNotRunGoesToAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -36,9 +36,8 @@
 	})
 }
 
-// The connection breaks after a request that must not run twice was sent. It may
-// have run, so no other server may get it, and the caller must not be told that
-// it did not run.
+// The connection breaks after a request that must not run twice was sent. It may have run, so no
+// other server may get it, and the caller must not be told that it did not run.
 func TestUnknownOutcomeIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -52,8 +51,8 @@
 	})
 }
 
-// A first server refuses, the second breaks off: the request may have run by now.
-// Later refusals must not turn that back into "has not run".
+// An attempt is lost, so the request may have run. A later attempt that certainly did not run
+// must not turn that back into "has not run".
 func TestRefusalAfterUnknownOutcomeStaysUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -72,7 +71,7 @@
 	})
 }
 
-// A server fails an idempotent request; a second server is asked, no third.
+// A server fails an idempotent request; a second server is asked, but no third.
 func TestIdempotentRequestGoesToASecondServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -96,8 +95,8 @@
 	})
 }
 
-// A success without the server's signature is not the server's: passing it on
-// would show the caller bytes that nobody vouches for.
+// A success without the server's signature must not be forwarded: nothing vouches for its
+// content.
 func TestUnsignedSuccessIsNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -113,8 +112,8 @@
 	})
 }
 
-// Repeats beyond the shared budget would multiply the load of a service that
-// fails; requests are refused instead.
+// Retries beyond the shared budget would multiply the load of a service that fails; requests are
+// refused instead.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{RetryRatio: 0.2, RetryExtra: 10})
@@ -133,9 +132,9 @@
 	})
 }
 
-// The platform's store turns this VM away while the operator removes a key. Once
-// the bound on removed keys nears, the key must not be served here, although the
-// configuration in force still has it.
+// The store refuses this VM while the operator removes a key. When the age of the configuration
+// approaches the bound on removed keys, the key must not be accepted here, although the
+// configuration in force still contains it.
 func TestKeysAreNotTrustedWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{RevokeTimeout: 5 * time.Second})
@@ -158,9 +157,9 @@
 	})
 }
 
-// The VM is suspended for ten seconds, in which a key is removed, and wakes with callers'
-// requests waiting on its connections. For its timers no time has passed. It must not
-// serve the key, nor be ready, before its view has been confirmed again.
+// The VM is suspended for ten seconds, in which a key is removed, and resumes with callers'
+// requests waiting on its connections. For its timers no time has passed. It must neither accept
+// the key nor be ready before its configuration has been confirmed again.
 func TestSuspendedVMTrustsNoKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{RevokeTimeout: 5 * time.Second, ApplyTimeout: 2 * time.Second})
@@ -177,8 +176,8 @@
 	})
 }
 
-// A route was added while the store was out of reach. "No such route" would be
-// final for the caller; another VM knows the route, so the caller is sent back.
+// A route was added while the store was unreachable. "No such route" would be final for the
+// caller; another VM knows the route, so the caller is told to retry.
 func TestUnknownRouteIsNotFinalWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{ApplyTimeout: 2 * time.Second})
@@ -190,8 +189,8 @@
 	})
 }
 
-// Time passes before a server answers. The caller gets its final answer at its
-// deadline, and the server's connection ends with it.
+// The caller's deadline passes before a server responds. The caller gets its final response then,
+// and the attempt is canceled.
 func TestDeadlineEndsAnAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -208,8 +207,8 @@
 	})
 }
 
-// No server takes requests: the caller is told at once that its request has not
-// run, and when to come back.
+// No server accepts requests: the caller is told at once that its request has not run, and when
+// to retry.
 func TestRequestWithoutServerIsRefusedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -222,8 +221,8 @@
 	})
 }
 
-// Another server has taken over an address: it refuses, its predecessor gets no
-// more requests.
+// Another server listens at an address and rejects the request: the server that the registry has
+// there gets no more requests.
 func TestReplacedServerGetsNoMoreRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -236,9 +235,9 @@
 	})
 }
 
-// A server takes requests and answers none. Its callers' time passes, which by itself
-// says nothing of a server; but after three times the usual time it counts as failing,
-// and the next caller is sent to a busier one.
+// A server accepts requests and answers none. A caller's deadline alone does not count against a
+// server, but after three times the target latency the server counts as failing, and the next
+// caller is sent to a busier one.
 func TestHangingServerGetsNoMoreRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -261,7 +260,7 @@
 	})
 }
 
-// Guards against callers being refused for repeats that never arrived anywhere.
+// Guards against callers being refused because of attempts that never reached a server.
 func TestUnreachableServersUseNoRetryBudget(t *testing.T) {
 	for _, reason := range []NotRunReason{NotRunDown, NotRunUnreachable} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -11,14 +11,15 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// reborn puts an entry of a server's life in force.
+// restartServer puts the entry of a server's incarnation in force.
 func (f *fixture) restartServer(id string, born int64) {
 	f.registry.Put(f.newIncarnation(id, born), f.now())
 }
 
-// A server dies behind a cut while it runs a stream, and starts again under its id. No
-// reset reaches the gateway, so the caller would wait until the connection's probes
-// fail, 4 s; the new entry tells that the run is gone. Its copy elsewhere goes on.
+// A server crashes behind a network partition while it runs a stream, and restarts under its id.
+// No reset reaches the gateway, so the caller would wait 4 s until the connection's keepalive
+// probes fail; the new entry shows that the run is lost. The stream resumes from a copy on
+// another server.
 func TestStreamContinuesAfterServerRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -46,7 +47,8 @@
 		go func() {
 			old.write(events(1, 3))
 			f.addServer("b", modelService)
-			// The notice has the run copied; then its server dies.
+			// The report that the server is leaving causes a copy of the run; then the server
+			// crashes.
 			f.registry.MarkLeaving(f.newIncarnation("a", 100))
 			time.Sleep(time.Second)
 			restartedAt = f.now()
@@ -59,7 +61,7 @@
 	})
 }
 
-// The same without a copy: nothing can go on, and the caller learns it at once.
+// The same without a copy: the run cannot be resumed, and the response is aborted at once.
 func TestStreamOfEarlierIncarnationEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -78,8 +80,8 @@
 	})
 }
 
-// A server has started again, and a request reaches the new life before its entry does.
-// Its stream is not one of the earlier life: it brings events, and must not be cut.
+// A server has restarted, and a request reaches the new incarnation before its entry arrives
+// here. Its stream gets events and must not be canceled.
 func TestStreamOfNewIncarnationIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
--- a/internal/relay/cover_test.go
+++ b/internal/relay/standby_test.go
@@ -13,9 +13,9 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// An engine crashes without a notice in the middle of a long answer that may not run
-// again. Its memory was sent to a second engine as it grew: the caller gets the rest from
-// there, every event once, instead of half an answer.
+// An engine crashes without warning in the middle of a long response that may not run again. Its
+// KV cache was sent to a second engine as it grew: the caller gets the remaining events from
+// there, each event once.
 func TestStreamContinuesFromStandbyAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -43,12 +43,12 @@
 			return next.response(), nil
 		}
 		f.serve(request("/plan/x")).requireWhole(t, events(1, 6))
-		require.Empty(t, f.registry.Loads(), "nothing is counted for the copy any more")
+		require.Empty(t, f.registry.Loads(), "no reservation is left for the copy")
 	})
 }
 
-// The second engine had no room for the copy after all and refuses to go on. The caller's
-// answer ends, and the refusal is not held against a sound engine.
+// The second engine had no memory for the copy after all and does not resume the run. The
+// caller's response is aborted, and the second engine does not count as failing.
 func TestMissingStandbyIsNoServerFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -68,28 +68,28 @@
 		require.True(t, f.serve(request("/plan/x")).aborted)
 		standby := f.upstream.sent[0].StandbyAddress
 		reservation := f.registry.Acquire(backends.Query{Service: modelService, Draw: 1}, f.now())
-		require.Equal(t, standby, reservation.Server.Address, "the engine that crashed is asked last")
+		require.Equal(t, standby, reservation.Server.Address, "the engine that crashed is selected last")
 		require.Empty(t, f.registry.Statuses(f.now()))
 	})
 }
 
-// Standing copies are for what would be lost, where there is room to spare. They must
-// not take room that runs and moves need, nor be made of answers that are over at once.
+// Standby copies are made only of runs that could not be repeated, and where there is memory to
+// spare. They must not take memory that runs and migrations need, nor be made of short responses.
 func TestStandbysUseOnlySpareMemory(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		path string
-		// used is the memory in use at each engine, full that of a third one.
+		// used is the memory in use at each of two engines, thirdUsed that at a third one.
 		used, thirdUsed, maxOutput int
 		saturated                  bool
 		wantStandby                bool
 	}{
-		{"long answer, room", "/plan/x", 5000, 5000, 2000, false, true},
-		{"long answer, the other half full", "/plan/x", 13000, 1, 2000, false, false},
-		{"an engine has room, all together have not", "/plan/x", 10500, 28000, 2000, false, false},
-		{"a request waited for room a moment ago", "/plan/x", 5000, 5000, 2000, true, false},
-		{"answer that a new run may continue", "/check/x", 5000, 5000, 2000, false, false},
-		{"short answer", "/plan/x", 5000, 5000, 40, false, false},
+		{"long response, memory to spare", "/plan/x", 5000, 5000, 2000, false, true},
+		{"long response, the other engine half full", "/plan/x", 13000, 1, 2000, false, false},
+		{"one engine has memory to spare, the service has not", "/plan/x", 10500, 28000, 2000, false, false},
+		{"a request was queued for memory recently", "/plan/x", 5000, 5000, 2000, true, false},
+		{"resumable stream", "/check/x", 5000, 5000, 2000, false, false},
+		{"short response", "/plan/x", 5000, 5000, 40, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// crashes plays a load of long answers on engines, a sixth of which crash at once, and
-// returns the share that is lost.
+// crashLossShare runs long responses on engines, a sixth of which crash at once, and returns the
+// share of responses that are lost.
 func crashLossShare(t *testing.T, engines, runs int, withStandby bool) float64 {
 	lost := 0
 	synctest.Test(t, func(t *testing.T) {
@@ -172,13 +172,13 @@
 	return float64(lost) / float64(runs)
 }
 
-// Three of eighteen engines crash under thirty long answers, whose memory takes a fifth
-// of all there is. All that ran there were lost, 13 to 20 %; with standing copies none
-// is.
+// Three of eighteen engines crash under thirty long responses, whose KV caches take a fifth of
+// the total memory. Without standby copies, all responses on those engines are lost, 13 to 20 %;
+// with them, none is.
 func TestCrashesLoseNoStreamsWithStandbys(t *testing.T) {
 	without := crashLossShare(t, 18, 30, false)
 	with := crashLossShare(t, 18, 30, true)
-	t.Logf("lost without standing copies %.3f, with %.3f", without, with)
+	t.Logf("lost without standby copies %.3f, with %.3f", without, with)
 	require.Positive(t, without)
 	require.Zero(t, with)
 }
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -13,8 +13,8 @@
 	"kingcupplank.example/kingcup/flow"
 )
 
-// movable lets copies take some time and closes the run's stream when it is
-// stopped, as engines do.
+// setCopyRun makes copies take some time and closes the run's stream when it is stopped, as
+// engines do.
 func (f *fixture) setCopyRun(body *fakeBody, took time.Duration) {
 	f.upstream.copyRun = func(_ context.Context, _ backends.Server, _, _ string, final bool) (string, error) {
 		if final {
@@ -26,9 +26,9 @@
 	}
 }
 
-// A server says that it is leaving while it runs a stream. The run's memory is
-// copied while it goes on, then it stops and goes on at the copy; the caller sees
-// every event once, and no half event of the old server.
+// A server reports that it is leaving while it runs a stream. The run's KV cache is copied while
+// the run continues; then the run stops and resumes from the copy. The caller gets every event
+// once, and no partial event of the old server.
 func TestStreamIsMigratedOffALeavingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -60,9 +60,9 @@
 	})
 }
 
-// A request is on its way to a server, without an answer yet, when the server's
-// notice arrives. Its stream begins after the notice, so the list of streams to
-// move did not have it; it must be moved all the same or it dies with its server.
+// A request is in flight at a server that has not responded when the server reports that it is
+// leaving. The stream begins after that and was not in the list of runs to migrate; it must be
+// migrated all the same, or it is lost with its server.
 func TestStreamThatBeginsOnALeavingServerIsMigrated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -87,8 +87,8 @@
 	})
 }
 
-// The server dies before the copy is complete and the route does not allow a new
-// run. The answer breaks off; it must not look complete.
+// The server crashes before the copy is complete, and the route does not allow a new run. The
+// response is aborted; it must not look complete.
 func TestStreamWithoutACopyIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -108,8 +108,8 @@
 	})
 }
 
-// A server dies in the middle of a stream that may be resumed. A new run goes on
-// behind the last event that the caller has.
+// A server crashes in the middle of a resumable stream. A new run continues after the last event
+// that the caller has received.
 func TestResumableStreamContinuesWithANewRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -136,8 +136,8 @@
 	})
 }
 
-// A server skips an event. Joined pieces would look like one answer; the stream
-// breaks off instead.
+// A server skips an event. The response is aborted, as the caller would take it for complete
+// otherwise.
 func TestGapInAStreamAbortsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -153,12 +153,11 @@
 	})
 }
 
-// The VM has been told to stop and a caller's kept connection brings one more
-// long generation. It would be cut off in its middle, where the caller cannot
-// come back; refused at once, it is answered by another VM. Short requests are
-// still served, and where every VM is stopping, so are long ones for a while: the
-// caller would only be refused again. Later the first VMs are about to be back, and a
-// stream that must not be repeated is not risked on a guess of its length.
+// The VM is stopping, and a kept-alive connection brings one more long generation. It would be
+// cut off in the middle, where the caller cannot resume it; if it is refused at once, another VM
+// answers it. Short requests are still served. While all VMs are stopping, so are long ones for a
+// time, as the caller would only be refused again. Later, when the first VMs are about to
+// restart, a stream that must not be repeated is not accepted on an estimate of its length.
 func TestStoppingVMRefusesStreamsThatOutlastIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -195,8 +194,8 @@
 	})
 }
 
-// The store is away when a server begins to leave, so its entry cannot say so. The
-// server itself is asked, and the stream is moved before the server ends.
+// The store is unavailable when a server begins to leave, so its entry cannot show that. The
+// server is probed, and the stream is migrated before the server stops.
 func TestStreamIsMigratedDuringADirectoryOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -228,8 +227,8 @@
 	})
 }
 
-// When a user complains, the last line of a stream is what tells whether its first
-// token or a pause was late.
+// The final log line of a stream shows whether its first token or a pause was late, which answers
+// callers' complaints.
 func TestFinalLogLineReportsStreamProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
@@ -256,10 +255,10 @@
 	})
 }
 
-// A server leaves with runs of several gateways, and one engine is emptier than the
-// others. If all copied there it would be overfull; each takes an engine where it is
-// its turn, and tells the others at once. Where none of those is near, it takes the
-// emptiest after all.
+// A server leaves with runs of several gateways, and one engine is emptier than the others. If
+// all gateways copied there it would be overloaded; each prefers an engine for which it has the
+// turn, and notifies its peers at once. If no such engine is in the same failure domain, it uses
+// the emptiest one.
 func TestMigrationTargetsOfSeveralGatewaysDiffer(t *testing.T) {
 	targetOf := func(t *testing.T, hasTurn func(server string) bool) string {
 		f := newFixture(t, Config{})
