--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -121,7 +121,7 @@
 	a.acts = a.policy.Tick(a.now(), a.acts[:0])
 	for _, act := range a.acts {
 		g := a.jobs[act.Job]
-		switch act.Verb {
+		switch act.Kind {
 		case sched.Start:
 			a.startJob(g)
 		case sched.Pause:
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -115,7 +115,7 @@
 	s.acts = s.policy.Tick(s.now, s.acts[:0])
 	for _, act := range s.acts {
 		r := s.jobs[act.Job]
-		switch act.Verb {
+		switch act.Kind {
 		case sched.Start:
 			s.start(r)
 		case sched.Pause:
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -11,7 +11,7 @@
 		}
 		p.unpark(j)
 		p.begin(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
@@ -35,7 +35,7 @@
 		}
 		p.dequeue(t, j)
 		p.begin(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -129,7 +129,7 @@
 		b.stats.Queued--
 		b.turn[j.Team]++
 		b.begin(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
@@ -140,7 +140,7 @@
 		if late {
 			j.state = stateDone
 			b.stats.Queued--
-			acts = append(acts, Action{Verb: Expire, Job: j, RetryAfter: b.maxQueue})
+			acts = append(acts, Action{Kind: Expire, Job: j, RetryAfter: b.maxQueue})
 		}
 		return late
 	})
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, act := range w.p.Tick(w.now, nil) {
-		switch act.Verb {
+		switch act.Kind {
 		case Start:
 			emitted, ok := w.queued[act.Job]
 			require.True(t, ok, "started a job that does not wait")
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -86,7 +86,7 @@
 
 // Action is one thing for the caller to carry out.
 type Action struct {
-	Verb       ActionKind
+	Kind       ActionKind
 	Job        *Job
 	RetryAfter time.Duration
 }
--- a/sched/victims.go
+++ b/sched/victims.go
@@ -23,7 +23,7 @@
 		j := p.victim()
 		p.leave(j)
 		p.park(j)
-		acts = append(acts, Action{Verb: Pause, Job: j})
+		acts = append(acts, Action{Kind: Pause, Job: j})
 	}
 	return acts
 }
