--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -16,7 +16,7 @@
 
 // drawContent draws a small version, so that versions share routes, teams and keys.
 func drawContent(t *rapid.T, version uint64) Content {
-	c := Content{Version: version, Keyed: true, Services: []*Service{{Name: "s"}}}
+	c := Content{Version: version, KeysRequired: true, Services: []*Service{{Name: "s"}}}
 	for i := range 6 {
 		if rapid.Bool().Draw(t, "route") {
 			c.Routes = append(c.Routes, &Route{
@@ -124,7 +124,7 @@
 	r := NewReplica()
 	old, extra := &Route{Host: "h", Prefix: "/a/"}, &Route{Host: "h", Prefix: "/b/"}
 	both := []*Team{{Name: "t", Keys: []string{"kept", "taken"}}}
-	r.Put(Content{Version: 1, Routes: []*Route{old}, Teams: both, Keyed: true}, atOnce)
+	r.Put(Content{Version: 1, Routes: []*Route{old}, Teams: both, KeysRequired: true}, atOnce)
 	_, err := r.Begin(&Change{Version: 2, SetTeams: []*Team{{Name: "t", Keys: []string{"kept", "new"}}}})
 	require.NoError(t, err)
 	c, _ := r.Current()
@@ -133,7 +133,7 @@
 	require.NotNil(t, c.Team("kept"))
 	require.Nil(t, c.Team("new"))
 	require.NotNil(t, c.Match("h", "/a/x"))
-	r.Put(Content{Version: 3, Routes: []*Route{old, extra}, Teams: both, Keyed: true}, atOnce)
+	r.Put(Content{Version: 3, Routes: []*Route{old, extra}, Teams: both, KeysRequired: true}, atOnce)
 	c, _ = r.Current()
 	require.NotNil(t, c.Team("taken"))
 	require.NotNil(t, c.Match("h", "/b/x"))
--- a/routing/config.go
+++ b/routing/config.go
@@ -18,9 +18,9 @@
 	Routes   []*Route
 	Services []*Service
 	Teams    []*Team
-	// Keyed says that the configuration names teams, so that routes which are not
+	// KeysRequired says that the configuration names teams, so that routes which are not
 	// public need a key.
-	Keyed bool
+	KeysRequired bool
 }
 
 // Config is one version of the configuration.
@@ -87,7 +87,7 @@
 func (c *Config) Next(content Content, pause func()) (*Config, *Change) {
 	ch := &Change{
 		Base: c.Version, Version: content.Version, Limits: content.Limits,
-		Services: content.Services, Keyed: content.Keyed,
+		Services: content.Services, Keyed: content.KeysRequired,
 	}
 	ch.diffRoutes(c, content.Routes, pause)
 	ch.diffTeams(c, content.Teams)
