--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -40,7 +40,7 @@
 			g.setAgreed("no peer is known")
 		case heard:
 			g.setAgreed("peers name no newer version")
-		case g.askConfig(ctx, g.links.Linked()):
+		case g.askConfig(ctx, g.links.LinkedPeers()):
 			g.setAgreed("answered by a peer")
 		case time.Since(known) > agreePatience:
 			g.setAgreed("no peer answers")
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -139,7 +139,7 @@
 		}
 	}
 	if len(out) == 0 && starts {
-		out = g.links.Linked()
+		out = g.links.LinkedPeers()
 	}
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out[:min(len(out), askedPeers)]
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -267,9 +267,9 @@
 	return float64(links) / period(links).Seconds()
 }
 
-// Linked lists the gateways that can be asked, by name: those with a link in either
+// LinkedPeers lists the gateways that can be asked, by name: those with a link in either
 // direction.
-func (m *Manager) Linked() (out []string) {
+func (m *Manager) LinkedPeers() (out []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, n := range m.members {
