--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -56,7 +56,7 @@
 	if err := inflate(head.GetAccess(), &a); err != nil {
 		return nil, err
 	}
-	ch := &routing.Change{Base: head.GetBase(), Version: head.GetVersion(), Keyed: a.GetKeyed(), DropTeams: a.GetDrop()}
+	ch := &routing.Change{Base: head.GetBase(), Version: head.GetVersion(), KeysRequired: a.GetKeyed(), DropTeams: a.GetDrop()}
 	for _, t := range a.GetSet() {
 		ch.SetTeams = append(ch.SetTeams, &routing.Team{Name: t.GetName(), Keys: t.GetKeys(), Priority: int(t.GetPriority()), HasPriority: t.GetRanked(), Regions: t.GetRegions()})
 	}
@@ -133,7 +133,7 @@
 }
 
 func accessOf(ch *routing.Change) *peerv1.Access {
-	a := &peerv1.Access{Drop: ch.DropTeams, Keyed: ch.Keyed}
+	a := &peerv1.Access{Drop: ch.DropTeams, Keyed: ch.KeysRequired}
 	for _, t := range ch.SetTeams {
 		a.Set = append(a.Set, &peerv1.Team{Name: t.Name, Keys: t.Keys, Priority: int32(t.Priority), Ranked: t.HasPriority, Regions: t.Regions})
 	}
--- a/routing/change.go
+++ b/routing/change.go
@@ -14,9 +14,9 @@
 	// the whole version.
 	Base, Version uint64
 	// Limits, Services and Keyed are those of the later version, whole: they are few.
-	Limits   Limits
-	Services []*Service
-	Keyed    bool
+	Limits       Limits
+	Services     []*Service
+	KeysRequired bool
 	// Drop goes before Set.
 	Drop []RouteID
 	Set  []*Route
--- a/routing/config.go
+++ b/routing/config.go
@@ -87,7 +87,7 @@
 func (c *Config) Next(content Content, pause func()) (*Config, *Change) {
 	ch := &Change{
 		Base: c.Version, Version: content.Version, Limits: content.Limits,
-		Services: content.Services, Keyed: content.KeysRequired,
+		Services: content.Services, KeysRequired: content.KeysRequired,
 	}
 	ch.diffRoutes(c, content.Routes, pause)
 	ch.diffTeams(c, content.Teams)
@@ -151,7 +151,7 @@
 
 // whole is the change that leads from nothing to the version.
 func (c *Config) whole() *Change {
-	ch := &Change{Version: c.Version, Limits: c.Limits, Keyed: c.keyed}
+	ch := &Change{Version: c.Version, Limits: c.Limits, KeysRequired: c.keyed}
 	for _, s := range c.services {
 		ch.Services = append(ch.Services, s)
 	}
--- a/routing/update.go
+++ b/routing/update.go
@@ -46,7 +46,7 @@
 // config is the version that the update leads to.
 func (u *Update) config() *Config {
 	next := &Config{
-		Version: u.Version, Limits: u.Limits, keyed: u.Keyed, services: make(map[string]*Service, len(u.Services)),
+		Version: u.Version, Limits: u.Limits, keyed: u.KeysRequired, services: make(map[string]*Service, len(u.Services)),
 	}
 	for _, s := range u.Services {
 		next.services[s.Name] = s
