--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -133,18 +133,18 @@
 	}
 	hb := st.Heartbeat
 	return placement.Server{
-		Name:           st.Peer.Name,
-		FailureDomain:  st.Peer.FailureDomain,
-		Models:         hb.GetModels(),
-		Adapters:       hb.GetAdapters(),
-		Leaving:        hb.GetLeaving() || vm.Leaving,
-		Connected:      st.Connected && st.Age < staleBeat,
-		Age:            st.Age,
-		Running:        int(hb.GetLoad().GetRunning()),
-		Queued:         int(hb.GetLoad().GetQueued()),
-		MemoryForecast: hb.GetLoad().GetMemoryForecast(),
-		MemoryTotal:    hb.GetLoad().GetMemoryCapacity(),
-		Sent:           st.Sent,
+		Name:            st.Peer.Name,
+		FailureDomain:   st.Peer.FailureDomain,
+		Models:          hb.GetModels(),
+		Adapters:        hb.GetAdapters(),
+		Leaving:         hb.GetLeaving() || vm.Leaving,
+		Connected:       st.Connected && st.Age < staleBeat,
+		Age:             st.Age,
+		Running:         int(hb.GetLoad().GetRunning()),
+		Queued:          int(hb.GetLoad().GetQueued()),
+		MemoryForecast:  hb.GetLoad().GetMemoryForecast(),
+		MemoryTotal:     hb.GetLoad().GetMemoryCapacity(),
+		SentSinceReport: st.Sent,
 	}, true
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -30,8 +30,8 @@
 	// Running, Queued and the memory figures are as last reported.
 	Running, Queued             int
 	MemoryForecast, MemoryTotal uint64
-	// Sent is the number of requests this entry has sent since that report.
-	Sent int
+	// SentSinceReport is the number of requests this entry has sent since that report.
+	SentSinceReport int
 	// PromptPending is the prompt tokens that are read before a new request's.
 	PromptPending int
 	// CopyPending is the tokens of memory that are being copied to the server.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -34,6 +34,6 @@
 	for random := range uint64(4) {
 		require.Equal(t, 1, Default().Pick(r, servers, random|random<<32))
 	}
-	servers[1].Sent = 45
+	servers[1].SentSinceReport = 45
 	require.Equal(t, 0, Default().Pick(r, servers, 1))
 }
--- a/placement/scorers.go
+++ b/placement/scorers.go
@@ -14,7 +14,7 @@
 		return 0.5
 	}
 	used := float64(s.MemoryForecast) / float64(s.MemoryTotal)
-	free := 1 - used - sentCost*float64(s.Sent) - queueCost*float64(s.Queued)
+	free := 1 - used - sentCost*float64(s.SentSinceReport) - queueCost*float64(s.Queued)
 	return max(0, min(1, free))
 }
 
