--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -152,7 +152,7 @@
 		first.Services = append(first.Services, serviceOf(s))
 	}
 	out = append(out, first)
-	for ids := range slices.Chunk(ch.Drop, partRoutes) {
+	for ids := range slices.Chunk(ch.DropRoutes, partRoutes) {
 		part := &peerv1.Routes{}
 		for _, id := range ids {
 			part.Drop = append(part.Drop, &peerv1.RouteID{Host: id.Host, Prefix: id.Prefix})
--- a/routing/change.go
+++ b/routing/change.go
@@ -17,9 +17,9 @@
 	Limits       Limits
 	Services     []*Service
 	KeysRequired bool
-	// Drop goes before Set.
-	Drop []RouteID
-	Set  []*Route
+	// DropRoutes goes before Set.
+	DropRoutes []RouteID
+	Set        []*Route
 	// DropTeams goes before SetTeams.
 	DropTeams []string
 	SetTeams  []*Team
@@ -27,7 +27,7 @@
 
 // Size counts the rows that a change touches.
 func (ch *Change) Size() int {
-	return len(ch.Drop) + len(ch.Set) + len(ch.DropTeams) + len(ch.SetTeams)
+	return len(ch.DropRoutes) + len(ch.Set) + len(ch.DropTeams) + len(ch.SetTeams)
 }
 
 // comparedAtOnce is how many routes are compared without a pause: 1 ms of a whole core.
@@ -59,7 +59,7 @@
 			pause()
 		}
 		if id := (RouteID{strings.ToLower(old.Host), old.Prefix}); !listed[id] {
-			ch.Drop = append(ch.Drop, id)
+			ch.DropRoutes = append(ch.DropRoutes, id)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 func Join(first, second *Change) *Change {
 	out := *second
 	out.Base = first.Base
-	out.Drop, out.Set = joined(first.Drop, second.Drop, first.Set, second.Set, func(r *Route) RouteID {
+	out.DropRoutes, out.Set = joined(first.DropRoutes, second.DropRoutes, first.Set, second.Set, func(r *Route) RouteID {
 		return RouteID{strings.ToLower(r.Host), r.Prefix}
 	})
 	out.DropTeams, out.SetTeams = joined(first.DropTeams, second.DropTeams, first.SetTeams, second.SetTeams, func(t *Team) string { return t.Name })
--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -78,11 +78,11 @@
 			}
 			ch := reader.Since(follower.Version())
 			head := *ch
-			head.Drop, head.Set = nil, nil
+			head.DropRoutes, head.Set = nil, nil
 			u, err := follower.Begin(&head)
 			require.NoError(t, err)
 			half := rapid.IntRange(0, len(ch.Set)).Draw(t, "part")
-			u.Add(ch.Drop, ch.Set[:half])
+			u.Add(ch.DropRoutes, ch.Set[:half])
 			u.Add(nil, ch.Set[half:])
 			ok, err := follower.Commit(u)
 			require.NoError(t, err)
--- a/routing/config.go
+++ b/routing/config.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	u.insert(ch.Drop, ch.Set)
+	u.insert(ch.DropRoutes, ch.Set)
 	return u.config(), nil
 }
 
