--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -24,26 +24,26 @@
 	leastSpread = 0.1
 )
 
-// Outputs estimates how long a generation becomes from what its caller says, from
+// OutputEstimator estimates how long a generation becomes from what its caller says, from
 // how long those of its kind became, and from how long it is already. Lengths and
 // the errors of callers' estimates are taken to be lognormal; what it learns of
 // either decides how much each of them counts.
 //
 // A value is for one goroutine at a time.
-type Outputs struct {
+type OutputEstimator struct {
 	lengths, errors moments
 }
 
 // NewOutputs returns an estimator that has seen nothing.
-func NewOutputs() *Outputs {
-	return &Outputs{
+func NewOutputs() *OutputEstimator {
+	return &OutputEstimator{
 		lengths: newMoments(startLog, startSpread),
 		errors:  newMoments(0, startHintSpread),
 	}
 }
 
 // Observe notes a generation that ended by itself.
-func (o *Outputs) Observe(tokens int, said CallerHint) {
+func (o *OutputEstimator) Observe(tokens int, said CallerHint) {
 	if tokens <= 0 {
 		return
 	}
@@ -56,7 +56,7 @@
 
 // ExpectedTokens is the mean output, in tokens, of a generation that has made some tokens
 // and goes on.
-func (o *Outputs) ExpectedTokens(said CallerHint, made int) int {
+func (o *OutputEstimator) ExpectedTokens(said CallerHint, made int) int {
 	mean, spread := o.lengths.mean, o.lengths.spread()
 	if said.EstimatedTokens > 0 {
 		// The two are weighed by their certainty.
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -10,13 +10,13 @@
 // concurrent use; its lock is a leaf.
 type outputs struct {
 	mu      sync.Mutex
-	byRoute map[string]*forecast.Outputs
+	byRoute map[string]*forecast.OutputEstimator
 }
 
-func newOutputs() *outputs { return &outputs{byRoute: make(map[string]*forecast.Outputs)} }
+func newOutputs() *outputs { return &outputs{byRoute: make(map[string]*forecast.OutputEstimator)} }
 
 // of returns the estimator of a route; mu is held.
-func (o *outputs) of(route string) *forecast.Outputs {
+func (o *outputs) of(route string) *forecast.OutputEstimator {
 	f := o.byRoute[route]
 	if f == nil {
 		f = forecast.NewOutputs()
