--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -159,7 +159,7 @@
 		}
 		out = append(out, part)
 	}
-	for routes := range slices.Chunk(ch.Set, partRoutes) {
+	for routes := range slices.Chunk(ch.SetRoutes, partRoutes) {
 		part := &peerv1.Routes{}
 		for _, r := range routes {
 			part.Set = append(part.Set, routeOf(r))
--- a/internal/changewire/changewire_test.go
+++ b/internal/changewire/changewire_test.go
@@ -102,7 +102,7 @@
 	}
 	ch := &routing.Change{Base: 1, Version: 2}
 	for range n {
-		ch.Set = append(ch.Set, &routing.Route{
+		ch.SetRoutes = append(ch.SetRoutes, &routing.Route{
 			Name: "r-" + name(7), Host: "app.example", Prefix: "/" + name(8) + "/", Kind: routing.Idempotent, Timeout: 1500 * time.Millisecond,
 			Target: 150 * time.Millisecond, Servers: 2, Priority: 1, Split: []routing.Weighted{{Service: "desk", Weight: 1}},
 		})
--- a/routing/change.go
+++ b/routing/change.go
@@ -19,7 +19,7 @@
 	KeysRequired bool
 	// DropRoutes goes before Set.
 	DropRoutes []RouteID
-	Set        []*Route
+	SetRoutes  []*Route
 	// DropTeams goes before SetTeams.
 	DropTeams []string
 	SetTeams  []*Team
@@ -27,7 +27,7 @@
 
 // Size counts the rows that a change touches.
 func (ch *Change) Size() int {
-	return len(ch.DropRoutes) + len(ch.Set) + len(ch.DropTeams) + len(ch.SetTeams)
+	return len(ch.DropRoutes) + len(ch.SetRoutes) + len(ch.DropTeams) + len(ch.SetTeams)
 }
 
 // comparedAtOnce is how many routes are compared without a pause: 1 ms of a whole core.
@@ -47,7 +47,7 @@
 		}
 		listed[id] = true
 		if old, ok := c.routes.Get(routeKey(r.Host, r.Prefix)); !ok || !old.equal(r) {
-			ch.Set = append(ch.Set, r)
+			ch.SetRoutes = append(ch.SetRoutes, r)
 		}
 	}
 	for it, i := c.routes.Root().Iterator(), 0; ; i++ {
@@ -124,7 +124,7 @@
 func Join(first, second *Change) *Change {
 	out := *second
 	out.Base = first.Base
-	out.DropRoutes, out.Set = joined(first.DropRoutes, second.DropRoutes, first.Set, second.Set, func(r *Route) RouteID {
+	out.DropRoutes, out.SetRoutes = joined(first.DropRoutes, second.DropRoutes, first.SetRoutes, second.SetRoutes, func(r *Route) RouteID {
 		return RouteID{strings.ToLower(r.Host), r.Prefix}
 	})
 	out.DropTeams, out.SetTeams = joined(first.DropTeams, second.DropTeams, first.SetTeams, second.SetTeams, func(t *Team) string { return t.Name })
--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -78,12 +78,12 @@
 			}
 			ch := reader.Since(follower.Version())
 			head := *ch
-			head.DropRoutes, head.Set = nil, nil
+			head.DropRoutes, head.SetRoutes = nil, nil
 			u, err := follower.Begin(&head)
 			require.NoError(t, err)
-			half := rapid.IntRange(0, len(ch.Set)).Draw(t, "part")
-			u.Add(ch.DropRoutes, ch.Set[:half])
-			u.Add(nil, ch.Set[half:])
+			half := rapid.IntRange(0, len(ch.SetRoutes)).Draw(t, "part")
+			u.Add(ch.DropRoutes, ch.SetRoutes[:half])
+			u.Add(nil, ch.SetRoutes[half:])
 			ok, err := follower.Commit(u)
 			require.NoError(t, err)
 			require.True(t, ok)
@@ -196,7 +196,7 @@
 	for _, n := range []int{1000, 5000, 20000} {
 		all := grown(n + 100)
 		base := New(Content{Version: 1, Routes: all[:n]})
-		ch := &Change{Base: 1, Version: 2, Set: all[n:]}
+		ch := &Change{Base: 1, Version: 2, SetRoutes: all[n:]}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				if _, err := base.Apply(ch); err != nil {
--- a/routing/config.go
+++ b/routing/config.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	u.insert(ch.DropRoutes, ch.Set)
+	u.insert(ch.DropRoutes, ch.SetRoutes)
 	return u.config(), nil
 }
 
@@ -161,7 +161,7 @@
 		if !ok {
 			break
 		}
-		ch.Set = append(ch.Set, r)
+		ch.SetRoutes = append(ch.SetRoutes, r)
 	}
 	for it := c.teams.Root().Iterator(); ; {
 		_, t, ok := it.Next()
--- a/routing/update.go
+++ b/routing/update.go
@@ -30,7 +30,7 @@
 // Add takes a part of the routes; drop goes before set.
 func (u *Update) Add(drop []RouteID, set []*Route) {
 	u.DropRoutes = append(u.DropRoutes, drop...)
-	u.Set = append(u.Set, set...)
+	u.SetRoutes = append(u.SetRoutes, set...)
 	u.insert(drop, set)
 }
 
