--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -34,8 +34,8 @@
 	lengths, errors moments
 }
 
-// NewOutputs returns an estimator that has seen nothing.
-func NewOutputs() *OutputEstimator {
+// NewOutputEstimator returns an estimator that has seen nothing.
+func NewOutputEstimator() *OutputEstimator {
 	return &OutputEstimator{
 		lengths: newMoments(startLog, startSpread),
 		errors:  newMoments(0, startHintSpread),
--- a/forecast/outputs_test.go
+++ b/forecast/outputs_test.go
@@ -35,7 +35,7 @@
 // a third less than the estimates, and lean to one side by less than a sixth.
 func TestOutputsAreBetterThanCallersEstimates(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	for _, g := range generations(100, rnd) {
 		o.Observe(g.tokens, g.CallerHint)
 	}
@@ -57,7 +57,7 @@
 // engine. What is expected of it must grow with it.
 func TestOutputsFollowAGenerationBeyondItsEstimate(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	for _, g := range generations(300, rnd) {
 		o.Observe(g.tokens, g.CallerHint)
 	}
@@ -78,7 +78,7 @@
 // the caller takes.
 func TestOutputsStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := NewOutputs()
+		o := NewOutputEstimator()
 		for range rapid.IntRange(0, 40).Draw(t, "seen") {
 			o.Observe(rapid.IntRange(0, 100000).Draw(t, "tokens"), CallerHint{EstimatedTokens: rapid.IntRange(0, 100000).Draw(t, "hint")})
 		}
@@ -96,7 +96,7 @@
 // allocation, for one estimate before a request is placed and one a second while
 // it runs.
 func BenchmarkOutputsExpect(b *testing.B) {
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	b.ReportAllocs()
 	for i := range b.N {
 		o.ExpectedTokens(CallerHint{EstimatedTokens: 100 + i%1000, MaxTokens: 2000}, i%500)
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -19,7 +19,7 @@
 func (o *outputs) of(route string) *forecast.OutputEstimator {
 	f := o.byRoute[route]
 	if f == nil {
-		f = forecast.NewOutputs()
+		f = forecast.NewOutputEstimator()
 		o.byRoute[route] = f
 	}
 	return f
