--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -70,7 +70,7 @@
 		w.server("a", deskService)
 		split := []routing.Weighted{{Service: deskService, Weight: 1}}
 		route := func(name string, regions routing.Regions) *routing.Route {
-			return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Idempotent, Public: true, Servers: 2, Split: split, Regions: regions}
+			return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Idempotent, Public: true, MaxServers: 2, Split: split, Regions: regions}
 		}
 		w.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("north", routing.Regions{"north"}), route("south", routing.Regions{"south"})}}, func() {})
 		w.replica.Confirm(w.now())
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -136,7 +136,7 @@
 
 // mayRepeat reports whether the request may run once more.
 func (j *job) mayRepeat() bool {
-	return j.route.Repeatable() && j.ran < j.route.Servers && j.left() > leastLeft
+	return j.route.Repeatable() && j.ran < j.route.MaxServers && j.left() > leastLeft
 }
 
 // acquire takes a lease on a server, waiting a while for one with room.
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -14,7 +14,7 @@
 
 // mayRace reports whether a request may run at two servers at the same time.
 func (j *job) mayRace() bool {
-	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.Target > 0 && j.ran+1 < j.route.Servers
+	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.Target > 0 && j.ran+1 < j.route.MaxServers
 }
 
 // sendRaced makes one attempt. One that may run again goes to a second server as well if the
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -59,8 +59,8 @@
 	// EventTimeout is how long callers wait for the first or the next event of a stream
 	// before they leave; 0 if they do not.
 	EventTimeout time.Duration
-	// Servers is the most backend servers that may run one attempt of a caller.
-	Servers int
+	// MaxServers is the most backend servers that may run one attempt of a caller.
+	MaxServers int
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
 	// Public routes need no key.
@@ -79,7 +79,7 @@
 	}
 	return r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Kind == o.Kind &&
 		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
-		r.Servers == o.Servers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
+		r.MaxServers == o.MaxServers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
 		slices.Equal(r.Split, o.Split) && slices.Equal(r.Regions, o.Regions)
 }
 
