--- a/forecast/lengths.go
+++ b/forecast/lengths.go
@@ -39,9 +39,9 @@
 	return 1 + math.Log(tokens/firstEnd)/logGrowth
 }
 
-// Lengths is a decayed histogram of output lengths, on top of a prior.
-type Lengths struct {
-	prior *Lengths
+// LengthHistogram is a decayed histogram of output lengths, on top of a prior.
+type LengthHistogram struct {
+	prior *LengthHistogram
 	count [Buckets]float64
 	total float64
 	// scale grows instead of all counts shrinking, which makes Observe cheap.
@@ -57,14 +57,14 @@
 const maxScale = 1e9
 
 // NewLengths returns an empty histogram. A nil prior is a broad guess.
-func NewLengths(prior *Lengths) *Lengths {
-	l := &Lengths{prior: prior, scale: 1}
+func NewLengths(prior *LengthHistogram) *LengthHistogram {
+	l := &LengthHistogram{prior: prior, scale: 1}
 	l.refresh()
 	return l
 }
 
 // Observe records the length of a generation that finished by itself.
-func (l *Lengths) Observe(tokens int) {
+func (l *LengthHistogram) Observe(tokens int) {
 	i := min(int(bucketOf(float64(tokens))), Buckets-1)
 	l.count[i] += l.scale
 	l.total += l.scale
@@ -78,7 +78,7 @@
 	}
 }
 
-func (l *Lengths) rescale() {
+func (l *LengthHistogram) rescale() {
 	for i := range l.count {
 		l.count[i] /= l.scale
 	}
@@ -86,7 +86,7 @@
 	l.scale = 1
 }
 
-func (l *Lengths) refresh() {
+func (l *LengthHistogram) refresh() {
 	l.stale = 0
 	total := l.total/l.scale + priorWeight
 	acc := 0.0
@@ -99,7 +99,7 @@
 
 // priorTail of the broad guess halves every four buckets, which is roughly a
 // factor of 2.3 in length.
-func (l *Lengths) priorTail(i int) float64 {
+func (l *LengthHistogram) priorTail(i int) float64 {
 	if l.prior != nil {
 		return l.prior.tail[i]
 	}
@@ -115,7 +115,7 @@
 const beyondLast = 0.5
 
 // Survival is the share of generations that are longer than tokens.
-func (l *Lengths) Survival(tokens float64) float64 {
+func (l *LengthHistogram) Survival(tokens float64) float64 {
 	pos := bucketOf(tokens)
 	i := int(pos)
 	if i >= Buckets {
@@ -132,7 +132,7 @@
 
 // Alive is the probability that a stream that has emitted tokens is still
 // running after ahead more.
-func (l *Lengths) Alive(emitted, ahead float64) float64 {
+func (l *LengthHistogram) Alive(emitted, ahead float64) float64 {
 	now := l.Survival(emitted)
 	if now <= 0 {
 		return 0.5
@@ -142,7 +142,7 @@
 
 // Remaining is the mean number of tokens that a stream still has to emit after
 // emitted ones, counted to the end of the last bucket.
-func (l *Lengths) Remaining(emitted float64) float64 {
+func (l *LengthHistogram) Remaining(emitted float64) float64 {
 	now := l.Survival(emitted)
 	if now <= 0 {
 		return emitted
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -13,7 +13,7 @@
 type Forecasting struct {
 	cfg    Config
 	teams  map[string]*team
-	models map[string]*forecast.Lengths
+	models map[string]*forecast.LengthHistogram
 	// waiting are the teams with a queue, in no order.
 	waiting []*team
 	paused  []*Job
@@ -34,7 +34,7 @@
 	queue   []*Job
 	running int
 	mem     memory
-	lengths map[string]*forecast.Lengths
+	lengths map[string]*forecast.LengthHistogram
 	// seen is when the team last had work; teams not seen for long have no
 	// share.
 	seen   time.Duration
@@ -51,14 +51,14 @@
 	return &Forecasting{
 		cfg:    cfg.withDefaults(),
 		teams:  make(map[string]*team),
-		models: make(map[string]*forecast.Lengths),
+		models: make(map[string]*forecast.LengthHistogram),
 	}
 }
 
 func (p *Forecasting) team(j *Job) *team {
 	t := p.teams[j.Team]
 	if t == nil {
-		t = &team{name: j.Team, lengths: make(map[string]*forecast.Lengths)}
+		t = &team{name: j.Team, lengths: make(map[string]*forecast.LengthHistogram)}
 		p.teams[j.Team] = t
 	}
 	weight := max(1, float64(j.Weight))
@@ -74,7 +74,7 @@
 	return t
 }
 
-func (p *Forecasting) lengths(t *team, model string) *forecast.Lengths {
+func (p *Forecasting) lengths(t *team, model string) *forecast.LengthHistogram {
 	l := t.lengths[model]
 	if l != nil {
 		return l
--- a/sched/memory.go
+++ b/sched/memory.go
@@ -53,7 +53,7 @@
 // contribute computes what a stream with prompt and emitted tokens adds. A
 // stream that is still alive at a horizon holds its whole context then; one
 // that has ended holds nothing.
-func contribute(l *forecast.Lengths, prompt, emitted, maxTokens int) contribution {
+func contribute(l *forecast.LengthHistogram, prompt, emitted, maxTokens int) contribution {
 	c := contribution{at: emitted}
 	now := l.Survival(float64(emitted))
 	for k, ahead := range horizons {
