--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -331,7 +331,7 @@
 	if r.KeysStale(age) || !r.Peers.ConfigCurrent() {
 		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 	}
-	team := cfg.Team(j.APIKey)
+	team := cfg.TeamByKey(j.APIKey)
 	if team == nil {
 		if j.APIKey != "" && r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
 			return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -60,7 +60,7 @@
 	}
 	for k := range 4 {
 		key := fmt.Sprint("k", k)
-		require.Equal(t, want.Team(key), got.Team(key), key)
+		require.Equal(t, want.TeamByKey(key), got.TeamByKey(key), key)
 	}
 }
 
@@ -129,13 +129,13 @@
 	require.NoError(t, err)
 	c, _ := r.Current()
 	require.EqualValues(t, 1, c.Version)
-	require.Nil(t, c.Team("taken"))
-	require.NotNil(t, c.Team("kept"))
-	require.Nil(t, c.Team("new"))
+	require.Nil(t, c.TeamByKey("taken"))
+	require.NotNil(t, c.TeamByKey("kept"))
+	require.Nil(t, c.TeamByKey("new"))
 	require.NotNil(t, c.Match("h", "/a/x"))
 	r.Put(Content{Version: 3, Routes: []*Route{old, extra}, Teams: both, KeysRequired: true}, atOnce)
 	c, _ = r.Current()
-	require.NotNil(t, c.Team("taken"))
+	require.NotNil(t, c.TeamByKey("taken"))
 	require.NotNil(t, c.Match("h", "/b/x"))
 }
 
--- a/routing/config.go
+++ b/routing/config.go
@@ -73,8 +73,8 @@
 // NeedsKey reports whether requests of a route must bear a team's key.
 func (c *Config) NeedsKey(r *Route) bool { return c.keyed && !r.Public }
 
-// Team returns the holder of a key, or nil.
-func (c *Config) Team(key string) *Team {
+// TeamByKey returns the holder of a key, or nil.
+func (c *Config) TeamByKey(key string) *Team {
 	t, _ := c.keys.Get([]byte(key))
 	return t
 }
