--- a/forecast/lengths.go
+++ b/forecast/lengths.go
@@ -56,8 +56,8 @@
 
 const maxScale = 1e9
 
-// NewLengths returns an empty histogram. A nil prior is a broad guess.
-func NewLengths(prior *LengthHistogram) *LengthHistogram {
+// NewLengthHistogram returns an empty histogram. A nil prior is a broad guess.
+func NewLengthHistogram(prior *LengthHistogram) *LengthHistogram {
 	l := &LengthHistogram{prior: prior, scale: 1}
 	l.refresh()
 	return l
--- a/forecast/lengths_test.go
+++ b/forecast/lengths_test.go
@@ -13,7 +13,7 @@
 // thousand observations, also for a stream that has outlived the median.
 func TestLengthsLearn(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	l := NewLengths(nil)
+	l := NewLengthHistogram(nil)
 	draw := func() float64 { return 300 * math.Exp(0.9*rnd.NormFloat64()) }
 	for range 3000 {
 		l.Observe(int(draw()))
@@ -40,7 +40,7 @@
 // Lengths at the end of the last bucket must not be rarer than those beyond it, or a
 // stream that has become so long seems sure to go on.
 func TestSurvivalFallsBeyondTheLastBucket(t *testing.T) {
-	l := NewLengths(nil)
+	l := NewLengthHistogram(nil)
 	last := bucketEnds[Buckets-1]
 	require.Greater(t, last, 121248.0)
 	require.GreaterOrEqual(t, l.Survival(0.99*last), l.Survival(last+1))
@@ -49,7 +49,7 @@
 // Whatever is observed, survival must fall with length and stay in [0, 1].
 func TestSurvivalIsMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLengths(NewLengths(nil))
+		l := NewLengthHistogram(NewLengthHistogram(nil))
 		for _, n := range rapid.SliceOf(rapid.IntRange(0, 200000)).Draw(t, "lengths") {
 			l.Observe(n)
 		}
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -81,10 +81,10 @@
 	}
 	prior := p.models[model]
 	if prior == nil {
-		prior = forecast.NewLengths(nil)
+		prior = forecast.NewLengthHistogram(nil)
 		p.models[model] = prior
 	}
-	l = forecast.NewLengths(prior)
+	l = forecast.NewLengthHistogram(prior)
 	t.lengths[model] = l
 	return l
 }
