--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -225,7 +225,7 @@
 	if s.encoded.head != nil && s.encoded.base == version && s.encoded.version == newest {
 		return s.encoded, nil
 	}
-	ch := s.replica.Since(version)
+	ch := s.replica.ChangeSince(version)
 	if ch == nil {
 		return encodedChange{head: &peerv1.Change{Base: version, Version: version}}, nil
 	}
--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -76,7 +76,7 @@
 			if rapid.IntRange(0, 2).Draw(t, "missed") == 0 {
 				continue
 			}
-			ch := reader.Since(follower.Version())
+			ch := reader.ChangeSince(follower.Version())
 			head := *ch
 			head.DropRoutes, head.SetRoutes = nil, nil
 			u, err := follower.Begin(&head)
@@ -89,7 +89,7 @@
 			require.True(t, ok)
 			got, _ := follower.Current()
 			requireSame(t, New(content), got)
-			require.Nil(t, reader.Since(follower.Version()))
+			require.Nil(t, reader.ChangeSince(follower.Version()))
 		}
 	})
 }
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// Since is the change from a version to the newest, nil if they are the same or there is
+// ChangeSince is the change from a version to the newest, nil if they are the same or there is
 // none. Behind the history it is the whole version.
-func (r *Replica) Since(version uint64) *Change {
+func (r *Replica) ChangeSince(version uint64) *Change {
 	r.updates.Lock()
 	defer r.updates.Unlock()
 	newest := r.base()
