--- a/backends/cordon.go
+++ b/backends/cordon.go
@@ -43,5 +43,5 @@
 func (r *Registry) IsIneligible(s Server, within routing.Regions) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cordoned[s.FailureDomain] || !within.Allow(r.regions[s.FailureDomain])
+	return r.cordoned[s.FailureDomain] || !within.Allows(r.regions[s.FailureDomain])
 }
--- a/backends/pace.go
+++ b/backends/pace.go
@@ -85,7 +85,7 @@
 	defer r.mu.Unlock()
 	traits, list := r.traits(service), r.listed(service)
 	for _, s := range list {
-		if s.Leaving || r.cordoned[s.FailureDomain] || !within.Allow(r.regions[s.FailureDomain]) || r.ended(s, now) {
+		if s.Leaving || r.cordoned[s.FailureDomain] || !within.Allows(r.regions[s.FailureDomain]) || r.ended(s, now) {
 			continue
 		}
 		l, rest := s.bound(traits, now), max(0, s.restUntil-now)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -432,7 +432,7 @@
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
 		switch {
-		case s.Service != service || s.gone || s.withheld || s.Leaving || !within.Allow(r.regions[s.FailureDomain]):
+		case s.Service != service || s.gone || s.withheld || s.Leaving || !within.Allows(r.regions[s.FailureDomain]):
 		case r.cordoned[s.FailureDomain]:
 			cordoned++
 		default:
--- a/placement/filters.go
+++ b/placement/filters.go
@@ -15,7 +15,7 @@
 func NotCordoned(_ *Request, s *Server) bool { return !s.Cordoned }
 
 // InRegions drops servers outside the regions that the request must stay in.
-func InRegions(r *Request, s *Server) bool { return r.Regions.Allow(s.Region) }
+func InRegions(r *Request, s *Server) bool { return r.Regions.Allows(s.Region) }
 
 // NotResting drops servers that want nothing of this process for now.
 func NotResting(_ *Request, s *Server) bool { return !s.BackingOff }
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -6,9 +6,9 @@
 // none, as where a route and a team have no region in common.
 type Regions []string
 
-// Allow reports whether a request may go to a region. One that is not known is no region of
+// Allows reports whether a request may go to a region. One that is not known is no region of
 // a list.
-func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
+func (r Regions) Allows(region string) bool { return r == nil || slices.Contains(r, region) }
 
 // Within are the regions that both lists allow.
 func (r Regions) Within(o Regions) Regions {
@@ -20,7 +20,7 @@
 	}
 	both := Regions{}
 	for _, region := range r {
-		if o.Allow(region) {
+		if o.Allows(region) {
 			both = append(both, region)
 		}
 	}
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -19,13 +19,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r, o := regions.Draw(t, "route"), regions.Draw(t, "team")
 		for _, region := range []string{"a", "b", "c", ""} {
-			require.Equal(t, r.Allow(region) && o.Allow(region), r.Within(o).Allow(region))
+			require.Equal(t, r.Allows(region) && o.Allows(region), r.Within(o).Allows(region))
 		}
 	})
 }
 
 func TestUnknownRegionIsNone(t *testing.T) {
-	require.True(t, Regions(nil).Allow(""))
-	require.False(t, Regions{"a"}.Allow(""))
-	require.False(t, Regions{}.Allow("a"))
+	require.True(t, Regions(nil).Allows(""))
+	require.False(t, Regions{"a"}.Allows(""))
+	require.False(t, Regions{}.Allows("a"))
 }
