--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -338,7 +338,7 @@
 		}
 		return &Refusal{Reason: ReasonBadKey}
 	}
-	j.team, j.regions = team.Name, j.regions.Within(team.Regions)
+	j.team, j.regions = team.Name, j.regions.Intersect(team.Regions)
 	if team.HasPriority {
 		j.priority = team.Priority
 	}
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -10,8 +10,8 @@
 // a list.
 func (r Regions) Allows(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// Within are the regions that both lists allow.
-func (r Regions) Within(o Regions) Regions {
+// Intersect are the regions that both lists allow.
+func (r Regions) Intersect(o Regions) Regions {
 	if r == nil {
 		return o
 	}
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -19,7 +19,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r, o := regions.Draw(t, "route"), regions.Draw(t, "team")
 		for _, region := range []string{"a", "b", "c", ""} {
-			require.Equal(t, r.Allows(region) && o.Allows(region), r.Within(o).Allows(region))
+			require.Equal(t, r.Allows(region) && o.Allows(region), r.Intersect(o).Allows(region))
 		}
 	})
 }
