--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -171,7 +171,7 @@
 
 func routeOf(r *routing.Route) *peerv1.Route {
 	out := &peerv1.Route{
-		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: uint32(r.Kind), Timeout: int64(r.Timeout), Target: int64(r.Target),
+		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: uint32(r.Kind), Timeout: int64(r.Timeout), Target: int64(r.TargetLatency),
 		MaxPause: int64(r.MaxPause), Silence: int64(r.EventTimeout), Servers: int32(r.MaxServers), Priority: int32(r.Priority),
 		Public: r.Public, Resumable: r.Resumable, Regions: r.Regions,
 	}
@@ -184,7 +184,7 @@
 func routeFrom(r *peerv1.Route) *routing.Route {
 	out := &routing.Route{
 		Name: r.GetName(), Host: r.GetHost(), Prefix: r.GetPrefix(), Kind: routing.Kind(r.GetKind()),
-		Timeout: time.Duration(r.GetTimeout()), Target: time.Duration(r.GetTarget()),
+		Timeout: time.Duration(r.GetTimeout()), TargetLatency: time.Duration(r.GetTarget()),
 		MaxPause: time.Duration(r.GetMaxPause()), EventTimeout: time.Duration(r.GetSilence()),
 		MaxServers: int(r.GetServers()), Priority: int(r.GetPriority()), Public: r.GetPublic(), Resumable: r.GetResumable(), Regions: r.GetRegions(),
 	}
--- a/internal/changewire/changewire_test.go
+++ b/internal/changewire/changewire_test.go
@@ -104,7 +104,7 @@
 	for range n {
 		ch.SetRoutes = append(ch.SetRoutes, &routing.Route{
 			Name: "r-" + name(7), Host: "app.example", Prefix: "/" + name(8) + "/", Kind: routing.Idempotent, Timeout: 1500 * time.Millisecond,
-			Target: 150 * time.Millisecond, MaxServers: 2, Priority: 1, Split: []routing.Weighted{{Service: "desk", Weight: 1}},
+			TargetLatency: 150 * time.Millisecond, MaxServers: 2, Priority: 1, Split: []routing.Weighted{{Service: "desk", Weight: 1}},
 		})
 	}
 	return ch
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -45,7 +45,7 @@
 	if !time.Now().Before(r.lastCall) && j.route.Kind == routing.Stream && !j.route.Resumable {
 		return true
 	}
-	need := j.route.Target
+	need := j.route.TargetLatency
 	if j.Generation != nil {
 		need += time.Duration(j.events(0)) * r.pace
 	}
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -168,7 +168,7 @@
 	}
 	return &flow.Waiter{
 		Priority: j.priority, Level: r.level(j, l), PromptTokens: j.prompt(), Arrived: j.arrived,
-		OnTimeDeadline:   j.arrived + j.route.Target - read,
+		OnTimeDeadline:   j.arrived + j.route.TargetLatency - read,
 		DispatchDeadline: max(lastBy, j.arrived+j.patience()),
 	}
 }
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -225,10 +225,10 @@
 }
 
 func (j *job) patience() time.Duration {
-	if j.route.Target <= 0 {
+	if j.route.TargetLatency <= 0 {
 		return defaultPatience
 	}
-	return time.Duration(patienceShare * float64(j.route.Target))
+	return time.Duration(patienceShare * float64(j.route.TargetLatency))
 }
 
 // refuse is the refusal of a request that may have been sent before.
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -14,7 +14,7 @@
 
 // mayRace reports whether a request may run at two servers at the same time.
 func (j *job) mayRace() bool {
-	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.Target > 0 && j.ran+1 < j.route.MaxServers
+	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.TargetLatency > 0 && j.ran+1 < j.route.MaxServers
 }
 
 // sendRaced makes one attempt. One that may run again goes to a second server as well if the
@@ -34,7 +34,7 @@
 	}
 	replies := make(chan reply, 2)
 	go func() { replies <- first.run() }()
-	t := time.NewTimer(time.Duration(raceAfter * float64(j.route.Target)))
+	t := time.NewTimer(time.Duration(raceAfter * float64(j.route.TargetLatency)))
 	defer t.Stop()
 	select {
 	case p := <-replies:
@@ -94,7 +94,7 @@
 	j.tried = append(j.tried, slow.Server.ID)
 	slow.cut()
 	result := backends.ResultInconclusive
-	if r.Now()-slow.SentAt >= j.route.Target {
+	if r.Now()-slow.SentAt >= j.route.TargetLatency {
 		result = backends.ResultLost
 	}
 	slow.lease.Release(result, r.Now())
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -37,7 +37,7 @@
 	}
 	wait, late := r.overdueAfter(j, lease), lease.MarkPromptOverdue
 	if j.prompt() == 0 {
-		wait, late = silentTimes*j.route.Target, func() { lease.MarkUnresponsive(r.Now()) }
+		wait, late = silentTimes*j.route.TargetLatency, func() { lease.MarkUnresponsive(r.Now()) }
 	}
 	if wait <= 0 {
 		return func() {}
--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -182,7 +182,7 @@
 	for i := range n {
 		routes = append(routes, &Route{
 			Name: fmt.Sprint("r-", i), Host: fmt.Sprintf("h%d.example", i%4), Prefix: fmt.Sprintf("/p%d/", i*7919),
-			Kind: Idempotent, Timeout: time.Second, Target: 150 * time.Millisecond, MaxServers: 2, Split: []Weighted{{"s", 1}},
+			Kind: Idempotent, Timeout: time.Second, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: []Weighted{{"s", 1}},
 		})
 	}
 	return routes
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -51,9 +51,9 @@
 	Kind   Kind
 	// Timeout is the longest that a caller may be kept waiting; 0 is no bound.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, within
+	// TargetLatency is the time to the answer, or to a stream's first event, within
 	// which it is on time.
-	Target time.Duration
+	TargetLatency time.Duration
 	// MaxPause is the longest pause between two events of a stream on time.
 	MaxPause time.Duration
 	// EventTimeout is how long callers wait for the first or the next event of a stream
@@ -78,7 +78,7 @@
 		return true
 	}
 	return r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Kind == o.Kind &&
-		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
+		r.Timeout == o.Timeout && r.TargetLatency == o.TargetLatency && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
 		r.MaxServers == o.MaxServers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
 		slices.Equal(r.Split, o.Split) && slices.Equal(r.Regions, o.Regions)
 }
