--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -147,7 +147,7 @@
 	w.replica.Put(routing.Content{Version: version, KeysRequired: true, Teams: teams(keys), Routes: []*routing.Route{
 		{Name: "plan", Host: "h", Prefix: "/plan/", Kind: routing.Stream, Timeout: 39 * time.Second, TargetLatency: 1800 * time.Millisecond, EventTimeout: 7200 * time.Millisecond, MaxServers: 1, Split: split(modelService)},
 		{Name: "check", Host: "h", Prefix: "/check/", Kind: routing.Stream, Timeout: 6 * time.Second, TargetLatency: 1500 * time.Millisecond, MaxServers: max(2, w.checkServers), Resumable: true, Split: split(modelService)},
-		{Name: "once", Host: "h", Prefix: "/once/", Kind: routing.Once, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split(deskService)},
+		{Name: "once", Host: "h", Prefix: "/once/", Kind: routing.AtMostOnce, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split(deskService)},
 		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routing.Idempotent, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split(deskService)},
 		{Name: "open", Host: "h", Prefix: "/open/", Kind: routing.Idempotent, Public: true, MaxServers: 2, Split: split(deskService)},
 	}, Services: []*routing.Service{{Name: modelService, Engine: engine}, {Name: deskService}}}, func() {})
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -23,7 +23,7 @@
 	w := newWorld(t, Config{})
 	split := []routing.Weighted{{Service: deskService, Weight: 1}}
 	route := func(name string, priority int) *routing.Route {
-		return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Once, Public: true, Priority: priority, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split}
+		return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.AtMostOnce, Public: true, Priority: priority, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split}
 	}
 	w.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("urgent", 0), route("other", 5)}}, func() {})
 	w.replica.Confirm(w.now())
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -18,8 +18,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// Once marks requests that run at most once for each attempt of the caller.
-	Once
+	// AtMostOnce marks requests that run at most once for each attempt of the caller.
+	AtMostOnce
 	// Stream marks generations: a series of numbered events. Unless the route is
 	// resumable they run at most once.
 	Stream
@@ -30,7 +30,7 @@
 	switch k {
 	case Idempotent:
 		return "idempotent"
-	case Once:
+	case AtMostOnce:
 		return "once"
 	}
 	return "stream"
