--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -303,7 +303,7 @@
 			return nil, refusal
 		}
 	}
-	j.service = route.Pick(rand.Float64())
+	j.service = route.PickService(rand.Float64())
 	if s := cfg.Service(j.service); s != nil {
 		j.engine = s.Engine
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -89,8 +89,8 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a draw in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService returns the service for a draw in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, w := range r.Split {
 		total += w.Weight
