--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -173,7 +173,7 @@
 // there are the only ones, or cordoned.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	r := New("z0", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
-	r.SetRegions(map[string]string{"z0": "north", "z1": "south"})
+	r.SetDomainRegions(map[string]string{"z0": "north", "z1": "south"})
 	for _, s := range []Server{coldServer(0, "z0", 0), coldServer(1, "z1", 0), coldServer(2, "nowhere", 0)} {
 		r.Put(s, 0)
 	}
--- a/backends/cordon.go
+++ b/backends/cordon.go
@@ -7,8 +7,8 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// SetRegions says which region each failure domain is in.
-func (r *Registry) SetRegions(regions map[string]string) {
+// SetDomainRegions says which region each failure domain is in.
+func (r *Registry) SetDomainRegions(regions map[string]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.regions = regions
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -94,7 +94,7 @@
 	var g *Gateway
 	err := c.Invoke(func(r *relay.Relay, reg *backends.Registry, up *upstream.Client, rep *routing.Replica, rec *gatewaymetrics.Recorder, st *store.Client, gr *group, l *late) error {
 		g = &Gateway{started: time.Now(), set: &l.set, log: log, opts: opts, store: st, relay: r, registry: reg, upstream: up, group: gr}
-		reg.SetRegions(set.Regions)
+		reg.SetDomainRegions(set.Regions)
 		return g.run(set, rep, rec)
 	})
 	return g, dig.RootCause(err)
@@ -350,7 +350,7 @@
 	if same {
 		return
 	}
-	g.registry.SetRegions(set.Regions)
+	g.registry.SetDomainRegions(set.Regions)
 	g.store.SetAddress(set.Store)
 	g.store.SetLink(set.LinkMbps)
 	g.relay.Configure(relayConfig(set))
--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -66,7 +66,7 @@
 func TestRequestWithoutAServerInItsRegionsIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
-		w.registry.SetRegions(map[string]string{"zone-1": "north"})
+		w.registry.SetDomainRegions(map[string]string{"zone-1": "north"})
 		w.server("a", deskService)
 		split := []routing.Weighted{{Service: deskService, Weight: 1}}
 		route := func(name string, regions routing.Regions) *routing.Route {
