--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -85,7 +85,7 @@
 		r.ReplaceAll(f.servers, 0, 0)
 		others := append(append([]subset.Item{}, all[:i]...), all[i+1:]...)
 		links, place := linked(self, others)
-		r.SetPlace(place)
+		r.SetCell(place)
 		for _, l := range links {
 			f.heard[i] = append(f.heard[i], index[l.Name])
 		}
@@ -259,7 +259,7 @@
 		all = append(all, s)
 	}
 	r.ReplaceAll(all, 0, 0)
-	r.SetPlace(cells.Place{OwnCell: 0, CellCount: count})
+	r.SetCell(cells.Place{OwnCell: 0, CellCount: count})
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
 	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
 	require.NotNil(t, l)
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -40,7 +40,7 @@
 			return Traits{ColdTime: coldTime, Cold: pacing.Limit{Rate: coldRate, MaxInWindow: coldMost, Window: time.Second}}
 		}, func(Server, LeaveReason) {})
 		_, place := cells.Links(self, slices.Delete(slices.Clone(all), i, i+1), 32)
-		r.SetPlace(place)
+		r.SetCell(place)
 		c.regs = append(c.regs, r)
 	}
 	return c
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -357,9 +357,9 @@
 	return r.lease(s, q, len(list))
 }
 
-// SetPlace says which of how many cells this process is in, and which others send to the same
+// SetCell says which of how many cells this process is in, and which others send to the same
 // servers. It reports whether the cell is news.
-func (r *Registry) SetPlace(p cells.Place) bool {
+func (r *Registry) SetCell(p cells.Place) bool {
 	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -84,7 +84,7 @@
 
 // placed has the registry know the place of this gateway among the others.
 func (g *group) placed(p cells.Place) {
-	if g.registry.SetPlace(p) {
+	if g.registry.SetCell(p) {
 		g.log.WithFields(logrus.Fields{"cell": p.OwnCell, "cells": p.CellCount}).Info("cell of this gateway")
 	}
 }
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -123,7 +123,7 @@
 		for i := range 100 {
 			others = append(others, fmt.Sprint("vm-", i))
 		}
-		w.registry.SetPlace(cells.Place{Self: "self", CellCount: 1, AllPeers: others})
+		w.registry.SetCell(cells.Place{Self: "self", CellCount: 1, AllPeers: others})
 		c := w.serve(request("/urgent/x"))
 		require.Equal(t, ReasonNoRoom, c.refusal.Reason)
 		require.LessOrEqual(t, c.refusal.RetryAfter, latestReturn+returnSpread)
