--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -14,7 +14,7 @@
 )
 
 func limitedRegistry() (*Registry, Server) {
-	r := New("z0", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
+	r := New("z0", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 	s := Server{ID: "s", Service: svc, StartTime: 1, Slots: 6}
 	r.Put(s, 0)
 	return r, s
@@ -218,7 +218,7 @@
 // Guards against each of many gateways finding out by a request of its own that a server rests,
 // and against a server being left by all that asks one gateway alone for rest.
 func TestServerThatRestsForOthersIsAskedLast(t *testing.T) {
-	r := New("z0", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
+	r := New("z0", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 	tired, other := Server{ID: "a", Service: svc, Slots: 6}, Server{ID: "b", Service: svc, Slots: 6}
 	r.Put(tired, 0)
 	r.Put(other, 0)
--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -81,7 +81,7 @@
 	}
 	f.heard = make([][]int, gateways)
 	for i, self := range all {
-		r := New(self.FailureDomain, func(string) Traits { return Traits{MemoryTokens: engineMemory} }, func(Server, LeaveReason) {})
+		r := New(self.FailureDomain, func(string) ServiceTraits { return ServiceTraits{MemoryTokens: engineMemory} }, func(Server, LeaveReason) {})
 		r.ReplaceAll(f.servers, 0, 0)
 		others := append(append([]subset.Item{}, all[:i]...), all[i+1:]...)
 		links, place := linked(self, others)
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -36,8 +36,8 @@
 		all = append(all, subset.Item{Name: fmt.Sprint("vm-", i), FailureDomain: fmt.Sprint("z", i%2)})
 	}
 	for i, self := range all {
-		r := New(self.FailureDomain, func(string) Traits {
-			return Traits{ColdTime: coldTime, Cold: pacing.Limit{Rate: coldRate, MaxInWindow: coldMost, Window: time.Second}}
+		r := New(self.FailureDomain, func(string) ServiceTraits {
+			return ServiceTraits{ColdTime: coldTime, Cold: pacing.Limit{Rate: coldRate, MaxInWindow: coldMost, Window: time.Second}}
 		}, func(Server, LeaveReason) {})
 		_, place := cells.Links(self, slices.Delete(slices.Clone(all), i, i+1), 32)
 		r.SetCell(place)
@@ -172,7 +172,7 @@
 // Guards against requests leaving the regions of their route or team, also where servers
 // there are the only ones, or cordoned.
 func TestRequestsStayInTheirRegions(t *testing.T) {
-	r := New("z0", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
+	r := New("z0", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 	r.SetDomainRegions(map[string]string{"z0": "north", "z1": "south"})
 	for _, s := range []Server{coldServer(0, "z0", 0), coldServer(1, "z1", 0), coldServer(2, "nowhere", 0)} {
 		r.Put(s, 0)
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -12,7 +12,7 @@
 // BenchmarkAcquireAmongTold: a choice among 43 servers with what 22 other processes tell of each took
 // 50 us, with their sums kept 11.
 func BenchmarkAcquireAmongTold(b *testing.B) {
-	r := New("z", func(string) Traits { return Traits{MemoryTokens: 21900} }, func(Server, LeaveReason) {})
+	r := New("z", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 21900} }, func(Server, LeaveReason) {})
 	for i := range 43 {
 		r.Put(Server{ID: fmt.Sprint("s-", i), Service: svc, FailureDomain: "z", Slots: 24}, 0)
 	}
@@ -35,7 +35,7 @@
 // server that it told of, in whatever order it came.
 func TestSumOfToldLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := New("z", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
+		r := New("z", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 		processes, servers := []string{"vm-1", "vm-2", "vm-3"}, []string{"a", "b"}
 		last := make(map[string]map[string]Load)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -17,8 +17,8 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// Traits are what is known of all servers of a service.
-type Traits struct {
+// ServiceTraits are what is known of all servers of a service.
+type ServiceTraits struct {
 	// MemoryTokens is the memory of a server, 0 where a service has no engines.
 	MemoryTokens int
 	// ColdTime is how long a server is cold after its start, Cold what it bears meanwhile.
@@ -56,7 +56,7 @@
 // Registry holds the servers. Times are of one steady clock, given by callers.
 type Registry struct {
 	domain string
-	traits func(service string) Traits
+	traits func(service string) ServiceTraits
 	policy placement.Policy
 	copies placement.Policy
 
@@ -102,7 +102,7 @@
 
 // New returns an empty registry of a process in domain. leaving is told once of
 // each server that begins to leave; it is called without the lock.
-func New(domain string, traits func(service string) Traits, leaving func(Server, LeaveReason)) *Registry {
+func New(domain string, traits func(service string) ServiceTraits, leaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
 		domain: domain, traits: traits, leaving: leaving,
 		policy: placement.Direct(), copies: placement.CopyTarget(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -16,7 +16,7 @@
 
 func newRegistry() (*Registry, *[]told) {
 	var notices []told
-	r := New("zone-1", func(string) Traits { return Traits{MemoryTokens: 30000} }, func(s Server, n LeaveReason) { notices = append(notices, told{s.ID, n}) })
+	r := New("zone-1", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 30000} }, func(s Server, n LeaveReason) { notices = append(notices, told{s.ID, n}) })
 	return r, &notices
 }
 
@@ -251,7 +251,7 @@
 // Guards against each of many gateways finding out by attempts of its own that a server has
 // ended: it looks least used to all of them.
 func TestEndedServerIsKnownToAll(t *testing.T) {
-	r := New("z", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
+	r := New("z", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 	ended, sound := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, StartTime: 7}, Server{ID: "b", Service: svc, FailureDomain: "z", Slots: 6}
 	r.Put(ended, 0)
 	r.Put(sound, 0)
@@ -290,7 +290,7 @@
 	var notices []LeaveReason
 	leaving := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, StartTime: 7}
 	reg := func() *Registry {
-		r := New("z", func(string) Traits { return Traits{} }, func(_ Server, n LeaveReason) { notices = append(notices, n) })
+		r := New("z", func(string) ServiceTraits { return ServiceTraits{} }, func(_ Server, n LeaveReason) { notices = append(notices, n) })
 		r.Put(leaving, 0)
 		return r
 	}
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -105,7 +105,7 @@
 // one in use, and unless it leaves it takes requests.
 func TestNewestLifeWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := New("zone-1", func(string) Traits { return Traits{MemoryTokens: 30000} }, func(Server, LeaveReason) {})
+		r := New("zone-1", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 30000} }, func(Server, LeaveReason) {})
 		newest, leaves := int64(0), false
 		for range rapid.IntRange(1, 12).Draw(t, "entries") {
 			s := bornAt("a", rapid.Int64Range(1, 5).Draw(t, "born"))
--- a/backends/restore_test.go
+++ b/backends/restore_test.go
@@ -11,7 +11,7 @@
 // nothing until its entry is written again; one that has joined since is not in it, and is
 // used on until it would have been written again.
 func TestOldCopyOfTheDirectory(t *testing.T) {
-	r := New("z", func(string) Traits { return Traits{MemoryTokens: 0} }, func(Server, LeaveReason) {})
+	r := New("z", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 0} }, func(Server, LeaveReason) {})
 	entry := func(id string) Server { return Server{ID: id, Service: "s", Address: id, Slots: 8} }
 	r.Put(entry("stays"), 0)
 	r.Put(entry("goes"), 0)
@@ -39,7 +39,7 @@
 
 // A server that an old copy brings back, and whose entry stays, is believed in the end.
 func TestServerOfAnOldCopyIsBelievedLater(t *testing.T) {
-	r := New("z", func(string) Traits { return Traits{MemoryTokens: 0} }, func(Server, LeaveReason) {})
+	r := New("z", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 0} }, func(Server, LeaveReason) {})
 	s := Server{ID: "a", Service: "s", Address: "a", Slots: 8}
 	r.Put(s, 0)
 	r.Remove("a", 0, time.Second)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -165,8 +165,8 @@
 // coldWindow is the time in which the platform counts what a cold server gets.
 const coldWindow = time.Second
 
-func traitsOf(rep *routing.Replica, l *late) func(service string) backends.Traits {
-	return func(service string) (t backends.Traits) {
+func traitsOf(rep *routing.Replica, l *late) func(service string) backends.ServiceTraits {
+	return func(service string) (t backends.ServiceTraits) {
 		cfg, _ := rep.Current()
 		if cfg == nil {
 			return t
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -38,7 +38,7 @@
 	// checkServers is how many servers a request of the route check may go to, 2 if fewer.
 	checkServers int
 	// plain are the traits of the plain service.
-	plain backends.Traits
+	plain backends.ServiceTraits
 }
 
 // others are the other processes.
@@ -113,9 +113,9 @@
 
 func newWorld(t *testing.T, cfg Config) *world {
 	w := &world{t: t, start: time.Now(), replica: routing.NewReplica(), up: &fakeUpstream{}}
-	w.registry = backends.New("zone-1", func(s string) backends.Traits {
+	w.registry = backends.New("zone-1", func(s string) backends.ServiceTraits {
 		if s == modelService {
-			return backends.Traits{MemoryTokens: 30000}
+			return backends.ServiceTraits{MemoryTokens: 30000}
 		}
 		return w.plain
 	}, func(s backends.Server, n backends.LeaveReason) { w.relay.HandleLeaving(s, n) })
