--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -37,7 +37,7 @@
 	}
 	for i, self := range all {
 		r := New(self.FailureDomain, func(string) ServiceTraits {
-			return ServiceTraits{ColdTime: coldTime, Cold: pacing.Limit{Rate: coldRate, MaxInWindow: coldMost, Window: time.Second}}
+			return ServiceTraits{ColdTime: coldTime, ColdLimit: pacing.Limit{Rate: coldRate, MaxInWindow: coldMost, Window: time.Second}}
 		}, func(Server, LeaveReason) {})
 		_, place := cells.Links(self, slices.Delete(slices.Clone(all), i, i+1), 32)
 		r.SetCell(place)
--- a/backends/pace.go
+++ b/backends/pace.go
@@ -26,7 +26,7 @@
 // bound is what a server takes of all processes now; mu is held.
 func (s *server) bound(t ServiceTraits, now time.Duration) (l pacing.Limit) {
 	if now < s.coldUntil {
-		l = t.Cold
+		l = t.ColdLimit
 	}
 	if s.limit.named {
 		l = l.And(pacing.Named(s.limit.perSecond))
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -22,8 +22,8 @@
 	// MemoryTokens is the memory of a server, 0 where a service has no engines.
 	MemoryTokens int
 	// ColdTime is how long a server is cold after its start, Cold what it bears meanwhile.
-	ColdTime time.Duration
-	Cold     pacing.Limit
+	ColdTime  time.Duration
+	ColdLimit pacing.Limit
 }
 
 const (
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -177,7 +177,7 @@
 		}
 		bounds := l.set.Load().Bounds
 		t.ColdTime = s.ColdTime
-		t.Cold = pacing.Limit{Rate: s.ColdRate, MaxInWindow: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
+		t.ColdLimit = pacing.Limit{Rate: s.ColdRate, MaxInWindow: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
 		if s.Engine != nil {
 			t.MemoryTokens = s.Engine.MemoryTokens
 		}
--- a/internal/relay/barred_test.go
+++ b/internal/relay/barred_test.go
@@ -87,7 +87,7 @@
 func TestRequestsWaitForColdServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
-		w.plain = backends.ServiceTraits{ColdTime: 5 * time.Second, Cold: pacing.Limit{Rate: 20, MaxInWindow: 25, Window: time.Second}}
+		w.plain = backends.ServiceTraits{ColdTime: 5 * time.Second, ColdLimit: pacing.Limit{Rate: 20, MaxInWindow: 25, Window: time.Second}}
 		s := w.entry("a", deskService)
 		s.ColdFor = w.plain.ColdTime
 		w.registry.Put(s, w.now())
