--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -173,16 +173,16 @@
 	require.Equal(t, News{Leaving: true}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second), "once")
 	r.Put(s, 2*time.Second)
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 	r.ReplaceAll(nil, 10*time.Second, 12*time.Second)
 	r.Put(s, 13*time.Second)
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 	again := s
 	again.StartTime = 2
 	r.Put(again, 14*time.Second)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 	r.ApplySignals(s, Signals{Leaving: true}, 0, 15*time.Second)
-	require.Equal(t, 1, r.Ready(svc), "the word of the life before")
+	require.Equal(t, 1, r.CountReady(svc), "the word of the life before")
 }
 
 // Guards against others not being told of a server whose entry had said that it leaves: theirs
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -419,8 +419,8 @@
 // unlist drops the lists; the directory has changed. mu is held.
 func (r *Registry) unlist() { clear(r.lists) }
 
-// Ready counts the servers of a service that take requests.
-func (r *Registry) Ready(service string) int {
+// CountReady counts the servers of a service that take requests.
+func (r *Registry) CountReady(service string) int {
 	ready, _ := r.CountReadyWithin(service, nil)
 	return ready
 }
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -47,7 +47,7 @@
 	r.Put(entry("b"), 0)
 	r.Remove("b", 0, 0)
 	require.Equal(t, []told{{"a", NoticeDraining}, {"b", NoticeReported}}, *notices)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 	require.Equal(t, "c", r.pick(t, 0))
 }
 
@@ -58,7 +58,7 @@
 	r, notices := newRegistry()
 	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	r.ReplaceAll([]Server{entry("a")}, 5*time.Second, 0)
-	require.Equal(t, 2, r.Ready(svc))
+	require.Equal(t, 2, r.CountReady(svc))
 	for range 5 {
 		require.Equal(t, "a", r.pick(t, 0))
 	}
@@ -66,12 +66,12 @@
 	require.Empty(t, *notices)
 	r.Expire(lapseGrace)
 	require.Equal(t, []told{{"b", NoticeVanished}}, *notices)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 
 	r.ReplaceAll(nil, 5*time.Second, 10*time.Second)
 	r.Put(entry("a"), 11*time.Second)
 	r.Expire(20 * time.Second)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 }
 
 // A server fails its requests though its health is good. It gets less, and is
@@ -300,10 +300,10 @@
 	losses := asked.Statuses(0)
 	require.Equal(t, map[string]ServerStatus{"a": {Leaving: true, StartTime: 7}}, losses)
 	told.SetRemoteStatuses("vm-1", map[string]ServerStatus{"a": {Leaving: true, StartTime: 6}}, 0)
-	require.Equal(t, 1, told.Ready(svc), "an earlier life")
+	require.Equal(t, 1, told.CountReady(svc), "an earlier life")
 	told.SetRemoteStatuses("vm-1", losses, 0)
 	told.SetRemoteStatuses("vm-1", losses, 0)
-	require.Zero(t, told.Ready(svc))
+	require.Zero(t, told.CountReady(svc))
 	require.Equal(t, []LeaveReason{NoticeReported, NoticeTold}, notices)
 	told.Remove("a", 0, 0)
 	require.Empty(t, told.Statuses(0), "gone")
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -27,11 +27,11 @@
 	r.SetRemoteLoads("vm-2", map[string]Load{"a": {Running: 5, ExpectedTokens: 20000, PromptTokens: 9000, StartTime: 100}})
 	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2, StartTime: 100}}, 0)
 	r.MarkLeaving(bornAt("a", 100))
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 
 	r.Put(bornAt("a", 200), 0)
 	require.Equal(t, []told{{"a", NoticeReported}, {"a", NoticeRestarted}}, *notices)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 	lease := r.Acquire(Query{Service: svc, ExpectedTokens: 9000, PromptTokens: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
 	require.Equal(t, Load{}, lease.Load)
@@ -71,16 +71,16 @@
 	r.ReplaceAll([]Server{entry("a")}, 0, 0)
 	held := r.Acquire(Query{Service: svc}, 0)
 	r.Remove("a", 0, 0)
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 	r.Put(entry("a"), 0)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 	held.Release(ResultOK, 0)
 	require.Equal(t, "a", r.pick(t, 0))
 
 	held = r.Acquire(Query{Service: svc}, 0)
 	r.MarkReplaced(entry("a"))
 	r.Put(entry("a"), 0)
-	require.Zero(t, r.Ready(svc), "another server is at its address")
+	require.Zero(t, r.CountReady(svc), "another server is at its address")
 	held.Release(ResultOK, 0)
 }
 
@@ -93,12 +93,12 @@
 	defer held.Release(ResultOK, 0)
 	r.Put(Server{ID: "a", Unreadable: true}, 0)
 	r.Put(Server{ID: "never heard of", Unreadable: true}, 0)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0))
 	r.ReplaceAll([]Server{{ID: "a", Unreadable: true}, entry("b")}, 0, 0)
 	require.Empty(t, *notices)
 	r.Put(entry("a"), 0)
-	require.Equal(t, 2, r.Ready(svc))
+	require.Equal(t, 2, r.CountReady(svc))
 }
 
 // Whatever order entries of several lives arrive in, the newest life heard of is the
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -81,7 +81,9 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 3 && len(n.group.links.LiveStates()) == 2 }, "listed")
+		n.eventually(func() bool {
+			return n.registry.CountReady(fleet.DeskService) == 3 && len(n.group.links.LiveStates()) == 2
+		}, "listed")
 	}
 	pressAll(nodes, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
@@ -104,7 +106,9 @@
 	srv := s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 && len(n.group.links.LiveStates()) == 2 }, "listed")
+		n.eventually(func() bool {
+			return n.registry.CountReady(fleet.DeskService) == 1 && len(n.group.links.LiveStates()) == 2
+		}, "listed")
 	}
 	nodes[2].door.SetFault(fleet.Reset)
 	know := func(limited int) {
@@ -145,7 +149,9 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 && len(n.group.links.LiveStates()) == 2 }, "listed")
+		n.eventually(func() bool {
+			return n.registry.CountReady(fleet.DeskService) == 2 && len(n.group.links.LiveStates()) == 2
+		}, "listed")
 	}
 	s.fleet.Store.SetFault(fleet.Reset)
 	leaves.Say(fleet.SaysLeaving())
@@ -174,7 +180,7 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 }, "listed")
+		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 		c := plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", fmt.Sprint("of vm-", i+1))
 		before := len(tired.Arrived())
 		n.eventually(func() bool {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -21,7 +21,7 @@
 		s.server(service, how)
 	}
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	nodes[0].eventually(func() bool { return nodes[0].registry.Ready(service) == benchServers }, "all servers are known")
+	nodes[0].eventually(func() bool { return nodes[0].registry.CountReady(service) == benchServers }, "all servers are known")
 	return nodes[0]
 }
 
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -41,7 +41,7 @@
 // knows waits until a gateway knows all servers.
 func (n *node) knows() {
 	n.eventually(func() bool {
-		return n.registry.Ready(fleet.DeskService) == 4 && n.registry.Ready(fleet.ModelService) == 4
+		return n.registry.CountReady(fleet.DeskService) == 4 && n.registry.CountReady(fleet.ModelService) == 4
 	}, "listed")
 }
 
@@ -127,7 +127,7 @@
 // knowsOutside waits until a gateway knows the servers that are not cordoned.
 func (n *node) knowsOutside() {
 	n.eventually(func() bool {
-		return n.registry.Ready(fleet.DeskService) == 2 && n.registry.Ready(fleet.ModelService) == 2
+		return n.registry.CountReady(fleet.DeskService) == 2 && n.registry.CountReady(fleet.ModelService) == 2
 	}, "listed")
 }
 
@@ -178,7 +178,7 @@
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Cordon("zone-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 0 }, "cordoned")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 0 }, "cordoned")
 	for _, c := range []call{plain(fleet.OncePath), plain(fleet.SafePath), generation(fleet.PlanPath)} {
 		begun := time.Now()
 		r := n.do(c)
@@ -198,7 +198,7 @@
 	const events = 60
 	srv := s.server(fleet.ModelService, fleet.Behaviour{Events: events, EventEvery: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
 	c.send(generation(fleet.PlanPath))
 	n.eventually(func() bool { return srv.Running() == 1 }, "running")
--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -149,7 +149,9 @@
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
 	s.fleet.Configure("second")
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("second") == http.StatusOK && n.registry.Ready(fleet.ModelService) == 2 }, "all is known")
+		n.eventually(func() bool {
+			return n.status("second") == http.StatusOK && n.registry.CountReady(fleet.ModelService) == 2
+		}, "all is known")
 	}
 	outage := callersNotice(t, nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -75,7 +75,7 @@
 	joined := s.server(fleet.DeskService, fleet.Behaviour{})
 	n.eventually(func() bool { n.status(fleet.Key); return len(joined.Seen()) > 0 }, "the server that joined")
 	gone.Leave()
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "one has gone")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has gone")
 	seen := len(gone.Seen())
 	s.restore(c)
 	time.AfterFunc(time.Second, func() {
@@ -204,7 +204,7 @@
 	n := s.gateway("vm-1")
 	c := s.fleet.Store.Copy()
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 150, EventEvery: 20 * time.Millisecond})
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 1 }, "the engine is known")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan reply, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -96,12 +96,12 @@
 	b.CopyTime = 100 * time.Millisecond
 	first := s.server(fleet.ModelService, b)
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	got := make(chan reply, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return first.Running() == 1 }, "running")
 	second := s.server(fleet.ModelService, b)
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 2 }, "second listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
 	first.Drain(true)
 	time.AfterFunc(700*time.Millisecond, first.Kill)
 	r := <-got
@@ -120,12 +120,12 @@
 	b.Events = 200
 	first := s.server(fleet.ModelService, b)
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	got := make(chan reply, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return first.Running() == 1 }, "running")
 	s.server(fleet.ModelService, b)
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 2 }, "second listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
 	s.fleet.Store.SetFault(fleet.Reset)
 	first.Drain(false)
 	time.AfterFunc(3*time.Second, first.Kill)
@@ -142,10 +142,10 @@
 	b := s.server(fleet.DeskService, fleet.Behaviour{})
 	c := s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 3 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	a.Drain(true)
 	b.Leave()
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "left")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "left")
 	for range 20 {
 		require.Equal(t, "answer of "+c.ID, n.do(plain(fleet.OncePath)).body)
 	}
@@ -160,13 +160,13 @@
 	a := s.server(fleet.DeskService, fleet.Behaviour{})
 	b := s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 	n.door.SetFault(fleet.Busy)
 	time.Sleep(1500 * time.Millisecond)
 	a.Drain(true)
 	s.fleet.Store.Compact()
 	n.door.SetFault(fleet.Sound)
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "seen")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "seen")
 	require.Equal(t, "answer of "+b.ID, n.do(plain(fleet.OncePath)).body)
 }
 
@@ -183,7 +183,7 @@
 	s.fleet.Store.SetFault(fleet.Sound)
 	n.eventually(n.isReady, "ready again")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 0 }, "taken as gone")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 0 }, "taken as gone")
 }
 
 // A key is taken away while the store turns this VM away; its peer still reads it.
@@ -261,7 +261,7 @@
 	s := newSystem(t)
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
 	c.send(generation(fleet.PlanPath))
 	n.eventually(func() bool { return engine.Running() == 1 }, "running")
@@ -283,7 +283,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{Delay: time.Minute})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 	begun := time.Now()
 	require.Equal(t, http.StatusGatewayTimeout, n.do(plain(fleet.OncePath)).status)
 	require.InDelta(t, 1.5, time.Since(begun).Seconds(), 0.25)
@@ -310,10 +310,10 @@
 			s := newSystem(t)
 			s.server(fleet.DeskService, fleet.Behaviour{Raw: func(c net.Conn, _ *http.Request) { raw(c) }})
 			n := s.gateway("vm-1")
-			n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "listed")
+			n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 			require.Equal(t, http.StatusBadGateway, n.do(plain(fleet.OncePath)).status)
 			good := s.server(fleet.DeskService, fleet.Behaviour{})
-			n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 }, "listed")
+			n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 			for range 10 {
 				r := n.do(plain(fleet.SafePath))
 				require.NoError(t, r.err)
@@ -343,7 +343,7 @@
 		c.Read(buf)
 	}})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 	require.Equal(t, "one", n.do(plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", "first")).body)
 	require.Equal(t, "two", n.do(plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", "second")).body)
 }
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -73,7 +73,9 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.LiveStates()) == 2 && n.registry.Ready(fleet.DeskService) == 2 }, "linked")
+		n.eventually(func() bool {
+			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.DeskService) == 2
+		}, "linked")
 	}
 	bad := nodes[0].registry.Acquire(backends.Query{Service: fleet.DeskService}, clock.SinceBoot()).Server.ID
 	third := nodes[2]
@@ -108,7 +110,9 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.LiveStates()) == 2 && n.registry.Ready(fleet.DeskService) == 2 }, "linked")
+		n.eventually(func() bool {
+			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.DeskService) == 2
+		}, "linked")
 	}
 	told := func(n *node) bool { return n.registry.IsDown(ended.ID, clock.SinceBoot()) }
 	ended.Kill()
@@ -130,7 +134,9 @@
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.LiveStates()) == 2 && n.registry.Ready(fleet.ModelService) == 1 }, "linked")
+		n.eventually(func() bool {
+			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.ModelService) == 1
+		}, "linked")
 	}
 	c := nodes[0].dial()
 	c.send(generation(fleet.PlanPath))
@@ -140,7 +146,7 @@
 	left := time.Now()
 	engine.Drain(true)
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 0 }, "told")
+		n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 0 }, "told")
 	}
 	require.Less(t, time.Since(left), time.Second)
 }
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -95,13 +95,13 @@
 	}
 	leaving := s.server(fleet.DeskService, fleet.Behaviour{})
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 3 }, "listed")
+		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	}
 	begun := time.Now()
 	leaving.Drain(true)
 	s.fleet.Configure("another key")
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 }, "left")
+		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "left")
 		n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusUnauthorized }, "key refused")
 	}
 	require.Less(t, time.Since(begun), testBounds.DrainServer)
