--- a/backends/registry.go
+++ b/backends/registry.go
@@ -96,8 +96,8 @@
 	NoticeReported LeaveReason = "its own report"
 	// NoticeTold is told of a server whose report another process has seen.
 	NoticeTold LeaveReason = "its own report to a peer"
-	// NoticeRestarted is told of the life that has ended; its runs ended with it.
-	NoticeRestarted LeaveReason = "started again"
+	// LeaveRestarted is told of the life that has ended; its runs ended with it.
+	LeaveRestarted LeaveReason = "started again"
 )
 
 // New returns an empty registry of a process in domain. leaving is told once of
@@ -169,7 +169,7 @@
 		if s.StartTime < old.StartTime {
 			return left
 		}
-		left = append(left, leave{old.Server, NoticeRestarted})
+		left = append(left, leave{old.Server, LeaveRestarted})
 		old = nil
 	}
 	if old == nil {
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -30,7 +30,7 @@
 	require.Zero(t, r.CountReady(svc))
 
 	r.Put(bornAt("a", 200), 0)
-	require.Equal(t, []told{{"a", NoticeReported}, {"a", NoticeRestarted}}, *notices)
+	require.Equal(t, []told{{"a", NoticeReported}, {"a", LeaveRestarted}}, *notices)
 	require.Equal(t, 1, r.CountReady(svc))
 	lease := r.Acquire(Query{Service: svc, ExpectedTokens: 9000, PromptTokens: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
@@ -57,7 +57,7 @@
 	r.MarkLeaving(old)
 	r.MarkReplaced(old)
 	require.Nil(t, r.ReserveAt(old, 100))
-	require.Equal(t, []told{{"a", NoticeRestarted}}, *notices)
+	require.Equal(t, []told{{"a", LeaveRestarted}}, *notices)
 	require.True(t, r.HasRestarted(old))
 	require.False(t, r.HasRestarted(now))
 	require.Equal(t, "elsewhere:1", r.Acquire(Query{Service: svc}, 0).Server.Address)
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -20,7 +20,7 @@
 // HandleLeaving is told of a server that begins to leave, or that has started again. It
 // returns at once.
 func (r *Relay) HandleLeaving(s backends.Server, n backends.LeaveReason) {
-	if n == backends.NoticeRestarted {
+	if n == backends.LeaveRestarted {
 		r.Ended(s)
 		return
 	}
