--- a/backends/pace.go
+++ b/backends/pace.go
@@ -24,9 +24,9 @@
 }
 
 // bound is what a server takes of all processes now; mu is held.
-func (s *server) bound(t Traits, now time.Duration) (l pacing.Limit) {
+func (s *server) bound(t ServiceTraits, now time.Duration) (l pacing.Limit) {
 	if now < s.coldUntil {
-		l = t.Cold
+		l = t.ColdLimit
 	}
 	if s.limit.named {
 		l = l.And(pacing.Named(s.limit.perSecond))
@@ -85,7 +85,7 @@
 	defer r.mu.Unlock()
 	traits, list := r.traits(service), r.listed(service)
 	for _, s := range list {
-		if s.Leaving || r.cordoned[s.FailureDomain] || !within.Allow(r.regions[s.FailureDomain]) || r.ended(s, now) {
+		if s.Leaving || r.cordoned[s.FailureDomain] || !within.Allows(r.regions[s.FailureDomain]) || r.ended(s, now) {
 			continue
 		}
 		l, rest := s.bound(traits, now), max(0, s.restUntil-now)
--- a/internal/relay/enginequeue.go
+++ b/internal/relay/enginequeue.go
@@ -168,7 +168,7 @@
 	}
 	return &flow.Waiter{
 		Priority: j.priority, Level: r.teamLevel(j, eq), PromptTokens: j.promptTokens(), Arrived: j.arrived,
-		OnTimeDeadline:   j.arrived + j.route.Target - readTime,
+		OnTimeDeadline:   j.arrived + j.route.TargetLatency - readTime,
 		DispatchDeadline: max(dispatchDeadline, j.arrived+j.maxWait()),
 	}
 }
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -39,7 +39,7 @@
 	// if lower.
 	checkServers int
 	// plain are the traits of the plain service.
-	plain backends.Traits
+	plain backends.ServiceTraits
 }
 
 // fakePeers are the other gateways.
@@ -115,9 +115,9 @@
 
 func newFixture(t *testing.T, cfg Config) *fixture {
 	f := &fixture{t: t, start: time.Now(), replica: routing.NewReplica(), upstream: &fakeUpstream{}}
-	f.registry = backends.New("zone-1", func(s string) backends.Traits {
+	f.registry = backends.New("zone-1", func(s string) backends.ServiceTraits {
 		if s == modelService {
-			return backends.Traits{MemoryTokens: 30000}
+			return backends.ServiceTraits{MemoryTokens: 30000}
 		}
 		return f.plain
 	}, func(s backends.Server, n backends.LeaveReason) { f.relay.HandleLeaving(s, n) })
@@ -146,12 +146,12 @@
 	}
 	split := func(s string) []routing.Weighted { return []routing.Weighted{{Service: s, Weight: 1}} }
 	engine := &routing.Engine{Slots: 48, MemoryTokens: 30000, TokensPerEvent: 4, SupportsMigration: true, SupportsStandby: true}
-	f.replica.Put(routing.Content{Version: version, Keyed: true, Teams: teams(keys), Routes: []*routing.Route{
-		{Name: "plan", Host: "h", Prefix: "/plan/", Kind: routing.Stream, Timeout: 39 * time.Second, Target: 1800 * time.Millisecond, EventTimeout: 7200 * time.Millisecond, Servers: 1, Split: split(modelService)},
-		{Name: "check", Host: "h", Prefix: "/check/", Kind: routing.Stream, Timeout: 6 * time.Second, Target: 1500 * time.Millisecond, Servers: max(2, f.checkServers), Resumable: true, Split: split(modelService)},
-		{Name: "once", Host: "h", Prefix: "/once/", Kind: routing.Once, Target: 150 * time.Millisecond, Servers: 2, Split: split(deskService)},
-		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routing.Idempotent, Target: 150 * time.Millisecond, Servers: 2, Split: split(deskService)},
-		{Name: "open", Host: "h", Prefix: "/open/", Kind: routing.Idempotent, Public: true, Servers: 2, Split: split(deskService)},
+	f.replica.Put(routing.Content{Version: version, KeysRequired: true, Teams: teams(keys), Routes: []*routing.Route{
+		{Name: "plan", Host: "h", Prefix: "/plan/", Kind: routing.Stream, Timeout: 39 * time.Second, TargetLatency: 1800 * time.Millisecond, EventTimeout: 7200 * time.Millisecond, MaxServers: 1, Split: split(modelService)},
+		{Name: "check", Host: "h", Prefix: "/check/", Kind: routing.Stream, Timeout: 6 * time.Second, TargetLatency: 1500 * time.Millisecond, MaxServers: max(2, f.checkServers), Resumable: true, Split: split(modelService)},
+		{Name: "once", Host: "h", Prefix: "/once/", Kind: routing.AtMostOnce, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split(deskService)},
+		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routing.Idempotent, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split(deskService)},
+		{Name: "open", Host: "h", Prefix: "/open/", Kind: routing.Idempotent, Public: true, MaxServers: 2, Split: split(deskService)},
 	}, Services: []*routing.Service{{Name: modelService, Engine: engine}, {Name: deskService}}}, func() {})
 	f.replica.Confirm(f.now())
 }
--- a/internal/relay/ineligible_test.go
+++ b/internal/relay/ineligible_test.go
@@ -68,11 +68,11 @@
 func TestRequestWithoutServerInItsRegionsIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
-		f.registry.SetRegions(map[string]string{"zone-1": "north"})
+		f.registry.SetDomainRegions(map[string]string{"zone-1": "north"})
 		f.addServer("a", deskService)
 		split := []routing.Weighted{{Service: deskService, Weight: 1}}
 		route := func(name string, regions routing.Regions) *routing.Route {
-			return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Idempotent, Public: true, Servers: 2, Split: split, Regions: regions}
+			return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Idempotent, Public: true, MaxServers: 2, Split: split, Regions: regions}
 		}
 		f.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("north", routing.Regions{"north"}), route("south", routing.Regions{"south"})}}, func() {})
 		f.replica.Confirm(f.now())
@@ -89,7 +89,7 @@
 func TestRequestsWaitForColdServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
-		f.plain = backends.Traits{ColdTime: 5 * time.Second, Cold: pacing.Limit{Rate: 20, MaxInWindow: 25, Window: time.Second}}
+		f.plain = backends.ServiceTraits{ColdTime: 5 * time.Second, ColdLimit: pacing.Limit{Rate: 20, MaxInWindow: 25, Window: time.Second}}
 		s := f.newEntry("a", deskService)
 		s.ColdFor = f.plain.ColdTime
 		f.registry.Put(s, f.now())
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -10,18 +10,18 @@
 // concurrent use; no other lock is taken while its mu is locked.
 type outputForecasts struct {
 	mu      sync.Mutex
-	byRoute map[string]*forecast.Outputs
+	byRoute map[string]*forecast.OutputEstimator
 }
 
 func newOutputForecasts() *outputForecasts {
-	return &outputForecasts{byRoute: make(map[string]*forecast.Outputs)}
+	return &outputForecasts{byRoute: make(map[string]*forecast.OutputEstimator)}
 }
 
 // forRoute returns the estimator of a route; mu must be locked.
-func (o *outputForecasts) forRoute(route string) *forecast.Outputs {
+func (o *outputForecasts) forRoute(route string) *forecast.OutputEstimator {
 	f := o.byRoute[route]
 	if f == nil {
-		f = forecast.NewOutputs()
+		f = forecast.NewOutputEstimator()
 		o.byRoute[route] = f
 	}
 	return f
--- a/internal/relay/pacedqueue_test.go
+++ b/internal/relay/pacedqueue_test.go
@@ -23,7 +23,7 @@
 	f := newFixture(t, Config{})
 	split := []routing.Weighted{{Service: deskService, Weight: 1}}
 	route := func(name string, priority int) *routing.Route {
-		return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Once, Public: true, Priority: priority, Target: 150 * time.Millisecond, Servers: 2, Split: split}
+		return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.AtMostOnce, Public: true, Priority: priority, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split}
 	}
 	f.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("urgent", 0), route("other", 5)}}, func() {})
 	f.replica.Confirm(f.now())
@@ -123,7 +123,7 @@
 		for i := range 100 {
 			others = append(others, fmt.Sprint("vm-", i))
 		}
-		f.registry.SetPlace(cells.Place{Self: "self", CellCount: 1, AllPeers: others})
+		f.registry.SetCell(cells.Place{Self: "self", CellCount: 1, AllPeers: others})
 		c := f.serve(request("/urgent/x"))
 		require.Equal(t, ReasonNoCapacity, c.refusal.Reason)
 		require.LessOrEqual(t, c.refusal.RetryAfter, maxRateLimitRetryAfter+retryAfterJitter)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -135,7 +135,7 @@
 
 // canRetry reports whether the request may run once more.
 func (j *job) canRetry() bool {
-	return j.route.Repeatable() && j.maybeRun < j.route.Servers && j.timeLeft() > minTimeLeft
+	return j.route.Repeatable() && j.maybeRun < j.route.MaxServers && j.timeLeft() > minTimeLeft
 }
 
 // acquire reserves a server, waiting for a limited time for one with capacity.
@@ -224,10 +224,10 @@
 }
 
 func (j *job) maxWait() time.Duration {
-	if j.route.Target <= 0 {
+	if j.route.TargetLatency <= 0 {
 		return defaultMaxWait
 	}
-	return time.Duration(maxWaitShare * float64(j.route.Target))
+	return time.Duration(maxWaitShare * float64(j.route.TargetLatency))
 }
 
 // refuse returns the refusal of a request that may have been sent before.
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -14,7 +14,7 @@
 
 // canRace reports whether a request may run at two servers at the same time.
 func (j *job) canRace() bool {
-	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.Target > 0 && j.maybeRun+1 < j.route.Servers
+	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.TargetLatency > 0 && j.maybeRun+1 < j.route.MaxServers
 }
 
 // sendWithRace makes one attempt. A request that may run more than once is sent to a second
@@ -35,7 +35,7 @@
 	}
 	results := make(chan attemptResult, 2)
 	go func() { results <- first.send() }()
-	t := time.NewTimer(time.Duration(raceDelayShare * float64(j.route.Target)))
+	t := time.NewTimer(time.Duration(raceDelayShare * float64(j.route.TargetLatency)))
 	defer t.Stop()
 	select {
 	case result := <-results:
@@ -95,7 +95,7 @@
 	j.excluded = append(j.excluded, loser.Server.ID)
 	loser.cancel()
 	result := backends.ResultInconclusive
-	if r.Now()-loser.SentAt >= j.route.Target {
+	if r.Now()-loser.SentAt >= j.route.TargetLatency {
 		result = backends.ResultLost
 	}
 	loser.reservation.Release(result, r.Now())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -307,7 +307,7 @@
 			return nil, refusal
 		}
 	}
-	j.service = route.Pick(rand.Float64())
+	j.service = route.PickService(rand.Float64())
 	if s := cfg.Service(j.service); s != nil {
 		j.engine = s.Engine
 	}
@@ -335,14 +335,14 @@
 	if r.KeysStale(configAge) || !r.Peers.ConfigCurrent() {
 		return &Refusal{Reason: ReasonStaleConfig, RetryAfter: staleRetryAfter}
 	}
-	team := cfg.Team(j.APIKey)
+	team := cfg.TeamByKey(j.APIKey)
 	if team == nil {
 		if j.APIKey != "" && r.cfg.Load().ApplyTimeout > 0 && configAge > r.cfg.Load().ApplyTimeout {
 			return &Refusal{Reason: ReasonStaleConfig, RetryAfter: staleRetryAfter}
 		}
 		return &Refusal{Reason: ReasonBadKey}
 	}
-	j.team, j.regions = team.Name, j.regions.Within(team.Regions)
+	j.team, j.regions = team.Name, j.regions.Intersect(team.Regions)
 	if team.HasPriority {
 		j.priority = team.Priority
 	}
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -19,7 +19,7 @@
 
 // HandleLeaving processes that a server has begun to leave or has restarted. It does not block.
 func (r *Relay) HandleLeaving(s backends.Server, n backends.LeaveReason) {
-	if n == backends.NoticeRestarted {
+	if n == backends.LeaveRestarted {
 		r.HandleRestart(s)
 		return
 	}
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -46,7 +46,7 @@
 	if !time.Now().Before(r.refuseFrom) && j.route.Kind == routing.Stream && !j.route.Resumable {
 		return true
 	}
-	expected := j.route.Target
+	expected := j.route.TargetLatency
 	if j.Generation != nil {
 		expected += time.Duration(j.expectedEvents(0)) * r.typicalPause
 	}
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -38,7 +38,7 @@
 	}
 	timeout, mark := r.overdueAfter(j, reservation), reservation.MarkPromptOverdue
 	if j.promptTokens() == 0 {
-		timeout, mark = unresponsiveFactor*j.route.Target, func() { reservation.MarkUnresponsive(r.Now()) }
+		timeout, mark = unresponsiveFactor*j.route.TargetLatency, func() { reservation.MarkUnresponsive(r.Now()) }
 	}
 	if timeout <= 0 {
 		return func() {}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -18,8 +18,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// Once marks requests that run at most once for each attempt of the caller.
-	Once
+	// AtMostOnce marks requests that run at most once for each attempt of the caller.
+	AtMostOnce
 	// Stream marks generations: a series of numbered events. Unless the route is
 	// resumable they run at most once.
 	Stream
@@ -30,7 +30,7 @@
 	switch k {
 	case Idempotent:
 		return "idempotent"
-	case Once:
+	case AtMostOnce:
 		return "once"
 	}
 	return "stream"
@@ -51,16 +51,16 @@
 	Kind   Kind
 	// Timeout is the longest that a caller may be kept waiting; 0 is no bound.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, within
+	// TargetLatency is the time to the answer, or to a stream's first event, within
 	// which it is on time.
-	Target time.Duration
+	TargetLatency time.Duration
 	// MaxPause is the longest pause between two events of a stream on time.
 	MaxPause time.Duration
 	// EventTimeout is how long callers wait for the first or the next event of a stream
 	// before they leave; 0 if they do not.
 	EventTimeout time.Duration
-	// Servers is the most backend servers that may run one attempt of a caller.
-	Servers int
+	// MaxServers is the most backend servers that may run one attempt of a caller.
+	MaxServers int
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
 	// Public routes need no key.
@@ -78,8 +78,8 @@
 		return true
 	}
 	return r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Kind == o.Kind &&
-		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
-		r.Servers == o.Servers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
+		r.Timeout == o.Timeout && r.TargetLatency == o.TargetLatency && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
+		r.MaxServers == o.MaxServers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
 		slices.Equal(r.Split, o.Split) && slices.Equal(r.Regions, o.Regions)
 }
 
@@ -89,8 +89,8 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a draw in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService returns the service for a draw in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, w := range r.Split {
 		total += w.Weight
