--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -88,8 +88,8 @@
 }
 
 func isIneligible(err error) bool {
-	var refused *NotRunError
-	return errors.As(err, &refused) && refused.Reason == NotRunIneligible
+	var notRun *NotRunError
+	return errors.As(err, &notRun) && notRun.Reason == NotRunIneligible
 }
 
 // finishAttempt logs and counts the result of an attempt.
--- a/internal/relay/crash_simulation_test.go
+++ b/internal/relay/crash_simulation_test.go
@@ -124,7 +124,7 @@
 }
 
 // run returns the number of generations sent after the crash, and how many of them were refused.
-func (sim *crashSimulation) run() (sent, refused int) {
+func (sim *crashSimulation) run() (sent, notRun int) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -149,12 +149,12 @@
 				sent++
 			}
 			if afterCrash && c.refusal != nil {
-				refused++
+				notRun++
 			}
 		})
 	}
 	wg.Wait()
-	return sent, refused
+	return sent, notRun
 }
 
 // Guards against generations being refused for lack of capacity, with three quarters of the
@@ -162,12 +162,12 @@
 func TestRefusedConnectionsUseNoRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newCrashSimulation(t)
-		sent, refused := sim.run()
+		sent, notRun := sim.run()
 		attempts := 0
 		for _, n := range sim.refusedAttempts {
 			attempts += n
 		}
-		t.Logf("%d sent after the crash, %d refused, %d attempts at crashed engines by %d gateways, the last %v after the crash", sent, refused, attempts, len(sim.refusedAttempts), sim.lastRefusedAttempt-simCrashAt-time.Second)
-		require.Zero(t, refused)
+		t.Logf("%d sent after the crash, %d refused, %d attempts at crashed engines by %d gateways, the last %v after the crash", sent, notRun, attempts, len(sim.refusedAttempts), sim.lastRefusedAttempt-simCrashAt-time.Second)
+		require.Zero(t, notRun)
 	})
 }
--- a/internal/relay/enginequeue.go
+++ b/internal/relay/enginequeue.go
@@ -140,7 +140,7 @@
 // chargeTeam charges a generation to its team's share: its expected memory times the time for
 // which it takes that.
 func (r *Relay) chargeTeam(j *job, eq *engineQueue) {
-	duration := r.promptReadTime(j) + time.Duration(j.expectedEvents(0))*r.usualPause()
+	duration := r.promptReadTime(j) + time.Duration(j.expectedEvents(0))*r.currentMeanPause()
 	amount := float64(j.expectedMemory(0)) * duration.Seconds()
 	now := r.Now()
 	eq.mu.Lock()
@@ -161,7 +161,7 @@
 // engineWaiter returns the queue entry of a generation.
 func (r *Relay) engineWaiter(j *job, eq *engineQueue) *flow.Waiter {
 	readTime := r.promptReadTime(j)
-	runTime := readTime + time.Duration(outputMargin*float64(j.expectedEvents(0))*float64(r.usualPause()))
+	runTime := readTime + time.Duration(outputMargin*float64(j.expectedEvents(0))*float64(r.currentMeanPause()))
 	dispatchDeadline := j.arrived + j.timeLeft() - runTime
 	if s := j.route.EventTimeout; s > 0 {
 		dispatchDeadline = min(dispatchDeadline, j.arrived+time.Duration(eventTimeoutShare*float64(s))-readTime)
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -43,7 +43,7 @@
 			err = nil
 		}
 		if err != nil {
-			return nil, e.atEnd(err)
+			return nil, e.endError(err)
 		}
 		if len(e.buf) > maxEventSize {
 			return nil, errEventTooLarge
@@ -54,7 +54,7 @@
 	}
 }
 
-func (e *eventReader) atEnd(err error) error {
+func (e *eventReader) endError(err error) error {
 	if err == io.EOF && len(e.buf) > 0 {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -27,7 +27,7 @@
 	return f
 }
 
-func (o *outputForecasts) expect(route string, hint forecast.CallerHint, tokens int) int {
+func (o *outputForecasts) estimate(route string, hint forecast.CallerHint, tokens int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.forRoute(route).ExpectedTokens(hint, tokens)
@@ -55,7 +55,7 @@
 // expectedTokens returns the expected total output, in tokens, of a generation that has produced
 // eventCount events.
 func (j *job) expectedTokens(eventCount int) int {
-	return j.forecasts.expect(j.route.Name, j.callerHint(), eventCount*j.tokensPerEvent())
+	return j.forecasts.estimate(j.route.Name, j.callerHint(), eventCount*j.tokensPerEvent())
 }
 
 // expectedEvents returns the expected total number of events of a generation that has produced
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -80,12 +80,12 @@
 func (r *Relay) handleFailedAttempt(ctx context.Context, j *job, reservation *backends.Reservation, err error) *Refusal {
 	id := reservation.Server.ID
 	j.excluded = append(j.excluded, id)
-	var refused *NotRunError
-	if errors.As(err, &refused) {
-		r.Observer.AttemptFailed(j.service, string(refused.Reason))
-		reservation.Release(resultForReason(refused.Reason), r.Now())
-		r.discountAttempt(j, refused.Reason)
-		if refused.Reason == NotRunReplaced {
+	var notRun *NotRunError
+	if errors.As(err, &notRun) {
+		r.Observer.AttemptFailed(j.service, string(notRun.Reason))
+		reservation.Release(resultForReason(notRun.Reason), r.Now())
+		r.discountAttempt(j, notRun.Reason)
+		if notRun.Reason == NotRunReplaced {
 			r.Registry.MarkReplaced(reservation.Server)
 		}
 		if ctx.Err() != nil || j.timeLeft() < minTimeLeft {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -33,10 +33,17 @@
 
 // Observer receives events for metrics. Its methods must not block.
 type Observer interface {
+	// Finished is called once per request. team, service and kind are empty if the request was
+	// refused at admission.
 	Finished(team, service string, kind routing.Kind, outcome string)
+	// FirstByte is called with the time from a request's arrival to the first byte of its response.
 	FirstByte(team, service string, kind routing.Kind, d time.Duration)
+	// EventPause is called with the time between two events of a stream.
 	EventPause(team string, d time.Duration)
+	// AttemptFailed is called for each attempt without a usable response.
 	AttemptFailed(service, result string)
+	// Migrated is called for each copy of a run, and for each stream that resumed from a copy, was
+	// hedged or was lost.
 	Migrated(result string)
 	// ServerCrashed is called for each server that crashed while running requests.
 	ServerCrashed(service string)
@@ -119,8 +126,8 @@
 	inProgress  int
 	// jobs are the requests in flight.
 	jobs map[*job]struct{}
-	// typicalPause is the moving average of the time between two events of a stream.
-	typicalPause time.Duration
+	// meanPause is the moving average of the time between two events of a stream.
+	meanPause time.Duration
 	// promptSpeed is the moving average of the prompt tokens per second that an engine reads.
 	promptSpeed float64
 	forecasts   *outputForecasts
@@ -139,7 +146,7 @@
 		pacedQueues:  make(map[string]*pacedQueue),
 		crashChecks:  make(map[incarnation]*crashCheck),
 		jobs:         make(map[*job]struct{}),
-		typicalPause: initialPause,
+		meanPause:    initialPause,
 		promptSpeed:  initialPromptSpeed,
 		forecasts:    newOutputForecasts(),
 	}
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -12,14 +12,14 @@
 	// restartCheckDelay is the time in which a stream must get an event once its server is known
 	// to have restarted. Engines send an event every 30 to 60 ms.
 	restartCheckDelay = 400 * time.Millisecond
-	// restartMaxSilence is how long the stream may have been silent at the end of that time:
+	// maxRestartSilence is how long the stream may have been silent at the end of that time:
 	// longer than the maximum pause of 180 ms.
-	restartMaxSilence = 300 * time.Millisecond
+	maxRestartSilence = 300 * time.Millisecond
 )
 
 // HandleLeaving processes that a server has begun to leave or has restarted. It does not block.
-func (r *Relay) HandleLeaving(s backends.Server, n backends.LeaveReason) {
-	if n == backends.LeaveRestarted {
+func (r *Relay) HandleLeaving(s backends.Server, reason backends.LeaveReason) {
+	if reason == backends.LeaveRestarted {
 		r.HandleRestart(s)
 		return
 	}
@@ -42,7 +42,7 @@
 	}
 	time.AfterFunc(restartCheckDelay, func() {
 		for _, u := range runs {
-			if u.cancelIfSilent(s, r.Now()-restartMaxSilence) {
+			if u.cancelIfSilent(s, r.Now()-maxRestartSilence) {
 				u.job.log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime}).Info("canceled a silent stream of an earlier incarnation of its server")
 			}
 		}
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -48,7 +48,7 @@
 	}
 	expected := j.route.TargetLatency
 	if j.Generation != nil {
-		expected += time.Duration(j.expectedEvents(0)) * r.typicalPause
+		expected += time.Duration(j.expectedEvents(0)) * r.meanPause
 	}
 	return expected > time.Duration((1-shutdownReserve)*float64(time.Until(r.shutdownAt)))
 }
@@ -65,12 +65,12 @@
 func (r *Relay) recordPause(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.typicalPause += time.Duration(pauseWeight * float64(min(d, 4*initialPause)-r.typicalPause))
+	r.meanPause += time.Duration(pauseWeight * float64(min(d, 4*initialPause)-r.meanPause))
 }
 
-// usualPause returns the moving average of the time between two events.
-func (r *Relay) usualPause() time.Duration {
+// currentMeanPause returns the moving average of the time between two events.
+func (r *Relay) currentMeanPause() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.typicalPause
+	return r.meanPause
 }
--- a/internal/relay/standby.go
+++ b/internal/relay/standby.go
@@ -37,7 +37,7 @@
 	if engine == nil || !engine.SupportsStandby || j.Generation == nil || j.route.Resumable {
 		return nil
 	}
-	if time.Duration(j.expectedEvents(0))*r.usualPause() < minStandbyRunTime || r.engineQueue(j.service).saturatedSince(r.Now()-standbyPause) {
+	if time.Duration(j.expectedEvents(0))*r.currentMeanPause() < minStandbyRunTime || r.engineQueue(j.service).saturatedSince(r.Now()-standbyPause) {
 		return nil
 	}
 	q := r.serverQuery(j)
@@ -91,8 +91,8 @@
 // NotRunError means that the server has no such copy, for example because it had no memory for
 // it; that is not a failure of the server.
 func copyFailureResult(err error) backends.Result {
-	var refused *NotRunError
-	if errors.As(err, &refused) {
+	var notRun *NotRunError
+	if errors.As(err, &notRun) {
 		return backends.ResultInconclusive
 	}
 	return backends.ResultFailed
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -127,7 +127,7 @@
 				return errCallerGone
 			}
 		} else {
-			s.noteEventPause(s.Now() - s.lastEventAt)
+			s.recordEventPause(s.Now() - s.lastEventAt)
 		}
 		s.lastEventAt = s.Now()
 		s.job.progress.events++
@@ -149,8 +149,8 @@
 	}
 }
 
-// noteEventPause records the time between two events.
-func (s *session) noteEventPause(d time.Duration) {
+// recordEventPause records the time between two events.
+func (s *session) recordEventPause(d time.Duration) {
 	s.job.progress.longestPause = max(s.job.progress.longestPause, d)
 	s.Observer.EventPause(s.job.team, d)
 	s.recordPause(d)
