--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -114,7 +114,7 @@
 					return src.answer(), nil
 				}
 				r := request(tt.path)
-				r.Generation = &Generation{PromptTokens: 3000, MaxOutput: tt.max, Hint: tt.max / 2}
+				r.Generation = &Generation{PromptTokens: 3000, MaxOutput: tt.max, EstimatedOutput: tt.max / 2}
 				w.serve(r).whole(t, events(1, 2))
 				require.Equal(t, tt.want, w.up.sent[0].StandbyAddress != "")
 			})
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -133,10 +133,10 @@
 		time.Sleep(time.Duration(rng.ExpFloat64() * float64(time.Second) / playArrivals))
 		w := p.worlds[rng.IntN(playGateways)]
 		r := request("/check/x")
-		r.Generation = &Generation{PromptTokens: playPrompt, MaxOutput: 8, Hint: 8}
+		r.Generation = &Generation{PromptTokens: playPrompt, MaxOutput: 8, EstimatedOutput: 8}
 		if rng.IntN(3) < playLongOf3 {
 			r = request("/plan/x")
-			r.Generation = &Generation{PromptTokens: playPrompt, MaxOutput: 750, Hint: 750}
+			r.Generation = &Generation{PromptTokens: playPrompt, MaxOutput: 750, EstimatedOutput: 750}
 		}
 		r.ID, r.Body = fmt.Sprint("r", n), []byte(fmt.Sprint(n))
 		after := time.Since(begun) >= playEnds
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -188,7 +188,7 @@
 	r := &Request{ID: "r1", Host: "h", Path: path, Method: "POST", Target: path, APIKey: teamKey, Timeout: time.Second}
 	if strings.HasPrefix(path, "/plan/") || strings.HasPrefix(path, "/check/") {
 		r.Timeout = 30 * time.Second
-		r.Generation = &Generation{PromptTokens: 3000, MaxOutput: 2000, Hint: 900}
+		r.Generation = &Generation{PromptTokens: 3000, MaxOutput: 2000, EstimatedOutput: 900}
 	}
 	return r
 }
--- a/internal/relay/lane_test.go
+++ b/internal/relay/lane_test.go
@@ -51,7 +51,7 @@
 		done := make(chan *caller)
 		go func() {
 			r := request("/plan/x")
-			r.Generation.Hint = 20
+			r.Generation.EstimatedOutput = 20
 			done <- w.serve(r)
 		}()
 		synctest.Wait()
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -39,7 +39,7 @@
 
 // said is what the caller says of its generation's output.
 func (j *job) said() forecast.CallerHint {
-	return forecast.CallerHint{EstimatedTokens: j.Generation.Hint, MaxTokens: j.Generation.MaxOutput}
+	return forecast.CallerHint{EstimatedTokens: j.Generation.EstimatedOutput, MaxTokens: j.Generation.MaxOutput}
 }
 
 // perEvent is the number of tokens in an event.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -238,7 +238,7 @@
 func (j *job) summary(outcome string, now time.Duration) logrus.Fields {
 	f := logrus.Fields{"outcome": outcome, "sent": j.sent, "ran": j.ran, "took_ms": (now - j.arrived).Milliseconds()}
 	if g := j.Generation; g != nil {
-		f["prompt"], f["max_output"], f["hint"] = g.PromptTokens, g.MaxOutput, g.Hint
+		f["prompt"], f["max_output"], f["hint"] = g.PromptTokens, g.MaxOutput, g.EstimatedOutput
 		f["events"], f["first_ms"], f["pause_ms"] = j.progress.events, j.progress.first.Milliseconds(), j.progress.longest.Milliseconds()
 	}
 	return f
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -183,14 +183,14 @@
 		w.serve(request("/once/x")).whole(t, "ok")
 
 		short := request("/check/x")
-		short.Generation.Hint = 12
+		short.Generation.EstimatedOutput = 12
 		w.serve(short).whole(t, events(1, 2))
 
 		w.others.taking = false
 		w.serve(request("/plan/x")).whole(t, events(1, 2))
 		time.Sleep(2 * time.Second)
 		brief := request("/plan/x")
-		brief.Generation.Hint = 12
+		brief.Generation.EstimatedOutput = 12
 		require.Equal(t, ReasonStopping, w.serve(brief).refusal.Reason)
 	})
 }
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -24,8 +24,8 @@
 	PromptTokens int
 	// MaxOutput is the most tokens that the caller wants.
 	MaxOutput int
-	// Hint is the caller's estimate of the output in tokens, 0 if none.
-	Hint int
+	// EstimatedOutput is the caller's estimate of the output in tokens, 0 if none.
+	EstimatedOutput int
 }
 
 // Request is one attempt of a caller.
