--- a/internal/relay/crash_simulation_test.go
+++ b/internal/relay/crash_simulation_test.go
@@ -133,10 +133,10 @@
 		time.Sleep(time.Duration(rng.ExpFloat64() * float64(time.Second) / simArrivalRate))
 		f := sim.gateways[rng.IntN(simGateways)]
 		r := request("/check/x")
-		r.Generation = &Generation{PromptTokens: simPromptTokens, MaxOutput: 8, Hint: 8}
+		r.Generation = &Generation{PromptTokens: simPromptTokens, MaxOutput: 8, EstimatedOutput: 8}
 		if rng.IntN(3) < simLongOf3 {
 			r = request("/plan/x")
-			r.Generation = &Generation{PromptTokens: simPromptTokens, MaxOutput: 750, Hint: 750}
+			r.Generation = &Generation{PromptTokens: simPromptTokens, MaxOutput: 750, EstimatedOutput: 750}
 		}
 		r.ID, r.Body = fmt.Sprint("r", n), []byte(fmt.Sprint(n))
 		afterCrash := time.Since(start) >= simCrashAt
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -41,7 +41,7 @@
 
 // callerHint returns what the caller stated about the length of its generation.
 func (j *job) callerHint() forecast.CallerHint {
-	return forecast.CallerHint{EstimatedTokens: j.Generation.Hint, MaxTokens: j.Generation.MaxOutput}
+	return forecast.CallerHint{EstimatedTokens: j.Generation.EstimatedOutput, MaxTokens: j.Generation.MaxOutput}
 }
 
 // tokensPerEvent returns the number of tokens in an event.
--- a/internal/relay/standby_test.go
+++ b/internal/relay/standby_test.go
@@ -114,7 +114,7 @@
 					return body.response(), nil
 				}
 				r := request(tt.path)
-				r.Generation = &Generation{PromptTokens: 3000, MaxOutput: tt.maxOutput, Hint: tt.maxOutput / 2}
+				r.Generation = &Generation{PromptTokens: 3000, MaxOutput: tt.maxOutput, EstimatedOutput: tt.maxOutput / 2}
 				f.serve(r).requireWhole(t, events(1, 2))
 				require.Equal(t, tt.wantStandby, f.upstream.sent[0].StandbyAddress != "")
 			})
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -182,14 +182,14 @@
 		f.serve(request("/once/x")).requireWhole(t, "ok")
 
 		short := request("/check/x")
-		short.Generation.Hint = 12
+		short.Generation.EstimatedOutput = 12
 		f.serve(short).requireWhole(t, events(1, 2))
 
 		f.peers.accepting = false
 		f.serve(request("/plan/x")).requireWhole(t, events(1, 2))
 		time.Sleep(2 * time.Second)
 		brief := request("/plan/x")
-		brief.Generation.Hint = 12
+		brief.Generation.EstimatedOutput = 12
 		require.Equal(t, ReasonStopping, f.serve(brief).refusal.Reason)
 	})
 }
