--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -247,7 +247,7 @@
 }
 
 // quarantineRefusal returns the refusal of a quarantined request. If it has not run, its caller
-// is told to retry after the quarantine and not before.
+// may retry after retryAfter, not earlier.
 func (j *job) quarantineRefusal(retryAfter time.Duration) *Refusal {
 	f := &Refusal{Reason: ReasonQuarantined, MayHaveRun: j.maybeRun > 0, Content: j.quarantineID().String()}
 	if !f.MayHaveRun {
--- a/internal/relay/enginequeue.go
+++ b/internal/relay/enginequeue.go
@@ -137,8 +137,8 @@
 // come from a few teams, and a team that is not reported counts as small.
 const maxReportedTeams = 8
 
-// chargeTeam charges a generation to its team's share: its expected memory times the time for
-// which it takes that.
+// chargeTeam charges a generation to its team's share: its expected memory times its expected
+// duration.
 func (r *Relay) chargeTeam(j *job, eq *engineQueue) {
 	duration := r.promptReadTime(j) + time.Duration(j.expectedEvents(0))*r.currentMeanPause()
 	amount := float64(j.expectedMemory(0)) * duration.Seconds()
--- a/quarantine/id.go
+++ b/quarantine/id.go
@@ -1,5 +1,5 @@
 // Package quarantine decides which requests are sent to no backend server any more because
-// servers crash under them.
+// servers crash under them. A request that causes such crashes is called a crashing request.
 //
 // A request is identified by its content and its team, not by the id of an attempt: a caller
 // that retries uses a new attempt id each time and may reach any process. A Record holds what
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -224,8 +224,8 @@
 	simulatedTime = 40 * time.Second
 )
 
-// simulate sends harmless requests and, if withCrashing, three different crashing requests, each twice
-// a second.
+// simulate sends harmless requests and, if withCrashing is set, three different crashing requests,
+// each twice a second.
 func (f *fleet) simulate(withCrashing bool) {
 	perTick := float64(meanRunning*len(f.servers)) * float64(tick) / float64(meanRun)
 	due := 0.0
@@ -264,8 +264,8 @@
 	}
 }
 
-// Each server crashes at random every four minutes, forty times as often as on a day with
-// trouble. 100,000 harmless requests run, and those on a crashing server are sent again. None of
+// Each server crashes at random every four minutes on average, forty times as often as machines on
+// a bad day. 100,000 harmless requests run, and those on a crashing server are sent again. None of
 // them is quarantined.
 func TestRandomCrashesQuarantineNothing(t *testing.T) {
 	f := newFleet(1, 24, 48)
@@ -322,7 +322,7 @@
 }
 
 // Guards against a harmless request that stays quarantined for an hour because its trials run
-// beside those of the crashing requests it shares crashes with.
+// on the same servers as those of the crashing requests it shares crashes with.
 func TestPopularRequestIsServedSoonBesideCrashingOnes(t *testing.T) {
 	for seed := range uint64(100) {
 		f := newFleet(seed, 3, 3)
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -29,9 +29,9 @@
 	MaxRecords, MaxRecordsPerTeam int
 }
 
-// Default returns the policy of gateways. With a lower CrashThreshold, a request that ran
-// beside a crashing request twice would be quarantined; with a higher one, each crashing request
-// costs the requests that run beside it one more crash.
+// Default returns the policy of gateways. With a lower CrashThreshold, a harmless request that ran
+// twice on the same server as a crashing one would be quarantined. With a higher one, each crashing
+// request would crash one more server, with all requests that run there.
 func Default() Policy {
 	return Policy{CrashThreshold: 3, Window: time.Hour, QuarantineTime: time.Hour, TrialDelay: 1500 * time.Millisecond, TrialTimeout: time.Second, MaxTrialCrashes: 2,
 		MaxRecords: 1024, MaxRecordsPerTeam: 128}
