--- a/internal/relay/enginequeue.go
+++ b/internal/relay/enginequeue.go
@@ -227,11 +227,11 @@
 // refuseIfBackingOff returns a refusal if all engines back off for longer than a request can
 // wait, nil otherwise.
 func (r *Relay) refuseIfBackingOff(j *job, w *flow.Waiter) *Refusal {
-	p := r.availability(j)
-	if !p.MustWait() || p.HasRateLimited || r.Now()+p.BackoffWait <= w.DispatchDeadline {
+	servers := r.availability(j)
+	if !servers.MustWait() || servers.HasRateLimited || r.Now()+servers.BackoffWait <= w.DispatchDeadline {
 		return nil
 	}
-	return r.refuseLateTurn(j, p, p.BackoffWait)
+	return r.refuseLateTurn(j, servers, servers.BackoffWait)
 }
 
 // spillAfter is how long a request waits for an engine of its own gateway's cell before it may
--- a/internal/relay/pacedqueue.go
+++ b/internal/relay/pacedqueue.go
@@ -37,15 +37,15 @@
 
 // joinPacedQueue queues a request if all its servers are rate-limited or backing off. It returns
 // a refusal if the request's turn would come too late, nil otherwise.
-func (r *Relay) joinPacedQueue(j *job, pq *pacedQueue, w *flow.Waiter, p backends.Availability) *Refusal {
-	if !p.MustWait() {
+func (r *Relay) joinPacedQueue(j *job, pq *pacedQueue, w *flow.Waiter, servers backends.Availability) *Refusal {
+	if !servers.MustWait() {
 		return nil
 	}
 	if j.maybeRun == 0 {
 		pq.add(w)
 	}
-	if wait := pq.estimateWait(w, p, r.Now()); r.Now()+wait > w.DispatchDeadline {
-		return r.refuseLateTurn(j, p, wait)
+	if wait := pq.estimateWait(w, servers, r.Now()); r.Now()+wait > w.DispatchDeadline {
+		return r.refuseLateTurn(j, servers, wait)
 	}
 	return nil
 }
@@ -78,16 +78,16 @@
 }
 
 // estimateWait estimates how long a request waits for its turn.
-func (pq *pacedQueue) estimateWait(w *flow.Waiter, p backends.Availability, now time.Duration) time.Duration {
-	if !p.HasRateLimited {
-		return p.BackoffWait
+func (pq *pacedQueue) estimateWait(w *flow.Waiter, servers backends.Availability, now time.Duration) time.Duration {
+	if !servers.HasRateLimited {
+		return servers.BackoffWait
 	}
 	pq.mu.Lock()
-	pq.queue.SetRate(p.PerSecond)
-	wait := p.RateWait + pq.queue.EstimateWait(w, now)
+	pq.queue.SetRate(servers.PerSecond)
+	wait := servers.RateWait + pq.queue.EstimateWait(w, now)
 	pq.mu.Unlock()
-	if p.HasBackingOff {
-		wait = min(wait, p.BackoffWait)
+	if servers.HasBackingOff {
+		wait = min(wait, servers.BackoffWait)
 	}
 	return wait
 }
@@ -103,9 +103,9 @@
 const maxRateLimitRetryAfter = 10 * time.Second
 
 // refuseLateTurn refuses a request whose turn would come too late.
-func (r *Relay) refuseLateTurn(j *job, p backends.Availability, wait time.Duration) *Refusal {
+func (r *Relay) refuseLateTurn(j *job, servers backends.Availability, wait time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoCapacity)
-	if p.HasRateLimited {
+	if servers.HasRateLimited {
 		wait = min(wait, maxRateLimitRetryAfter)
 	}
 	if !f.MayHaveRun {
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -163,14 +163,14 @@
 			return nil, refusal
 		}
 		interval, waitUntil := fullRetryInterval, j.arrived+j.maxWait()
-		if pace := r.availability(j); pace.HasRateLimited || pace.HasBackingOff {
+		if servers := r.availability(j); servers.HasRateLimited || servers.HasBackingOff {
 			if j.hasResponse {
 				return nil, r.refuse(j, ReasonNoCapacity)
 			}
 			if w == nil {
 				w = r.pacedWaiter(j)
 			}
-			if refusal := r.joinPacedQueue(j, pq, w, pace); refusal != nil {
+			if refusal := r.joinPacedQueue(j, pq, w, servers); refusal != nil {
 				return nil, refusal
 			}
 			interval, waitUntil = pacedRetryInterval, w.DispatchDeadline
