--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -91,7 +91,7 @@
 
 // Observer is told of events for metrics. Methods must not block.
 type Observer interface {
-	ObserveToken(team string, gap time.Duration)
+	Token(team string, gap time.Duration)
 	Preempted(team string)
 }
 
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -124,7 +124,7 @@
 func (a *Agent) observe(g *generation, last time.Time) time.Time {
 	now := time.Now()
 	if a.observer != nil && !last.IsZero() {
-		a.observer.ObserveToken(g.req.Team, now.Sub(last))
+		a.observer.Token(g.req.Team, now.Sub(last))
 	}
 	return now
 }
