--- a/sched/admit.go
+++ b/sched/admit.go
@@ -2,92 +2,99 @@
 
 import "time"
 
-// resume continues paused jobs, longest paused first.
-func (p *Forecasting) resume(acts []Action) []Action {
+// resumePaused resumes paused jobs in the order of their pauses, oldest first.
+// It stops at the first job that does not fit or was paused less than minPause
+// ago.
+func (p *Forecasting) resumePaused(acts []Action) []Action {
 	for len(p.paused) > 0 {
 		j := p.paused[0]
 		if !p.fitsPaused(j) || p.now-j.pausedAt < minPause {
 			return acts
 		}
-		p.unpark(j)
-		p.begin(j)
+		p.removePaused(j)
+		p.markRunning(j)
 		acts = append(acts, Action{Verb: Start, Job: j})
 	}
 	return acts
 }
 
-// minPause keeps a stream from being resumed into the same shortage: without
-// it, a pause frees just enough for the paused stream itself.
+// minPause is the shortest pause of a stream. Without it, a stream would be
+// resumed at once into the memory that its own pause has freed, and the
+// shortage would return.
 const minPause = 100 * time.Millisecond
 
-// admit starts queued jobs while they fit, most deserving team first.
-func (p *Forecasting) admit(acts []Action) []Action {
-	for len(p.waiting) > 0 && len(p.running) < p.cfg.MaxBatch {
-		t := p.next()
+// admitQueued starts queued jobs in the order of nextTeam until one does not fit.
+func (p *Forecasting) admitQueued(acts []Action) []Action {
+	for len(p.waitingTeams) > 0 && len(p.running) < p.cfg.MaxBatch {
+		t := p.nextTeam()
 		j := t.queue[0]
-		j.contrib = p.contribution(j)
-		borrows := p.over(t, j.contrib.mean[shareHorizon]) > 0
+		j.contrib = p.forecastJob(j)
+		borrows := p.overShare(t, j.contrib.mean[shareHorizon]) > 0
 		if len(p.paused) > 0 && borrows && !j.Urgent {
 			return acts
 		}
-		if !p.fits(j, borrows && len(p.running) > 0) {
+		if !p.fitsQueued(j, borrows && len(p.running) > 0) {
 			return acts
 		}
 		p.dequeue(t, j)
-		p.begin(j)
+		p.markRunning(j)
 		acts = append(acts, Action{Verb: Start, Job: j})
 	}
 	return acts
 }
 
-// next is the waiting team that is served first: urgent jobs, then teams under
-// their share by priority, then the team least over its share.
-func (p *Forecasting) next() *team {
-	best := p.waiting[0]
-	for _, t := range p.waiting[1:] {
-		if p.before(t, best) {
+// nextTeam returns the waiting team whose first job is admitted next. Teams with
+// an urgent job come first, then teams within their share by priority, then the
+// team that exceeds its share the least.
+func (p *Forecasting) nextTeam() *teamState {
+	best := p.waitingTeams[0]
+	for _, t := range p.waitingTeams[1:] {
+		if p.precedes(t, best) {
 			best = t
 		}
 	}
 	return best
 }
 
-func (p *Forecasting) before(a, b *team) bool {
+// precedes reports whether the first job of a is admitted before that of b.
+func (p *Forecasting) precedes(a, b *teamState) bool {
 	ja, jb := a.queue[0], b.queue[0]
 	if ja.Urgent != jb.Urgent {
 		return ja.Urgent
 	}
 	if p.cfg.Disabled.Shares {
-		return ja.arrived < jb.arrived
+		return ja.arrivedAt < jb.arrivedAt
 	}
-	oa := p.over(a, ja.contrib.mean[shareHorizon])
-	ob := p.over(b, jb.contrib.mean[shareHorizon])
-	if (oa <= 0) != (ob <= 0) {
-		return oa <= 0
+	overA := p.overShare(a, ja.contrib.mean[shareHorizon])
+	overB := p.overShare(b, jb.contrib.mean[shareHorizon])
+	if (overA <= 0) != (overB <= 0) {
+		return overA <= 0
 	}
-	if oa <= 0 && a.level != b.level {
+	if overA <= 0 && a.level != b.level {
 		return a.level > b.level
 	}
-	return oa < ob
+	return overA < overB
 }
 
-// fits reports whether the batch's forecast peak stays inside capacity with j.
-// A job that borrows must leave the reserve free.
-func (p *Forecasting) fits(j *Job, borrows bool) bool {
+// fitsQueued reports whether the forecast peak of the batch stays within
+// capacity if queued job j is added. A job that takes its team over its share
+// (borrows) must also leave the reserve free.
+func (p *Forecasting) fitsQueued(j *Job, borrows bool) bool {
 	limit := float64(p.cfg.Capacity)
-	// A borrower that fits above the low mark would be paused in the next
-	// shortage, resumed into the same room and paused again.
+	// A borrowing job that is admitted above the low watermark would be paused
+	// in the next shortage, resumed into the same memory and paused again.
 	if borrows {
-		limit *= min(low, 1-p.cfg.ReserveFraction)
+		limit *= min(lowWatermark, 1-p.cfg.ReserveFraction)
 	}
 	if len(p.running) == 0 {
 		return true
 	}
-	return p.mem.peak(&j.contrib, p.cfg.Sigmas) <= limit
+	return p.batch.peak(&j.contrib, p.cfg.Sigmas) <= limit
 }
 
-// fitsPaused asks less than fits: the caller of a paused stream waits in the
-// middle of its answer, so its return may use a part of the reserve.
+// fitsPaused reports whether paused job j may resume. Its limit is higher than
+// that of fitsQueued for a borrowing job: the caller of a paused stream waits in
+// the middle of its response, so the stream may use a part of the reserve.
 func (p *Forecasting) fitsPaused(j *Job) bool {
-	return len(p.running) == 0 || p.mem.peak(&j.contrib, p.cfg.Sigmas) <= resumeMark*float64(p.cfg.Capacity)
+	return len(p.running) == 0 || p.batch.peak(&j.contrib, p.cfg.Sigmas) <= resumeWatermark*float64(p.cfg.Capacity)
 }
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -5,57 +5,64 @@
 	"time"
 )
 
-// Baseline is a simple policy to measure others against: jobs are admitted
-// while memory is free, and a victim is only taken by the engine itself.
+// Baseline is a simple policy that others are compared with. It admits jobs
+// while memory is free and never pauses a job: only the engine evicts one.
 type Baseline struct {
 	capacity   int
 	maxBatch   int
 	roundRobin bool
-	reserve    int
-	maxQueue   time.Duration
+	// reservedOutput is the number of output tokens reserved for each job; 0
+	// means that nothing is reserved.
+	reservedOutput int
+	maxWait        time.Duration
 
 	queue []*Job
-	// turn counts the starts of each team, for round-robin.
-	turn  map[string]int
-	used  int
-	held  int
-	stats Stats
+	// startsByTeam counts the started jobs of each team, for round-robin.
+	startsByTeam map[string]int
+	// usedTokens is the memory that running jobs use; committedTokens is the
+	// memory that admission counts for them.
+	usedTokens      int
+	committedTokens int
+	stats           Stats
 }
 
-// NewFIFO admits in order of arrival while memory is free now.
+// NewFIFO returns a policy that admits jobs in order of arrival while memory is
+// free now.
 func NewFIFO(capacity, maxBatch int, maxWait time.Duration) *Baseline {
-	return &Baseline{capacity: capacity, maxBatch: maxBatch, maxQueue: maxWait, turn: make(map[string]int)}
+	return &Baseline{capacity: capacity, maxBatch: maxBatch, maxWait: maxWait, startsByTeam: make(map[string]int)}
 }
 
-// NewRoundRobin is NewFirstCome with one queue for each team, served in turn.
+// NewRoundRobin returns NewFIFO with one queue for each team; the team with the
+// fewest started jobs is served next.
 func NewRoundRobin(capacity, maxBatch int, maxWait time.Duration) *Baseline {
 	b := NewFIFO(capacity, maxBatch, maxWait)
 	b.roundRobin = true
 	return b
 }
 
-// NewReserveMaxOutput is NewFirstCome with the longest output reserved for every stream.
+// NewReserveMaxOutput returns NewFIFO that reserves memory for the longest
+// output, maxTokens, of each job.
 func NewReserveMaxOutput(capacity, maxBatch int, maxWait time.Duration, maxTokens int) *Baseline {
 	b := NewFIFO(capacity, maxBatch, maxWait)
-	b.reserve = maxTokens
+	b.reservedOutput = maxTokens
 	return b
 }
 
-// need is the memory that a job is admitted against.
-func (b *Baseline) need(j *Job) int {
-	if b.reserve == 0 {
+// demand returns the number of tokens of memory that must be free to admit j.
+func (b *Baseline) demand(j *Job) int {
+	if b.reservedOutput == 0 {
 		return j.ContextTokens() + 1
 	}
-	most := b.reserve
+	output := b.reservedOutput
 	if j.MaxTokens > 0 {
-		most = min(most, j.MaxTokens)
+		output = min(output, j.MaxTokens)
 	}
-	return j.PromptTokens + most
+	return j.PromptTokens + output
 }
 
 // Offer implements Policy.
 func (b *Baseline) Offer(now time.Duration, j *Job) Decision {
-	j.arrived, j.emitted, j.state = now, j.EmittedBefore, stateQueued
+	j.arrivedAt, j.emitted, j.state = now, j.EmittedBefore, stateQueued
 	b.queue = append(b.queue, j)
 	b.stats.Queued++
 	return Decision{Verdict: Queue}
@@ -63,22 +70,22 @@
 
 // Adopt implements Policy.
 func (b *Baseline) Adopt(now time.Duration, j *Job) {
-	j.arrived, j.emitted = now, j.EmittedBefore
-	b.begin(j)
+	j.arrivedAt, j.emitted = now, j.EmittedBefore
+	b.markRunning(j)
 }
 
-func (b *Baseline) begin(j *Job) {
+func (b *Baseline) markRunning(j *Job) {
 	j.state = stateRunning
-	b.used += j.ContextTokens()
-	b.held += b.need(j)
+	b.usedTokens += j.ContextTokens()
+	b.committedTokens += b.demand(j)
 	b.stats.Running++
 }
 
-func (b *Baseline) end(j *Job) {
-	b.used -= j.ContextTokens()
-	b.held -= b.need(j)
-	if b.reserve == 0 {
-		b.held = b.used + b.stats.Running - 1
+func (b *Baseline) removeRunning(j *Job) {
+	b.usedTokens -= j.ContextTokens()
+	b.committedTokens -= b.demand(j)
+	if b.reservedOutput == 0 {
+		b.committedTokens = b.usedTokens + b.stats.Running - 1
 	}
 	b.stats.Running--
 }
@@ -88,16 +95,17 @@
 	if j.state != stateRunning {
 		return
 	}
-	b.used += emitted - j.emitted
-	if b.reserve == 0 {
-		b.held += emitted - j.emitted
+	b.usedTokens += emitted - j.emitted
+	if b.reservedOutput == 0 {
+		b.committedTokens += emitted - j.emitted
 	}
 	j.emitted = emitted
 }
 
-// Evicted implements Policy. The job goes to the front, as engines do.
+// Evicted implements Policy. The job goes to the front of the queue, as in
+// engines.
 func (b *Baseline) Evicted(_ time.Duration, j *Job) {
-	b.end(j)
+	b.removeRunning(j)
 	j.state = statePaused
 	b.queue = slices.Insert(b.queue, 0, j)
 	b.stats.Queued++
@@ -108,7 +116,7 @@
 func (b *Baseline) Finish(_ time.Duration, j *Job, _ bool) {
 	switch j.state {
 	case stateRunning:
-		b.end(j)
+		b.removeRunning(j)
 	case stateQueued, statePaused:
 		b.queue = slices.DeleteFunc(b.queue, func(o *Job) bool { return o == j })
 		b.stats.Queued--
@@ -118,43 +126,47 @@
 
 // Tick implements Policy.
 func (b *Baseline) Tick(now time.Duration, acts []Action) []Action {
-	acts = b.giveUp(now, acts)
+	acts = b.expireQueued(now, acts)
 	for len(b.queue) > 0 && b.stats.Running < b.maxBatch {
-		i := b.next()
+		i := b.nextInQueue()
 		j := b.queue[i]
-		if b.stats.Running > 0 && b.held+b.need(j) > b.capacity {
+		if b.stats.Running > 0 && b.committedTokens+b.demand(j) > b.capacity {
 			return acts
 		}
 		b.queue = slices.Delete(b.queue, i, i+1)
 		b.stats.Queued--
-		b.turn[j.Team]++
-		b.begin(j)
+		b.startsByTeam[j.Team]++
+		b.markRunning(j)
 		acts = append(acts, Action{Verb: Start, Job: j})
 	}
 	return acts
 }
 
-func (b *Baseline) giveUp(now time.Duration, acts []Action) []Action {
+// expireQueued removes the jobs that have waited longer than maxWait for their
+// first start.
+func (b *Baseline) expireQueued(now time.Duration, acts []Action) []Action {
 	b.queue = slices.DeleteFunc(b.queue, func(j *Job) bool {
-		late := j.state == stateQueued && now-j.arrived > b.maxQueue
-		if late {
+		expired := j.state == stateQueued && now-j.arrivedAt > b.maxWait
+		if expired {
 			j.state = stateDone
 			b.stats.Queued--
-			acts = append(acts, Action{Verb: Expire, Job: j, RetryAfter: b.maxQueue})
+			acts = append(acts, Action{Verb: Expire, Job: j, RetryAfter: b.maxWait})
 		}
-		return late
+		return expired
 	})
 	return acts
 }
 
-// next is the index of the job to admit: evicted ones first, then by turn.
-func (b *Baseline) next() int {
+// nextInQueue returns the index of the job to admit next: an evicted job if
+// there is one, otherwise the first job, or with round-robin the first job of
+// the team with the fewest starts.
+func (b *Baseline) nextInQueue() int {
 	if !b.roundRobin || b.queue[0].state == statePaused {
 		return 0
 	}
 	best := 0
 	for i, j := range b.queue {
-		if b.turn[j.Team] < b.turn[b.queue[best].Team] {
+		if b.startsByTeam[j.Team] < b.startsByTeam[b.queue[best].Team] {
 			best = i
 		}
 	}
@@ -164,6 +176,6 @@
 // Stats implements Policy.
 func (b *Baseline) Stats() Stats {
 	s := b.stats
-	s.MemoryUsed, s.MemoryForecast = b.used, b.held
+	s.MemoryUsed, s.MemoryForecast = b.usedTokens, b.committedTokens
 	return s
 }
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -7,111 +7,120 @@
 	"kingcupplank.example/kingcup/forecast"
 )
 
-// Forecasting is the system's policy. It admits a job only if the forecast
-// peak of the batch's memory stays inside capacity, gives each team its
-// weighted share first, lends idle share, and pauses only as a last resort.
+// Forecasting is the policy that backend servers use. It admits a job only if
+// the forecast peak of the batch's memory stays within capacity. Each team has a
+// share of the memory in proportion to its weight; teams may borrow memory that
+// others don't use. Streams are paused only when memory is about to run out.
 type Forecasting struct {
-	cfg    Config
-	teams  map[string]*team
-	models map[string]*forecast.Lengths
-	// waiting are the teams with a queue, in no order.
-	waiting []*team
-	paused  []*Job
-	running []*Job
-	mem     memory
-	weights float64
-	now     time.Duration
-	stats   Stats
-	drain   rate
-	forgot  time.Duration
+	cfg          Config
+	teams        map[string]*teamState
+	modelLengths map[string]*forecast.Lengths
+	// waitingTeams are the teams with a queued job, in no order.
+	waitingTeams []*teamState
+	paused       []*Job
+	running      []*Job
+	batch        batchForecast
+	// totalWeight is the sum of the weights of the teams that have a share.
+	totalWeight float64
+	now         time.Duration
+	stats       Stats
+	// freed is the rate at which ended or paused jobs free memory, in tokens
+	// per second.
+	freed           decayingRate
+	sharesExpiredAt time.Duration
 }
 
-// team is what the policy knows of one team.
-type team struct {
+// teamState is the policy's state of one team.
+type teamState struct {
 	name    string
 	weight  float64
 	level   uint32
 	queue   []*Job
 	running int
-	mem     memory
+	batch   batchForecast
+	// lengths are the output lengths by model.
 	lengths map[string]*forecast.Lengths
-	// seen is when the team last had work; teams not seen for long have no
-	// share.
-	seen   time.Duration
-	active bool
-	// queuedMem is the expected memory of the queue in tokens.
-	queuedMem float64
+	// lastActive is when a job of the team was last offered, started or ended.
+	lastActive time.Duration
+	// hasShare is set while weight is part of totalWeight.
+	hasShare bool
+	// queuedTokens is the expected memory of the queued jobs in tokens.
+	queuedTokens float64
 }
 
-// shareMemory is how long a team keeps its share after its last work.
-const shareMemory = 2 * time.Minute
+// shareRetention is how long a team without jobs keeps its share.
+const shareRetention = 2 * time.Minute
 
 // NewForecasting returns a policy for one engine.
 func NewForecasting(cfg Config) *Forecasting {
 	return &Forecasting{
-		cfg:    cfg.withDefaults(),
-		teams:  make(map[string]*team),
-		models: make(map[string]*forecast.Lengths),
+		cfg:          cfg.withDefaults(),
+		teams:        make(map[string]*teamState),
+		modelLengths: make(map[string]*forecast.Lengths),
 	}
 }
 
-func (p *Forecasting) team(j *Job) *team {
+// activateTeam returns the state of the job's team, with a share and with the
+// weight and level of the job.
+func (p *Forecasting) activateTeam(j *Job) *teamState {
 	t := p.teams[j.Team]
 	if t == nil {
-		t = &team{name: j.Team, lengths: make(map[string]*forecast.Lengths)}
+		t = &teamState{name: j.Team, lengths: make(map[string]*forecast.Lengths)}
 		p.teams[j.Team] = t
 	}
 	weight := max(1, float64(j.Weight))
-	if t.active {
-		p.weights += weight - t.weight
+	if t.hasShare {
+		p.totalWeight += weight - t.weight
 	} else {
-		t.active = true
-		p.weights += weight
+		t.hasShare = true
+		p.totalWeight += weight
 	}
 	t.weight = weight
 	t.level = j.Level
-	t.seen = p.now
+	t.lastActive = p.now
 	return t
 }
 
-func (p *Forecasting) lengths(t *team, model string) *forecast.Lengths {
+// lengthsOf returns the output lengths of a team's requests to a model. Their
+// prior is the lengths of all teams at that model.
+func (p *Forecasting) lengthsOf(t *teamState, model string) *forecast.Lengths {
 	l := t.lengths[model]
 	if l != nil {
 		return l
 	}
-	prior := p.models[model]
+	prior := p.modelLengths[model]
 	if prior == nil {
 		prior = forecast.NewLengths(nil)
-		p.models[model] = prior
+		p.modelLengths[model] = prior
 	}
 	l = forecast.NewLengths(prior)
 	t.lengths[model] = l
 	return l
 }
 
-// share is a team's guaranteed part of the capacity in tokens.
-func (p *Forecasting) share(t *team) float64 {
-	return float64(p.cfg.Capacity) * t.weight / p.weights
+// share returns the part of the capacity that a team is entitled to, in tokens.
+func (p *Forecasting) share(t *teamState) float64 {
+	return float64(p.cfg.Capacity) * t.weight / p.totalWeight
 }
 
-// over is how far a team's use exceeds its share, as a fraction of it; the
-// expected memory of extra is counted in.
-func (p *Forecasting) over(t *team, extra float64) float64 {
+// overShare returns by how much the memory of a team, plus extra tokens, exceeds
+// its share, as a fraction of the share. It is negative if the team is below it.
+func (p *Forecasting) overShare(t *teamState, extra float64) float64 {
 	if p.cfg.Disabled.Shares {
 		return 0
 	}
-	return (t.mem.mean[shareHorizon]+extra)/p.share(t) - 1
+	return (t.batch.mean[shareHorizon]+extra)/p.share(t) - 1
 }
 
 // Offer implements Policy.
 func (p *Forecasting) Offer(now time.Duration, j *Job) Decision {
 	p.now = now
-	t := p.team(j)
+	t := p.activateTeam(j)
 	j.team = t
 	j.emitted = j.EmittedBefore
-	j.arrived = now
-	j.contrib = p.contribution(j)
-	if wait := p.wait(t, j); !p.cfg.Disabled.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
+	j.arrivedAt = now
+	j.contrib = p.forecastJob(j)
+	if wait := p.estimateWait(t, j); !p.cfg.Disabled.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
 		j.state = stateDone
 		return Decision{Verdict: Refuse, RetryAfter: p.retryAfter(j, wait)}
 	}
@@ -120,46 +129,47 @@
 	return Decision{Verdict: Queue}
 }
 
-func (p *Forecasting) contribution(j *Job) contribution {
+// forecastJob computes the contribution of j to the batch.
+func (p *Forecasting) forecastJob(j *Job) contribution {
 	if p.cfg.Disabled.Forecast {
-		return flat(j)
+		return currentContribution(j)
 	}
-	return contribute(p.lengths(j.team, j.Model), j.PromptTokens, j.emitted, j.MaxTokens)
+	return newContribution(p.lengthsOf(j.team, j.Model), j.PromptTokens, j.emitted, j.MaxTokens)
 }
 
-// flat counts only the memory that the job holds now.
-func flat(j *Job) contribution {
-	c := contribution{at: j.emitted}
+// currentContribution counts the memory that j uses now at every horizon.
+func currentContribution(j *Job) contribution {
+	c := contribution{emitted: j.emitted}
 	for k := range horizons {
 		c.mean[k] = float64(j.ContextTokens() + 1)
 	}
 	return c
 }
 
-func (p *Forecasting) enqueue(t *team, j *Job) {
+func (p *Forecasting) enqueue(t *teamState, j *Job) {
 	if len(t.queue) == 0 {
-		p.waiting = append(p.waiting, t)
+		p.waitingTeams = append(p.waitingTeams, t)
 	}
 	if j.Urgent {
 		t.queue = slices.Insert(t.queue, 0, j)
 	} else {
 		t.queue = append(t.queue, j)
 	}
-	t.queuedMem += j.contrib.mean[shareHorizon]
+	t.queuedTokens += j.contrib.mean[shareHorizon]
 	p.stats.Queued++
 }
 
-func (p *Forecasting) dequeue(t *team, j *Job) {
+func (p *Forecasting) dequeue(t *teamState, j *Job) {
 	i := slices.Index(t.queue, j)
 	if i < 0 {
 		return
 	}
 	t.queue = slices.Delete(t.queue, i, i+1)
-	t.queuedMem -= j.contrib.mean[shareHorizon]
+	t.queuedTokens -= j.contrib.mean[shareHorizon]
 	p.stats.Queued--
 	if len(t.queue) == 0 {
-		t.queuedMem = 0
-		p.waiting = slices.DeleteFunc(p.waiting, func(o *team) bool { return o == t })
+		t.queuedTokens = 0
+		p.waitingTeams = slices.DeleteFunc(p.waitingTeams, func(o *teamState) bool { return o == t })
 	}
 }
 
@@ -170,62 +180,64 @@
 	}
 	grown := emitted - j.emitted
 	j.emitted = emitted
-	p.mem.used += grown
-	j.team.mem.used += grown
-	if emitted-j.contrib.at >= refreshEvery {
-		p.refresh(j)
+	p.batch.used += grown
+	j.team.batch.used += grown
+	if emitted-j.contrib.emitted >= refreshTokens {
+		p.refreshContribution(j)
 	}
 }
 
-func (p *Forecasting) refresh(j *Job) {
-	p.count(j, -1)
-	j.contrib = p.contribution(j)
-	p.count(j, 1)
+func (p *Forecasting) refreshContribution(j *Job) {
+	p.addContribution(j, -1)
+	j.contrib = p.forecastJob(j)
+	p.addContribution(j, 1)
 }
 
-func (p *Forecasting) count(j *Job, sign float64) {
-	p.mem.add(&j.contrib, sign)
-	j.team.mem.add(&j.contrib, sign)
+// addContribution adds the contribution of j to the forecasts of the batch and
+// of the team if sign is 1, and subtracts it if sign is -1.
+func (p *Forecasting) addContribution(j *Job, sign float64) {
+	p.batch.add(&j.contrib, sign)
+	j.team.batch.add(&j.contrib, sign)
 }
 
-// begin counts j as running.
-func (p *Forecasting) begin(j *Job) {
+// markRunning adds j to the running jobs.
+func (p *Forecasting) markRunning(j *Job) {
 	j.state = stateRunning
-	j.started = p.now
-	j.contrib = p.contribution(j)
-	p.count(j, 1)
-	p.mem.used += j.ContextTokens()
-	j.team.mem.used += j.ContextTokens()
+	j.startedAt = p.now
+	j.contrib = p.forecastJob(j)
+	p.addContribution(j, 1)
+	p.batch.used += j.ContextTokens()
+	j.team.batch.used += j.ContextTokens()
 	j.team.running++
-	j.team.seen = p.now
+	j.team.lastActive = p.now
 	p.running = append(p.running, j)
 	p.stats.Running++
 }
 
-// leave ends the counting of j as running.
-func (p *Forecasting) leave(j *Job) {
-	p.count(j, -1)
-	p.mem.used -= j.ContextTokens()
-	j.team.mem.used -= j.ContextTokens()
+// removeRunning removes j from the running jobs; the caller sets its next state.
+func (p *Forecasting) removeRunning(j *Job) {
+	p.addContribution(j, -1)
+	p.batch.used -= j.ContextTokens()
+	j.team.batch.used -= j.ContextTokens()
 	j.team.running--
 	p.stats.Running--
 	i := slices.Index(p.running, j)
 	last := len(p.running) - 1
 	p.running[i] = p.running[last]
 	p.running = p.running[:last]
-	p.drain.add(p.now, float64(j.ContextTokens()))
+	p.freed.add(p.now, float64(j.ContextTokens()))
 	if p.stats.Running == 0 {
-		p.mem = memory{}
+		p.batch = batchForecast{}
 	}
 }
 
 // Adopt implements Policy.
 func (p *Forecasting) Adopt(now time.Duration, j *Job) {
 	p.now = now
-	j.team = p.team(j)
+	j.team = p.activateTeam(j)
 	j.emitted = j.EmittedBefore
-	j.arrived = now
-	p.begin(j)
+	j.arrivedAt = now
+	p.markRunning(j)
 }
 
 // Evicted implements Policy.
@@ -234,14 +246,15 @@
 	if j.state != stateRunning {
 		return
 	}
-	p.leave(j)
-	p.park(j)
+	p.removeRunning(j)
+	p.markPaused(j)
 }
 
-func (p *Forecasting) park(j *Job) {
+// markPaused adds j to the paused jobs.
+func (p *Forecasting) markPaused(j *Job) {
 	j.state = statePaused
 	j.pausedAt = p.now
-	j.pauses++
+	j.pauseCount++
 	p.paused = append(p.paused, j)
 	p.stats.Queued++
 	p.stats.Preemptions++
@@ -252,21 +265,22 @@
 	p.now = now
 	switch j.state {
 	case stateRunning:
-		p.leave(j)
+		p.removeRunning(j)
 	case statePaused:
-		p.unpark(j)
+		p.removePaused(j)
 	case stateQueued:
 		p.dequeue(j.team, j)
 	}
 	j.state = stateDone
-	j.team.seen = now
+	j.team.lastActive = now
 	if complete {
-		p.lengths(j.team, j.Model).Observe(j.emitted)
-		p.models[j.Model].Observe(j.emitted)
+		p.lengthsOf(j.team, j.Model).Observe(j.emitted)
+		p.modelLengths[j.Model].Observe(j.emitted)
 	}
 }
 
-func (p *Forecasting) unpark(j *Job) {
+// removePaused removes j from the paused jobs; the caller sets its next state.
+func (p *Forecasting) removePaused(j *Job) {
 	p.paused = slices.DeleteFunc(p.paused, func(o *Job) bool { return o == j })
 	p.stats.Queued--
 }
@@ -274,26 +288,27 @@
 // Tick implements Policy.
 func (p *Forecasting) Tick(now time.Duration, acts []Action) []Action {
 	p.now = now
-	acts = p.giveUp(acts)
-	acts = p.relieve(acts)
-	acts = p.resume(acts)
-	acts = p.admit(acts)
-	p.forget()
+	acts = p.expireQueued(acts)
+	acts = p.pauseForMemory(acts)
+	acts = p.resumePaused(acts)
+	acts = p.admitQueued(acts)
+	p.expireShares()
 	return acts
 }
 
-const forgetEvery = time.Second
+const shareExpiryInterval = time.Second
 
-// forget drops the share of teams that have had no work for long.
-func (p *Forecasting) forget() {
-	if p.now-p.forgot < forgetEvery {
+// expireShares removes the shares of teams that have had no job for longer than
+// shareRetention.
+func (p *Forecasting) expireShares() {
+	if p.now-p.sharesExpiredAt < shareExpiryInterval {
 		return
 	}
-	p.forgot = p.now
+	p.sharesExpiredAt = p.now
 	for _, t := range p.teams {
-		if t.active && t.running == 0 && len(t.queue) == 0 && p.now-t.seen > shareMemory {
-			t.active = false
-			p.weights -= t.weight
+		if t.hasShare && t.running == 0 && len(t.queue) == 0 && p.now-t.lastActive > shareRetention {
+			t.hasShare = false
+			p.totalWeight -= t.weight
 		}
 	}
 }
@@ -301,7 +316,7 @@
 // Stats implements Policy.
 func (p *Forecasting) Stats() Stats {
 	s := p.stats
-	s.MemoryUsed = p.mem.used
-	s.MemoryForecast = int(p.mem.peak(&contribution{}, p.cfg.Sigmas))
+	s.MemoryUsed = p.batch.used
+	s.MemoryForecast = int(p.batch.peak(&contribution{}, p.cfg.Sigmas))
 	return s
 }
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -9,88 +9,92 @@
 	"pgregory.net/rapid"
 )
 
-// world drives a policy with jobs of drawn lengths and checks its counts.
-type world struct {
-	p      *Forecasting
-	now    time.Duration
+// simEngine simulates an engine that runs the jobs of a policy, and compares the
+// policy's stats with its own counts after each step.
+type simEngine struct {
+	p   *Forecasting
+	now time.Duration
+	// queued and active are the emitted tokens of waiting and running jobs.
 	queued map[*Job]int
 	active map[*Job]int
+	// length is the output length of each job in tokens.
 	length map[*Job]int
 	ended  int
 }
 
-func newWorld(cfg Config) *world {
-	return &world{p: NewForecasting(cfg), queued: map[*Job]int{}, active: map[*Job]int{}, length: map[*Job]int{}}
+func newSimEngine(cfg Config) *simEngine {
+	return &simEngine{p: NewForecasting(cfg), queued: map[*Job]int{}, active: map[*Job]int{}, length: map[*Job]int{}}
 }
 
-func (w *world) offer(j *Job, length int) {
-	w.length[j] = length
-	if w.p.Offer(w.now, j).Verdict == Refuse {
-		w.ended++
+func (e *simEngine) offer(j *Job, length int) {
+	e.length[j] = length
+	if e.p.Offer(e.now, j).Verdict == Refuse {
+		e.ended++
 		return
 	}
-	w.queued[j] = j.EmittedBefore
+	e.queued[j] = j.EmittedBefore
 }
 
-// step lets time pass, every active job emit n tokens, and the policy act.
-func (w *world) step(t require.TestingT, n int) {
-	w.now += 25 * time.Millisecond * time.Duration(n)
-	for j, emitted := range w.active {
-		emitted = min(emitted+n, w.length[j])
-		w.active[j] = emitted
-		w.p.Progress(j, emitted)
-		if emitted == w.length[j] {
-			delete(w.active, j)
-			w.p.Finish(w.now, j, true)
-			w.ended++
+// step advances time, emits n tokens for each active job and carries out the
+// policy's actions.
+func (e *simEngine) step(t require.TestingT, n int) {
+	e.now += 25 * time.Millisecond * time.Duration(n)
+	for j, emitted := range e.active {
+		emitted = min(emitted+n, e.length[j])
+		e.active[j] = emitted
+		e.p.Progress(j, emitted)
+		if emitted == e.length[j] {
+			delete(e.active, j)
+			e.p.Finish(e.now, j, true)
+			e.ended++
 		}
 	}
-	for _, act := range w.p.Tick(w.now, nil) {
+	for _, act := range e.p.Tick(e.now, nil) {
 		switch act.Verb {
 		case Start:
-			emitted, ok := w.queued[act.Job]
-			require.True(t, ok, "started a job that does not wait")
-			delete(w.queued, act.Job)
-			w.active[act.Job] = emitted
+			emitted, ok := e.queued[act.Job]
+			require.True(t, ok, "started a job that is not waiting")
+			delete(e.queued, act.Job)
+			e.active[act.Job] = emitted
 		case Pause:
-			emitted, ok := w.active[act.Job]
-			require.True(t, ok, "paused a job that does not run")
-			delete(w.active, act.Job)
-			w.queued[act.Job] = emitted
+			emitted, ok := e.active[act.Job]
+			require.True(t, ok, "paused a job that is not running")
+			delete(e.active, act.Job)
+			e.queued[act.Job] = emitted
 		case Expire:
-			_, ok := w.queued[act.Job]
-			require.True(t, ok, "gave up a job that does not wait")
-			require.Zero(t, act.Job.started, "gave up a job that has run")
+			_, ok := e.queued[act.Job]
+			require.True(t, ok, "expired a job that is not waiting")
+			require.Zero(t, act.Job.startedAt, "expired a job that has run")
 			require.NotZero(t, act.RetryAfter)
-			delete(w.queued, act.Job)
-			w.ended++
+			delete(e.queued, act.Job)
+			e.ended++
 		}
 	}
-	w.check(t)
+	e.checkStats(t)
 }
 
-func (w *world) check(t require.TestingT) {
+func (e *simEngine) checkStats(t require.TestingT) {
 	used := 0
-	for j, emitted := range w.active {
+	for j, emitted := range e.active {
 		used += j.PromptTokens + emitted
 	}
-	s := w.p.Stats()
-	require.Equal(t, len(w.active), s.Running)
-	require.Equal(t, len(w.queued), s.Queued)
+	s := e.p.Stats()
+	require.Equal(t, len(e.active), s.Running)
+	require.Equal(t, len(e.queued), s.Queued)
 	require.Equal(t, used, s.MemoryUsed)
 }
 
-// Jobs of any size come from any team at any time. The policy's counts must match
-// the engine's, no job may start, pause or be given up out of turn, and once
-// arrivals end every job must end too: nobody starves.
+// Teams offer jobs of random sizes at random times. The policy's counts must match
+// the engine's, an action must fit the state of its job, and once arrivals stop,
+// every job must end: no job starves.
 func TestForecastingProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(Config{Capacity: 4000, MaxBatch: 32, MaxWait: 5 * time.Second})
+		e := newSimEngine(Config{Capacity: 4000, MaxBatch: 32, MaxWait: 5 * time.Second})
 		offered := 0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			for range rapid.IntRange(0, 3).Draw(t, "arrivals") {
 				offered++
-				w.offer(&Job{
+				e.offer(&Job{
 					ID:           fmt.Sprint(offered),
 					Team:         rapid.SampledFrom([]string{"a", "b", "large"}).Draw(t, "team"),
 					Model:        "m",
@@ -98,49 +102,50 @@
 					PromptTokens: rapid.IntRange(1, 1500).Draw(t, "prompt"),
 				}, rapid.IntRange(1, 3000).Draw(t, "length"))
 			}
-			w.step(t, rapid.IntRange(1, 40).Draw(t, "tokens"))
+			e.step(t, rapid.IntRange(1, 40).Draw(t, "tokens"))
 		}
-		for i := 0; len(w.active)+len(w.queued) > 0; i++ {
-			require.Less(t, i, 20000, "jobs starve: %d run, %d wait", len(w.active), len(w.queued))
-			w.step(t, 10)
+		for i := 0; len(e.active)+len(e.queued) > 0; i++ {
+			require.Less(t, i, 20000, "jobs starve: %d running, %d waiting", len(e.active), len(e.queued))
+			e.step(t, 10)
 		}
-		require.Equal(t, offered, w.ended)
+		require.Equal(t, offered, e.ended)
 	})
 }
 
-// A large team has taken all memory by borrowing. A small team's request must
-// start at once, from the reserve.
+// A large team has borrowed all memory except the reserve. A request of a small
+// team must start at once, in the reserve.
 func TestSmallTeamNeverWaitsForABorrower(t *testing.T) {
-	w := newWorld(Config{Capacity: 40000, MaxWait: time.Minute})
-	w.offer(&Job{ID: "warm", Team: "small", Model: "m", Weight: 1, PromptTokens: 100}, 50)
+	e := newSimEngine(Config{Capacity: 40000, MaxWait: time.Minute})
+	e.offer(&Job{ID: "warm", Team: "small", Model: "m", Weight: 1, PromptTokens: 100}, 50)
 	for i := range 300 {
-		w.offer(&Job{ID: fmt.Sprint(i), Team: "large", Model: "m", Weight: 1, PromptTokens: 200}, 400+i)
-		w.step(t, 5)
+		e.offer(&Job{ID: fmt.Sprint(i), Team: "large", Model: "m", Weight: 1, PromptTokens: 200}, 400+i)
+		e.step(t, 5)
 	}
-	require.NotEmpty(t, w.queued, "the test needs a full engine to say anything")
+	require.NotEmpty(t, e.queued, "the engine must be full")
 	small := &Job{ID: "small", Team: "small", Model: "m", Weight: 1, PromptTokens: 100}
-	w.offer(small, 50)
-	w.step(t, 1)
-	require.Contains(t, w.active, small)
+	e.offer(small, 50)
+	e.step(t, 1)
+	require.Contains(t, e.active, small)
 }
 
+// BenchmarkDecision measures an offer, a tick and an end with a full batch.
 func BenchmarkDecision(b *testing.B) {
 	for _, teams := range []int{10, 1500} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			p := NewForecasting(Config{Capacity: 1 << 20, MaxBatch: 257})
-			job := func(i int) *Job {
+			newJob := func(i int) *Job {
 				return &Job{ID: "j", Team: fmt.Sprint("t", i%teams), Model: "m", Weight: 1, PromptTokens: 100}
 			}
 			for i := range teams {
-				j := job(i)
+				j := newJob(i)
 				p.Offer(0, j)
 				p.Finish(0, j, true)
 			}
 			for i := range 256 {
-				p.Offer(0, job(i))
+				p.Offer(0, newJob(i))
 			}
 			p.Tick(0, nil)
-			j := job(1)
+			j := newJob(1)
 			acts := make([]Action, 0, 4)
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -153,6 +158,7 @@
 	}
 }
 
+// BenchmarkToken measures the progress of one token in a batch of 256 jobs.
 func BenchmarkToken(b *testing.B) {
 	p := NewForecasting(Config{Capacity: 1 << 20, MaxBatch: 257})
 	jobs := make([]*Job, 256)
--- a/sched/memory.go
+++ b/sched/memory.go
@@ -6,67 +6,72 @@
 	"kingcupplank.example/kingcup/forecast"
 )
 
-// horizons are the distances ahead, in tokens, at which the batch's memory is
-// forecast. Running streams advance at the same rate, so a distance in tokens
-// is the same moment for all.
+// horizons are the distances ahead, in tokens, for which the memory of the batch
+// is forecast. Running streams advance at the same rate, so a distance in tokens
+// is the same moment for all of them.
 var horizons = [...]float64{1, 64, 192, 512, 1024, 2048, 4096, 8192}
 
 const numHorizons = len(horizons)
 
-// shareHorizon is the horizon by which a team's use is compared to its share.
+// shareHorizon is the index in horizons at which the use of a team is compared
+// with its share.
 const shareHorizon = 1
 
-// refreshEvery is how many tokens a stream may advance before its contribution
-// is computed anew.
-const refreshEvery = 32
+// refreshTokens is the number of tokens that a stream may emit before its
+// contribution is computed again.
+const refreshTokens = 32
 
-// contribution is what one stream adds to the forecast of the batch.
+// contribution is the memory that one stream adds to the forecast of the batch,
+// in tokens at each horizon.
 type contribution struct {
 	mean, variance [numHorizons]float64
-	at             int
+	// emitted is the stream's token count for which this was computed.
+	emitted int
 }
 
-// memory is the forecast of a batch: sums over its streams at each horizon.
-type memory struct {
+// batchForecast is the memory of a batch in tokens: used now, and the sum of its
+// contributions at each horizon.
+type batchForecast struct {
 	used           int
 	mean, variance [numHorizons]float64
 }
 
-func (m *memory) add(c *contribution, sign float64) {
+// add adds c if sign is 1 and subtracts it if sign is -1.
+func (b *batchForecast) add(c *contribution, sign float64) {
 	for k := range horizons {
-		m.mean[k] += sign * c.mean[k]
-		m.variance[k] += sign * c.variance[k]
+		b.mean[k] += sign * c.mean[k]
+		b.variance[k] += sign * c.variance[k]
 	}
 }
 
-// peak is the forecast peak with extra on top, at sigmas standard deviations.
-func (m *memory) peak(extra *contribution, sigmas float64) float64 {
-	worst := 0.0
+// peak returns the highest forecast over all horizons with extra added, at
+// sigmas standard deviations above the mean.
+func (b *batchForecast) peak(extra *contribution, sigmas float64) float64 {
+	highest := 0.0
 	for k := range horizons {
-		mean := m.mean[k] + extra.mean[k]
-		variance := max(0, m.variance[k]+extra.variance[k])
-		worst = max(worst, mean+sigmas*math.Sqrt(variance))
+		mean := b.mean[k] + extra.mean[k]
+		variance := max(0, b.variance[k]+extra.variance[k])
+		highest = max(highest, mean+sigmas*math.Sqrt(variance))
 	}
-	return worst
+	return highest
 }
 
-// contribute computes what a stream with prompt and emitted tokens adds. A
-// stream that is still alive at a horizon holds its whole context then; one
-// that has ended holds nothing.
-func contribute(l *forecast.Lengths, prompt, emitted, maxTokens int) contribution {
-	c := contribution{at: emitted}
-	now := l.Survival(float64(emitted))
+// newContribution computes the contribution of a stream. At each horizon the
+// stream uses its whole context if it still runs, and nothing if it has ended.
+func newContribution(l *forecast.Lengths, prompt, emitted, maxTokens int) contribution {
+	c := contribution{emitted: emitted}
+	reachedNow := l.Survival(float64(emitted))
 	for k, ahead := range horizons {
 		if maxTokens > 0 && emitted+int(ahead) > maxTokens {
 			break
 		}
-		alive := 0.5
-		if now > 0 {
-			alive = min(1, l.Survival(float64(emitted)+ahead)/now)
+		stillRuns := 0.5
+		if reachedNow > 0 {
+			stillRuns = min(1, l.Survival(float64(emitted)+ahead)/reachedNow)
 		}
 		size := float64(prompt+emitted) + ahead
-		c.mean[k] = alive * size
-		c.variance[k] = alive * (1 - alive) * size * size
+		c.mean[k] = stillRuns * size
+		c.variance[k] = stillRuns * (1 - stillRuns) * size * size
 	}
 	return c
 }
--- a/sched/rate.go
+++ b/sched/rate.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// rate is an exponentially decayed rate per second.
-type rate struct {
-	sum  float64
-	last time.Duration
+// decayingRate is a rate per second in which older amounts count exponentially
+// less.
+type decayingRate struct {
+	sum       float64
+	updatedAt time.Duration
 }
 
-const rateMemory = 10 * time.Second
+// rateTimeConstant is the age at which an amount counts 1/e.
+const rateTimeConstant = 10 * time.Second
 
-func (r *rate) add(now time.Duration, n float64) {
+func (r *decayingRate) add(now time.Duration, amount float64) {
 	r.decay(now)
-	r.sum += n
+	r.sum += amount
 }
 
-func (r *rate) decay(now time.Duration) {
-	if now > r.last {
-		r.sum *= math.Exp(-float64(now-r.last) / float64(rateMemory))
-		r.last = now
+func (r *decayingRate) decay(now time.Duration) {
+	if now > r.updatedAt {
+		r.sum *= math.Exp(-float64(now-r.updatedAt) / float64(rateTimeConstant))
+		r.updatedAt = now
 	}
 }
 
-func (r *rate) value(now time.Duration) float64 {
+func (r *decayingRate) perSecond(now time.Duration) float64 {
 	r.decay(now)
-	return r.sum / rateMemory.Seconds()
+	return r.sum / rateTimeConstant.Seconds()
 }
--- a/sched/refuse.go
+++ b/sched/refuse.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// wait forecasts how long j would wait: what its team has queued, over the
-// part of the engine's drain that falls to the team.
-func (p *Forecasting) wait(t *team, j *Job) time.Duration {
+// estimateWait estimates how long j would wait for its start: the queued memory
+// of its team divided by the team's part of the rate at which running jobs free
+// memory.
+func (p *Forecasting) estimateWait(t *teamState, j *Job) time.Duration {
 	if len(t.queue) == 0 {
 		return 0
 	}
-	perSecond := p.drain.value(p.now)
-	if perSecond <= 0 {
+	freedPerSecond := p.freed.perSecond(p.now)
+	if freedPerSecond <= 0 {
 		return 0
 	}
-	part := t.weight / p.contending(t)
-	seconds := (t.queuedMem + j.contrib.mean[shareHorizon]) / (perSecond * part)
+	part := t.weight / p.contendingWeight(t)
+	seconds := (t.queuedTokens + j.contrib.mean[shareHorizon]) / (freedPerSecond * part)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// contending is the weight of the teams that wait for memory, t among them.
-func (p *Forecasting) contending(t *team) float64 {
+// contendingWeight returns the total weight of t and of the other teams that
+// wait for memory.
+func (p *Forecasting) contendingWeight(t *teamState) float64 {
 	sum := t.weight
-	for _, o := range p.waiting {
+	for _, o := range p.waitingTeams {
 		if o != t {
 			sum += o.weight
 		}
@@ -28,8 +30,8 @@
 	return sum
 }
 
-// retryAfter spreads the returns of refused callers over half the wait, by a
-// hash of the request, so that they do not come back at one moment.
+// retryAfter adds jitter of up to half the wait, derived from a hash of the
+// request's id, so that refused callers do not all retry at the same moment.
 func (p *Forecasting) retryAfter(j *Job, wait time.Duration) time.Duration {
 	const spread = 1024
 	h := uint32(2166136261)
@@ -40,21 +42,23 @@
 	return wait + wait/2*time.Duration(h%spread)/spread
 }
 
+// maxRetryAfter limits the wait before retryAfter adds jitter to it.
 const maxRetryAfter = time.Minute
 
-// giveUp answers jobs that have waited too long, at once and never later.
-func (p *Forecasting) giveUp(acts []Action) []Action {
+// expireQueued removes queued jobs that have waited longer than MaxWait. Urgent
+// jobs do not expire.
+func (p *Forecasting) expireQueued(acts []Action) []Action {
 	if p.cfg.Disabled.Refusal {
 		return acts
 	}
-	for i := len(p.waiting) - 1; i >= 0; i-- {
-		t := p.waiting[i]
+	for i := len(p.waitingTeams) - 1; i >= 0; i-- {
+		t := p.waitingTeams[i]
 		for len(t.queue) > 0 {
 			j := t.queue[0]
-			if j.Urgent || p.now-j.arrived <= p.cfg.MaxWait {
+			if j.Urgent || p.now-j.arrivedAt <= p.cfg.MaxWait {
 				break
 			}
-			wait := p.wait(t, j)
+			wait := p.estimateWait(t, j)
 			p.dequeue(t, j)
 			j.state = stateDone
 			acts = append(acts, Action{Verb: Expire, Job: j, RetryAfter: p.retryAfter(j, max(wait, time.Second))})
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -1,53 +1,55 @@
-// Package sched decides, for one backend server, which requests run, wait, are
-// refused or are paused. Policies are pure: time and events go in, decisions
-// and actions come out, and a policy has no clock, goroutine, I/O or random
-// source of its own. A Policy is for one goroutine at a time.
+// Package sched is the request scheduler of one backend server. A Policy decides
+// which requests run, wait, are refused or are paused. Policies are
+// deterministic: they take times and events as input and return decisions and
+// actions, and have no clock, goroutine, I/O or random source of their own. A
+// Policy must not be used by two goroutines at the same time.
 package sched
 
 import "time"
 
 // Job is one request at a backend server. The caller sets the exported fields
-// before Offer and changes none of them later.
+// before Offer or Adopt and does not change them later.
 type Job struct {
 	ID     string
 	Team   string
 	Model  string
 	Weight uint32
-	// Level is the priority class; higher is served first.
+	// Level is the priority level; higher levels are served first.
 	Level uint32
-	// PromptTokens and MaxTokens are in tokens; MaxTokens 0 is unbounded.
+	// PromptTokens and MaxTokens are in tokens; MaxTokens 0 means no limit.
 	PromptTokens int
 	MaxTokens    int
-	// EmittedBefore is the number of tokens of an earlier attempt.
+	// EmittedBefore is the number of tokens emitted before Offer or Adopt.
 	EmittedBefore int
-	// Urgent jobs continue a stream whose caller already got tokens.
+	// Urgent jobs continue a stream whose caller has already received tokens.
 	Urgent bool
 
-	state   state
-	arrived time.Duration
-	started time.Duration
+	state     jobState
+	arrivedAt time.Duration
+	startedAt time.Duration
 	// pausedAt is when the job was last paused.
-	pausedAt time.Duration
-	pauses   int
-	emitted  int
-	team     *team
-	contrib  contribution
+	pausedAt   time.Duration
+	pauseCount int
+	emitted    int
+	team       *teamState
+	contrib    contribution
 }
 
-// ContextTokens is the number of tokens of memory that the job holds when it runs.
+// ContextTokens returns the number of tokens of memory that the job uses while
+// it runs.
 func (j *Job) ContextTokens() int { return j.PromptTokens + j.emitted }
 
-type state uint8
+type jobState uint8
 
 const (
-	stateNew state = iota
+	stateNew jobState = iota
 	stateQueued
 	stateRunning
 	statePaused
 	stateDone
 )
 
-// Running reports whether the job holds memory at the engine.
+// Running reports whether the job uses memory at the engine.
 func (j *Job) Running() bool { return j.state == stateRunning }
 
 // Waiting reports whether the job is queued or paused.
@@ -58,63 +60,67 @@
 
 // The verdicts.
 const (
-	// Queue means that a later Start or Refuse action follows.
+	// Queue means that a later Start or Expire action follows.
 	Queue Verdict = iota
-	// Refuse means that the job is forgotten; it did not run.
+	// Refuse means that the policy does not keep the job; it did not run.
 	Refuse
 )
 
 // Decision answers Offer.
 type Decision struct {
 	Verdict Verdict
-	// RetryAfter says when a refused caller should come back.
+	// RetryAfter is how long the caller of a refused job should wait before a
+	// retry.
 	RetryAfter time.Duration
 }
 
-// Verb is what an Action asks for.
+// Verb is the kind of an Action.
 type Verb uint8
 
 // The verbs.
 const (
-	// Start the job, or continue it if it was paused.
+	// Start the job, or resume it if it was paused.
 	Start Verb = iota
-	// Pause the job: take it off the engine and keep its tokens.
+	// Pause the job: remove it from the engine and keep its tokens.
 	Pause
-	// Expire answers a job that never ran as not run.
+	// Expire the job: fail it as not run, because it has waited too long.
 	Expire
 )
 
-// Action is one thing for the caller to carry out.
+// Action is one step for the caller to carry out. RetryAfter is set for Expire.
 type Action struct {
 	Verb       Verb
 	Job        *Job
 	RetryAfter time.Duration
 }
 
-// Stats are counts and gauges of a policy.
+// Stats are counters and gauges of a policy.
 type Stats struct {
+	// Queued includes paused jobs.
 	Running, Queued int
 	// MemoryUsed and MemoryForecast are in tokens; the forecast is the peak
-	// of the running batch at the policy's quantile.
+	// memory of the running batch at the policy's safety margin.
 	MemoryUsed, MemoryForecast int
 	Preemptions                uint64
 }
 
-// Policy decides for one backend server.
+// Policy schedules the requests of one backend server. Times are measured from
+// any fixed start and never decrease.
 type Policy interface {
-	// Offer takes a new job at time now.
+	// Offer submits a new job at time now.
 	Offer(now time.Duration, j *Job) Decision
-	// Adopt takes a job that already runs at the engine.
+	// Adopt submits a job that already runs at the engine.
 	Adopt(now time.Duration, j *Job)
-	// Progress says that j has emitted tokens in all.
+	// Progress reports the total number of tokens that j has emitted.
 	Progress(j *Job, emitted int)
-	// Evicted says that the engine itself took j off its batch; the policy
-	// asks for a Start when j may continue.
+	// Evicted reports that the engine itself removed j from its batch. The
+	// policy returns a Start action when j may continue.
 	Evicted(now time.Duration, j *Job)
-	// Finish says that j has left, complete or not.
+	// Finish reports that j has ended; complete means that its stream ended by
+	// itself.
 	Finish(now time.Duration, j *Job, complete bool)
 	// Tick appends the actions due at now to acts.
 	Tick(now time.Duration, acts []Action) []Action
-	// Stats are the current gauges.
+	// Stats returns the current counters and gauges.
 	Stats() Stats
 }
--- a/sched/victims.go
+++ b/sched/victims.go
@@ -2,56 +2,59 @@
 
 import "math"
 
-// Margins of memory, as fractions of capacity. Pausing begins when use is
-// above high and goes on until it is below low, so that one shortage does not
-// cause a pause at every step.
+// Watermarks of memory use, as fractions of capacity. Streams are paused when
+// use exceeds highWatermark, until it is below lowWatermark. The distance
+// between the two keeps one shortage from causing a pause at every step.
 const (
-	high = 0.985
-	low  = 0.96
-	// Paused streams return up to resumeMark. At the low mark itself one seed
-	// of twenty fell into pausing and returning by turns.
-	resumeMark = 0.945
+	highWatermark = 0.985
+	lowWatermark  = 0.96
+	// Paused streams resume while the forecast stays below resumeWatermark. At
+	// lowWatermark, one simulation seed of twenty alternated between pausing
+	// and resuming.
+	resumeWatermark = 0.945
 )
 
-// relieve pauses streams when the engine is about to run out of memory, before
-// the engine itself picks a victim without regard to shares.
-func (p *Forecasting) relieve(acts []Action) []Action {
-	if p.cfg.Disabled.Preemption || float64(p.mem.used+len(p.running)) <= high*float64(p.cfg.Capacity) {
+// pauseForMemory pauses streams when the engine is about to run out of memory.
+// The engine would otherwise evict a stream by itself, without regard to shares.
+func (p *Forecasting) pauseForMemory(acts []Action) []Action {
+	if p.cfg.Disabled.Preemption || float64(p.batch.used+len(p.running)) <= highWatermark*float64(p.cfg.Capacity) {
 		return acts
 	}
-	for float64(p.mem.used+len(p.running)) > low*float64(p.cfg.Capacity) && len(p.running) > 1 {
-		j := p.victim()
-		p.leave(j)
-		p.park(j)
+	for float64(p.batch.used+len(p.running)) > lowWatermark*float64(p.cfg.Capacity) && len(p.running) > 1 {
+		j := p.selectVictim()
+		p.removeRunning(j)
+		p.markPaused(j)
 		acts = append(acts, Action{Verb: Pause, Job: j})
 	}
 	return acts
 }
 
-// victim is the stream whose pause costs least: of the team most over its
-// share, with little work to redo, not near its end and not paused before.
-func (p *Forecasting) victim() *Job {
+// selectVictim returns the running stream with the lowest pauseCost.
+func (p *Forecasting) selectVictim() *Job {
 	best, lowest := p.running[0], math.Inf(1)
 	for _, j := range p.running {
-		if c := p.cost(j); c < lowest {
+		if c := p.pauseCost(j); c < lowest {
 			best, lowest = j, c
 		}
 	}
 	return best
 }
 
-// Weights of the parts of a victim's cost.
+// Weights of the terms of pauseCost.
 const (
-	costOver   = 4.0
-	costRedo   = 1.0
-	costEnding = 2.0
-	costAgain  = 3.0
+	weightOverShare   = 4.0
+	weightRecompute   = 1.0
+	weightNearEnd     = 2.0
+	weightPausedAgain = 3.0
 )
 
-func (p *Forecasting) cost(j *Job) float64 {
-	cost := -costOver * min(3, p.over(j.team, 0))
-	cost += costRedo * float64(j.ContextTokens()) / (float64(p.cfg.Capacity) / 16)
-	left := p.lengths(j.team, j.Model).Remaining(float64(j.emitted))
-	cost += costEnding * float64(j.emitted+1) / (float64(j.emitted+1) + left)
-	return cost + costAgain*float64(j.pauses)
+// pauseCost is lower the more the team of j exceeds its share, the less context
+// has to be computed again, the farther j is from its expected end and the fewer
+// times it was paused before.
+func (p *Forecasting) pauseCost(j *Job) float64 {
+	cost := -weightOverShare * min(3, p.overShare(j.team, 0))
+	cost += weightRecompute * float64(j.ContextTokens()) / (float64(p.cfg.Capacity) / 16)
+	remaining := p.lengthsOf(j.team, j.Model).Remaining(float64(j.emitted))
+	cost += weightNearEnd * float64(j.emitted+1) / (float64(j.emitted+1) + remaining)
+	return cost + weightPausedAgain*float64(j.pauseCount)
 }
