--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,9 @@
-// Package agent is the process beside a backend server and the only way to it.
-// It decides admission, order, memory and preemption, numbers and buffers
+// Package agent is the process beside a backend server, through which all of its
+// requests pass. It admits, orders and preempts requests, numbers and buffers
 // tokens, fences attempts and orders, and reports load.
 //
 // Lock order: Agent.mu, then a generation's stream.Buffer. Neither is held
-// across a call to the engine, a peer or the platform.
+// during a call to the engine, a peer or the platform.
 package agent
 
 import (
@@ -27,59 +27,70 @@
 	"kingcupplank.example/kingcup/sched"
 )
 
-// Config sets an Agent.
+// Config configures an Agent.
 type Config struct {
 	Identity wire.Identity
-	// BytesPerToken converts prompt bytes to tokens of memory.
+	// BytesPerToken is the assumed length of a token, by which the length of a
+	// prompt is converted to tokens of memory.
 	BytesPerToken int
-	// BufferBytes bounds the token text kept per generation.
+	// BufferBytes limits the token text that is kept per generation.
 	BufferBytes int
-	// OrphanGracePeriod is how long a generation runs on without a reader.
+	// OrphanGracePeriod is how long a generation without a reader runs before
+	// it is cancelled.
 	OrphanGracePeriod time.Duration
 	// RetentionPeriod is how long a finished generation can still be read.
 	RetentionPeriod time.Duration
-	// EngineGracePeriod is how long a lost engine is waited for.
+	// EngineGracePeriod is how long the agent tries to reach an engine again
+	// after losing it.
 	EngineGracePeriod time.Duration
-	// TickInterval is the period of scheduling decisions.
+	// TickInterval is the time between two scheduling decisions.
 	TickInterval time.Duration
-	Workers      int
-	Policy       sched.Config
+	// Workers is the number of goroutines that start and cancel streams.
+	Workers int
+	Policy  sched.Config
 	// Services are the names of the plain services behind this agent.
 	Services []string
 }
 
 // Agent is safe for concurrent use.
 type Agent struct {
-	cfg    Config
-	log    logrus.FieldLogger
-	engine engine.Engine
-	calls  engine.Service
-	sync   *confsync.Syncer
-	fence  *lease.Fence
-	pool   *workpool.Pool
+	cfg     Config
+	log     logrus.FieldLogger
+	engine  engine.Engine
+	service engine.Service
+	sync    *confsync.Syncer
+	fence   *lease.Fence
+	pool    *workpool.Pool
+	// epoch is the zero of the policy's clock.
 	epoch  time.Time
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	leaving  atomic.Bool
-	calling  atomic.Int64
-	resumes  bool
-	models   atomic.Pointer[engine.Status]
-	observer Observer
+	leaving     atomic.Bool
+	activeCalls atomic.Int64
+	// engineResumes is set if the engine can continue a generation from a
+	// prefix of its tokens.
+	engineResumes bool
+	engineStatus  atomic.Pointer[engine.Status]
+	observer      Observer
 
 	mu     sync.Mutex
 	policy sched.Policy
-	gens   map[string]*generation
-	jobs   map[*sched.Job]*generation
-	acts   []sched.Action
-	// open counts the streams of each team that have not ended.
-	open map[string]int
-	// relays counts open relays, which a drain waits for.
-	relays int
+	// generations are the generations by id, including finished ones that can
+	// still be read.
+	generations map[string]*generation
+	// scheduled are the generations whose job the policy keeps.
+	scheduled map[*sched.Job]*generation
+	acts      []sched.Action
+	// openByTeam counts the scheduled generations of each team.
+	openByTeam map[string]int
+	// openRelays counts the relays in progress, which a drain waits for.
+	openRelays int
 }
 
-// Deps are what an Agent needs from outside. Engine or Service may be nil.
+// Deps are the dependencies of an Agent. Engine, Service and Observer may be
+// nil.
 type Deps struct {
 	Engine   engine.Engine
 	Service  engine.Service
@@ -89,78 +100,83 @@
 	Observer Observer
 }
 
-// Observer is told of events for metrics. Methods must not block.
+// Observer records events as metrics. Its methods must not block.
 type Observer interface {
+	// Token records the time between a token and the one before it.
 	Token(team string, gap time.Duration)
+	// Preempted records that the policy has paused a stream.
 	Preempted(team string)
 }
 
-// New returns an agent that serves after Start.
+// New returns an agent; Start makes it ready to serve.
 func New(cfg Config, deps Deps) *Agent {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Agent{
-		cfg:      cfg,
-		log:      deps.Log,
-		engine:   deps.Engine,
-		calls:    deps.Service,
-		sync:     deps.Sync,
-		fence:    deps.Fence,
-		observer: deps.Observer,
-		pool:     workpool.New(cfg.Workers),
-		epoch:    time.Now(),
-		ctx:      ctx,
-		cancel:   cancel,
-		gens:     make(map[string]*generation),
-		jobs:     make(map[*sched.Job]*generation),
-		open:     make(map[string]int),
+		cfg:         cfg,
+		log:         deps.Log,
+		engine:      deps.Engine,
+		service:     deps.Service,
+		sync:        deps.Sync,
+		fence:       deps.Fence,
+		observer:    deps.Observer,
+		pool:        workpool.New(cfg.Workers),
+		epoch:       time.Now(),
+		ctx:         ctx,
+		cancel:      cancel,
+		generations: make(map[string]*generation),
+		scheduled:   make(map[*sched.Job]*generation),
+		openByTeam:  make(map[string]int),
 	}
 }
 
-// Start asks the engine what it is and what it still runs, and begins to
-// decide. It must return before the agent's address is served.
+// Start reads the engine's status, adopts the streams that it still runs, and
+// starts scheduling. It must return before the agent's address is served.
 func (a *Agent) Start(ctx context.Context) error {
 	if a.engine != nil {
-		if err := a.meetEngine(ctx); err != nil {
+		if err := a.initEngine(ctx); err != nil {
 			return err
 		}
-		a.wg.Go(a.tick)
-		a.wg.Go(a.refreshLoad)
+		a.wg.Go(a.tickLoop)
+		a.wg.Go(a.refreshStatusLoop)
 	}
-	a.wg.Go(a.sweep)
+	a.wg.Go(a.sweepLoop)
 	return nil
 }
 
-func (a *Agent) meetEngine(ctx context.Context) error {
-	load, err := a.firstLoad(ctx)
+// initEngine creates the policy from the engine's status and adopts its running
+// streams.
+func (a *Agent) initEngine(ctx context.Context) error {
+	status, err := a.waitForEngine(ctx)
 	if err != nil {
 		return err
 	}
-	a.models.Store(&load)
-	a.resumes = load.ResumesFromPrefix
+	a.engineStatus.Store(&status)
+	a.engineResumes = status.ResumesFromPrefix
 	cfg := a.cfg.Policy
 	if cfg.Capacity == 0 {
-		cfg.Capacity = int(load.MemoryCapacity)
+		cfg.Capacity = int(status.MemoryCapacity)
 	}
-	// A paused stream can only go on where the engine takes a prefix.
-	cfg.Disabled.Preemption = cfg.Disabled.Preemption || !a.resumes
+	// A paused stream can continue only at an engine that accepts a prefix.
+	cfg.Disabled.Preemption = cfg.Disabled.Preemption || !a.engineResumes
 	a.policy = sched.NewForecasting(cfg)
-	return a.adopt(ctx)
+	return a.adoptRunning(ctx)
 }
 
-// firstLoad waits for the engine, which may start later than its agent.
-func (a *Agent) firstLoad(ctx context.Context) (engine.Status, error) {
-	for backoff := firstBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		load, err := a.engine.Load(ctx)
+// waitForEngine returns the engine's first status. It retries until ctx ends,
+// because the engine may start later than its agent.
+func (a *Agent) waitForEngine(ctx context.Context) (engine.Status, error) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		status, err := a.engine.Load(ctx)
 		if err == nil {
-			return load, nil
+			return status, nil
 		}
 		if !wait.For(ctx, backoff) {
-			return engine.Status{}, errors.Wrap(err, "engine load")
+			return engine.Status{}, errors.Wrap(err, "read engine status")
 		}
 	}
 }
 
-// Close ends the agent at once, as the end of its process does.
+// Close stops the agent at once, without a drain.
 func (a *Agent) Close() {
 	a.cancel()
 	a.pool.Close()
@@ -171,14 +187,14 @@
 	return time.Since(a.epoch)
 }
 
-func (a *Agent) tick() {
+func (a *Agent) tickLoop() {
 	t := time.NewTicker(a.cfg.TickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			a.mu.Lock()
-			a.decide()
+			a.schedule()
 			a.mu.Unlock()
 		case <-a.ctx.Done():
 			return
@@ -186,16 +202,16 @@
 	}
 }
 
-const loadPeriod = time.Second
+const statusInterval = time.Second
 
-func (a *Agent) refreshLoad() {
-	t := time.NewTicker(loadPeriod)
+func (a *Agent) refreshStatusLoop() {
+	t := time.NewTicker(statusInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			if load, err := a.engine.Load(a.ctx); err == nil {
-				a.models.Store(&load)
+			if status, err := a.engine.Load(a.ctx); err == nil {
+				a.engineStatus.Store(&status)
 			}
 		case <-a.ctx.Done():
 			return
@@ -203,7 +219,7 @@
 	}
 }
 
-// Handle answers one stream of the inner protocol; it is a wire.Handler.
+// Handle serves one stream of the inner protocol; it is a wire.Handler.
 func (a *Agent) Handle(ctx context.Context, open *innerv1.Open, st *wire.Stream) {
 	switch kind := open.GetKind().(type) {
 	case *innerv1.Open_Start:
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -16,17 +16,18 @@
 	"kingcupplank.example/kingcup/sched"
 )
 
-// minWatchPeriod bounds how often a peer may ask for heartbeats.
-const minWatchPeriod = 50 * time.Millisecond
+// minHeartbeatInterval is the shortest heartbeat interval that a peer may
+// request.
+const minHeartbeatInterval = 50 * time.Millisecond
 
-// handleWatch sends heartbeats until the peer is gone.
+// handleWatch sends heartbeats until the peer disconnects.
 func (a *Agent) handleWatch(ctx context.Context, w *innerv1.Watch, st *wire.Stream) {
-	period := max(time.Duration(w.GetPeriodMs())*time.Millisecond, minWatchPeriod)
-	t := time.NewTicker(period)
+	interval := max(time.Duration(w.GetPeriodMs())*time.Millisecond, minHeartbeatInterval)
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
-		beat := &innerv1.Reply_Heartbeat{Heartbeat: a.heartbeat()}
-		if err := st.Send(&innerv1.Reply{Kind: beat}); err != nil {
+		heartbeat := &innerv1.Reply_Heartbeat{Heartbeat: a.heartbeat()}
+		if err := st.Send(&innerv1.Reply{Kind: heartbeat}); err != nil {
 			return
 		}
 		select {
@@ -48,19 +49,20 @@
 	if a.engine == nil {
 		return hb
 	}
-	load := a.models.Load()
-	s := a.Stats()
-	hb.Models = append(append([]string(nil), a.cfg.Services...), load.Models...)
-	hb.Adapters = load.Adapters
+	status := a.engineStatus.Load()
+	stats := a.Stats()
+	hb.Models = append(append([]string(nil), a.cfg.Services...), status.Models...)
+	hb.Adapters = status.Adapters
 	hb.Load = &innerv1.Load{
-		Running: uint32(s.Running), Queued: uint32(s.Queued),
-		MemoryUsed: uint64(s.MemoryUsed), MemoryCapacity: load.MemoryCapacity,
-		MemoryForecast: uint64(s.MemoryForecast), Preemptions: s.Preemptions + load.Preemptions,
+		Running: uint32(stats.Running), Queued: uint32(stats.Queued),
+		MemoryUsed: uint64(stats.MemoryUsed), MemoryCapacity: status.MemoryCapacity,
+		MemoryForecast: uint64(stats.MemoryForecast), Preemptions: stats.Preemptions + status.Preemptions,
 	}
 	return hb
 }
 
-// Stats are the policy's gauges.
+// Stats returns the policy's counters and gauges; without an engine they are
+// zero.
 func (a *Agent) Stats() sched.Stats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,25 +72,26 @@
 	return a.policy.Stats()
 }
 
-// handleOrder obeys an order that its fence admits.
+// handleOrder executes an order whose term the fence accepts.
 func (a *Agent) handleOrder(ctx context.Context, o *innerv1.Order, st *wire.Stream) {
 	deadline := time.Now().Add(time.Duration(o.GetDeadlineMs()) * time.Millisecond)
-	err := a.fence.Do(ctx, o.GetTerm(), func() error { return a.order(ctx, deadline, o) })
+	err := a.fence.Do(ctx, o.GetTerm(), func() error { return a.forwardOrder(ctx, deadline, o) })
 	if err != nil {
-		st.Fail(orderError(err))
+		st.Fail(orderFailure(err))
 		return
 	}
 	st.Send(&innerv1.Reply{Kind: &innerv1.Reply_OrderDone{OrderDone: &innerv1.OrderDone{Term: o.GetTerm()}}})
 }
 
-var errLate = errors.New("order came after its deadline")
+var errDeadlinePassed = errors.New("order came after its deadline")
 
-func (a *Agent) order(ctx context.Context, deadline time.Time, o *innerv1.Order) error {
+// forwardOrder sends o to the engine unless its deadline has passed.
+func (a *Agent) forwardOrder(ctx context.Context, deadline time.Time, o *innerv1.Order) error {
 	if a.engine == nil {
 		return errors.Wrap(engine.ErrRejected, "no model engine here")
 	}
 	if time.Now().After(deadline) {
-		return errLate
+		return errDeadlinePassed
 	}
 	r := o.GetRequest()
 	return a.engine.Order(ctx, engine.Order{
@@ -97,11 +100,13 @@
 	})
 }
 
-func orderError(err error) error {
+// orderFailure converts an error of an order to the failure that the peer
+// receives.
+func orderFailure(err error) error {
 	switch {
 	case errors.Is(err, lease.ErrStale), errors.Is(err, engine.ErrStaleTerm):
 		return failure.NotRun(kingcupv1.Reason_REASON_FENCED, 0, "%v", err)
-	case errors.Is(err, errLate):
+	case errors.Is(err, errDeadlinePassed):
 		return failure.NotRun(kingcupv1.Reason_REASON_DEADLINE, 0, "%v", err)
 	case errors.Is(err, engine.ErrRejected):
 		return failure.NotRun(kingcupv1.Reason_REASON_INVALID, 0, "%v", err)
@@ -111,8 +116,8 @@
 	return failure.NotRun(kingcupv1.Reason_REASON_STORE_UNAVAILABLE, time.Second, "%v", err)
 }
 
-// Leave ends new work: later requests are refused and queued ones that have
-// not started are handed back as not run, for another backend server.
+// Leave makes the agent refuse new requests. Queued requests that have not
+// started fail as not run, so that they can go to another backend server.
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	if a.leaving.Swap(true) {
@@ -120,13 +125,13 @@
 		return
 	}
 	var queued []*generation
-	for _, g := range a.gens {
-		if !g.dispatched && !g.left {
+	for _, g := range a.generations {
+		if !g.dispatched && !g.unscheduled {
 			queued = append(queued, g)
 		}
 	}
 	a.mu.Unlock()
-	a.log.Info("leaving")
+	a.log.Info("leaving: new requests are refused")
 	for _, g := range queued {
 		a.withdraw(g, kingcupv1.Reason_REASON_LEAVING, "backend server is leaving")
 	}
@@ -137,33 +142,35 @@
 	return a.leaving.Load()
 }
 
-// InProgress counts generations and calls that a drain waits for.
+// InProgress returns the number of relays, calls and undelivered generations
+// that a drain waits for.
 func (a *Agent) InProgress() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := int(a.calling.Load()) + a.relays
-	for _, g := range a.gens {
-		if g.buf.Readers() == 0 && !(g.buf.Closed() && g.delivered) && !a.expired(g) {
+	n := int(a.activeCalls.Load()) + a.openRelays
+	for _, g := range a.generations {
+		if g.buf.ReaderCount() == 0 && !(g.buf.Closed() && g.delivered) && !a.isOrphanExpired(g) {
 			n++
 		}
 	}
 	return n
 }
 
-// expired reports whether nobody has read g for the orphan grace.
-func (a *Agent) expired(g *generation) bool {
-	return g.idle && a.now()-g.idleSince > a.cfg.OrphanGracePeriod
+// isOrphanExpired reports whether g has had no reader for longer than the orphan
+// grace period.
+func (a *Agent) isOrphanExpired(g *generation) bool {
+	return g.unread && a.now()-g.unreadSince > a.cfg.OrphanGracePeriod
 }
 
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
-// Drain leaves and waits until every stream in progress has been delivered
-// whole, or ctx ends. It returns what was left in progress.
+// Drain calls Leave and waits until every stream in progress is completely
+// delivered, or ctx ends. It returns the number still in progress.
 func (a *Agent) Drain(ctx context.Context) int {
 	a.Leave()
 	for {
 		n := a.InProgress()
-		if n == 0 || !wait.For(ctx, drainPoll) {
+		if n == 0 || !wait.For(ctx, drainPollInterval) {
 			return n
 		}
 	}
--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -11,26 +11,28 @@
 	"kingcupplank.example/kingcup/stream"
 )
 
-// generation is one request at this backend server. Fields below the line are
-// guarded by Agent.mu.
+// generation is one generation request at this backend server. The first group
+// of fields does not change; the second is guarded by Agent.mu.
 type generation struct {
 	id  string
 	req engine.Request
 	buf *stream.Buffer
 	job *sched.Job
-	// once marks a request that must not be started again.
-	once bool
-	// asked is the attempt that the entry asked for; the agent's own attempts
-	// after the loss of its engine are above it.
-	asked uint32
+	// nonIdempotent marks a request that must not be started a second time.
+	nonIdempotent bool
+	// entryAttempt is the attempt that the entry requested. The agent uses
+	// higher attempts when it restarts the generation itself.
+	entryAttempt uint32
 
 	// ---
-	// dispatched is set before the engine is first called.
+	// dispatched is set before the first call to the engine.
 	dispatched bool
-	left       bool
-	idleSince  time.Duration
-	idle       bool
-	// delivered is set when a reader has seen the end.
+	// unscheduled is set when the policy no longer has the job.
+	unscheduled bool
+	// unread is set while there is no reader; unreadSince is when it was set.
+	unreadSince time.Duration
+	unread      bool
+	// delivered is set when a reader has received the end of the stream.
 	delivered bool
 }
 
@@ -46,9 +48,9 @@
 			Model: r.GetModel(), Adapter: r.GetAdapter(), Prompt: r.GetPrompt(),
 			MaxTokens: r.GetMaxTokens(), Priority: level,
 		},
-		buf:   stream.NewBuffer(a.cfg.BufferBytes),
-		once:  r.GetNonIdempotent(),
-		asked: start.GetAttempt(),
+		buf:           stream.NewBuffer(a.cfg.BufferBytes),
+		nonIdempotent: r.GetNonIdempotent(),
+		entryAttempt:  start.GetAttempt(),
 	}
 	g.buf.Preload(start.GetPrefix())
 	g.buf.BeginAttempt(start.GetAttempt())
@@ -63,23 +65,24 @@
 	return g
 }
 
-// accept registers a Start, or finds the generation that an earlier
-// copy of the same Start entered.
+// accept registers a new generation, or returns the one that an earlier copy of
+// the same Start has registered.
 func (a *Agent) accept(start *innerv1.Start) (*generation, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if g := a.gens[start.GetGenerationId()]; g != nil {
-		if start.GetAttempt() < g.asked {
+	if g := a.generations[start.GetGenerationId()]; g != nil {
+		if start.GetAttempt() < g.entryAttempt {
 			return nil, failure.NotRun(kingcupv1.Reason_REASON_FENCED, 0, "attempt %d is superseded", start.GetAttempt())
 		}
-		if start.GetAttempt() == g.asked || !g.buf.Failed() {
+		if start.GetAttempt() == g.entryAttempt || !g.buf.Failed() {
 			return g, nil
 		}
 	}
-	// The platform's list of leaving VMs lags by half a minute. The refusal
-	// here, under the lock that starts are made under, is what ends new work.
+	// Requests still arrive after Leave, because the platform's list of leaving
+	// VMs lags by half a minute. Leave sets the flag under the same lock, so no
+	// request is accepted after it.
 	if a.leaving.Load() {
-		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, leavingRetry, "backend server is leaving")
+		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, leavingRetryAfter, "backend server is leaving")
 	}
 	if a.engine == nil {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_UNKNOWN_MODEL, 0, "no model engine here")
@@ -87,150 +90,156 @@
 	if start.GetAttempt() == 0 || start.GetRequest() == nil {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "start without attempt or request")
 	}
-	if len(start.GetPrefix()) > 0 && !a.resumes {
+	if len(start.GetPrefix()) > 0 && !a.engineResumes {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_ENGINE_LOST, 0, "engine does not resume from a prefix")
 	}
 	team := start.GetRequest().GetTeam()
-	if most := a.sync.Replica().State().Team(team).GetMaxStreams(); most > 0 && a.open[team] >= int(most) {
-		return nil, failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, streamsRetry, "team %s has %d streams open here, its bound", team, most)
+	if limit := a.sync.Replica().State().Team(team).GetMaxStreams(); limit > 0 && a.openByTeam[team] >= int(limit) {
+		return nil, failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, streamLimitRetryAfter, "team %s has %d streams open here, its bound", team, limit)
 	}
 	g := a.newGeneration(start)
 	decision := a.policy.Offer(a.now(), g.job)
 	if decision.Verdict == sched.Refuse {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, decision.RetryAfter, "queue of team %s is too long", g.job.Team)
 	}
-	a.enter(g)
-	a.decide()
+	a.register(g)
+	a.schedule()
 	return g, nil
 }
 
 const (
-	leavingRetry = 100 * time.Millisecond
-	streamsRetry = time.Second
+	leavingRetryAfter     = 100 * time.Millisecond
+	streamLimitRetryAfter = time.Second
 )
 
-// enter registers g; a.mu is held.
-func (a *Agent) enter(g *generation) {
-	a.gens[g.id] = g
-	a.jobs[g.job] = g
-	a.open[g.req.Team]++
+// register adds g to the agent's generations. The caller holds a.mu.
+func (a *Agent) register(g *generation) {
+	a.generations[g.id] = g
+	a.scheduled[g.job] = g
+	a.openByTeam[g.req.Team]++
 }
 
-// decide takes the policy's actions; a.mu is held.
-func (a *Agent) decide() {
+// schedule carries out the actions that the policy returns now. The caller holds
+// a.mu.
+func (a *Agent) schedule() {
 	a.acts = a.policy.Tick(a.now(), a.acts[:0])
 	for _, act := range a.acts {
-		g := a.jobs[act.Job]
+		g := a.scheduled[act.Job]
 		switch act.Verb {
 		case sched.Start:
 			a.startJob(g)
 		case sched.Pause:
 			a.pauseJob(g)
 		case sched.Expire:
-			a.drop(g)
+			a.unschedule(g)
 			g.buf.Fail(failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, act.RetryAfter, "no room within the longest wait"))
 		}
 	}
 }
 
-// drop ends the part of g in scheduling; a.mu is held.
-func (a *Agent) drop(g *generation) {
-	g.left = true
-	delete(a.jobs, g.job)
-	a.open[g.req.Team]--
-	if a.open[g.req.Team] == 0 {
-		delete(a.open, g.req.Team)
+// unschedule removes g from the scheduled generations; it remains readable. The
+// caller holds a.mu.
+func (a *Agent) unschedule(g *generation) {
+	g.unscheduled = true
+	delete(a.scheduled, g.job)
+	a.openByTeam[g.req.Team]--
+	if a.openByTeam[g.req.Team] == 0 {
+		delete(a.openByTeam, g.req.Team)
 	}
 }
 
-// leave ends g's part in the policy once.
-func (a *Agent) leave(g *generation, complete bool) {
+// finish unschedules g and reports its end to the policy. It does nothing if g
+// is already unscheduled.
+func (a *Agent) finish(g *generation, complete bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if g.left {
+	if g.unscheduled {
 		return
 	}
-	a.drop(g)
+	a.unschedule(g)
 	a.policy.Finish(a.now(), g.job, complete)
-	a.decide()
+	a.schedule()
 }
 
-// withdraw takes g back if the engine has not been called for it, and reports
-// whether it did. After true, g certainly does not run.
+// withdraw cancels g if it has not been sent to the engine, and reports whether
+// it did. If it returns true, g has not run and never will.
 func (a *Agent) withdraw(g *generation, reason kingcupv1.Reason, detail string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	// startJob sets dispatched under this lock before the engine is called, so
-	// "not run" can't be said of a request whose start is under way.
-	if g.dispatched || g.left {
+	// startJob sets dispatched under this lock before it calls the engine, so a
+	// request whose start is in flight is never reported as not run.
+	if g.dispatched || g.unscheduled {
 		return false
 	}
-	a.drop(g)
+	a.unschedule(g)
 	a.policy.Finish(a.now(), g.job, false)
-	g.buf.Fail(failure.NotRun(reason, leavingRetry, "%s", detail))
-	a.decide()
+	g.buf.Fail(failure.NotRun(reason, leavingRetryAfter, "%s", detail))
+	a.schedule()
 	return true
 }
 
+// find returns the generation with an id if it belongs to team, or nil.
 func (a *Agent) find(id, team string) *generation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g := a.gens[id]
+	g := a.generations[id]
 	if g == nil || g.req.Team != team {
 		return nil
 	}
 	return g
 }
 
-const sweepEvery = 500 * time.Millisecond
+const sweepInterval = 500 * time.Millisecond
 
-// sweep ends generations that nobody reads and forgets finished ones.
-func (a *Agent) sweep() {
-	t := time.NewTicker(sweepEvery)
+func (a *Agent) sweepLoop() {
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			a.sweepOnce()
+			a.sweep()
 		case <-a.ctx.Done():
 			return
 		}
 	}
 }
 
-func (a *Agent) sweepOnce() {
+// sweep cancels generations without a reader after the orphan grace period and
+// deletes finished ones after the retention period.
+func (a *Agent) sweep() {
 	var orphans []*generation
 	a.mu.Lock()
 	now := a.now()
-	for id, g := range a.gens {
-		if g.buf.Readers() > 0 {
-			g.idle = false
+	for id, g := range a.generations {
+		if g.buf.ReaderCount() > 0 {
+			g.unread = false
 			continue
 		}
-		if !g.idle {
-			g.idle, g.idleSince = true, now
+		if !g.unread {
+			g.unread, g.unreadSince = true, now
 		}
 		closed := g.buf.Closed()
-		if closed && now-g.idleSince > a.cfg.RetentionPeriod {
-			delete(a.gens, id)
+		if closed && now-g.unreadSince > a.cfg.RetentionPeriod {
+			delete(a.generations, id)
 		}
-		if !closed && now-g.idleSince > a.cfg.OrphanGracePeriod {
+		if !closed && now-g.unreadSince > a.cfg.OrphanGracePeriod {
 			orphans = append(orphans, g)
 		}
 	}
 	a.mu.Unlock()
 	for _, g := range orphans {
-		a.end(g, kingcupv1.Reason_REASON_CANCELLED, "no reader came back")
+		a.cancelGeneration(g, kingcupv1.Reason_REASON_CANCELLED, "no reader came back")
 	}
 }
 
-// end cancels g wherever it is.
-func (a *Agent) end(g *generation, reason kingcupv1.Reason, detail string) {
+// cancelGeneration cancels g in the queue, or at the engine if it was
+// dispatched.
+func (a *Agent) cancelGeneration(g *generation, reason kingcupv1.Reason, detail string) {
 	if a.withdraw(g, reason, detail) {
 		return
 	}
 	g.buf.Fail(failure.Unknown(reason, 0, "%s", detail))
-	a.leave(g, false)
+	a.finish(g, false)
 	attempt := g.buf.Attempt()
 	a.pool.Submit(func() { a.engine.Cancel(a.ctx, g.id, attempt) })
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -14,11 +14,12 @@
 	"kingcupplank.example/kingcup/stream"
 )
 
-// startJob begins or continues g at the engine; a.mu is held.
+// startJob starts g at the engine, or resumes it under a new attempt if it was
+// paused. The caller holds a.mu.
 func (a *Agent) startJob(g *generation) {
-	again := g.dispatched
+	resumed := g.dispatched
 	g.dispatched = true
-	if again {
+	if resumed {
 		g.buf.BeginAttempt(g.buf.Attempt() + 1)
 		a.policy.Progress(g.job, int(g.buf.NextIndex()))
 	}
@@ -27,13 +28,13 @@
 	a.pool.Submit(func() {
 		go func() {
 			defer a.wg.Done()
-			a.pump(g, attempt)
+			a.runAttempt(g, attempt)
 		}()
 	})
 }
 
-// pauseJob takes g off the engine; a.mu is held. Its tokens stay in the buffer
-// and a later Start continues from them.
+// pauseJob cancels g at the engine. Its tokens stay in the buffer, and a later
+// Start continues after them. The caller holds a.mu.
 func (a *Agent) pauseJob(g *generation) {
 	attempt := g.buf.Attempt()
 	if a.observer != nil {
@@ -42,20 +43,22 @@
 	a.pool.Submit(func() { a.engine.Cancel(a.ctx, g.id, attempt) })
 }
 
-// pump moves one attempt's tokens from the engine to the buffer, and sees the
-// generation through the loss of the engine.
-func (a *Agent) pump(g *generation, attempt uint32) {
-	if a.superseded(g, attempt) {
+// runAttempt copies the tokens of an attempt from the engine to the buffer until
+// the stream ends or the attempt is superseded. If the engine is lost, it
+// recovers the stream.
+func (a *Agent) runAttempt(g *generation, attempt uint32) {
+	if a.isSuperseded(g, attempt) {
 		return
 	}
-	// The engine's stream is released when its context ends, not at its last
-	// token; without the cancel each finished generation would hold one.
+	// The engine's stream is released when its context ends, not after its last
+	// token. Without the cancel, each finished generation would leak a stream.
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	src, err := a.generate(ctx, g, attempt)
-	// A cancel that came before the engine knew the stream has found nothing
-	// there; without a second one the stream would run on with no reader.
-	if a.superseded(g, attempt) {
+	// If the attempt was cancelled before the engine knew the stream, that
+	// cancel had no effect. Without a second one the stream would continue
+	// without a reader.
+	if a.isSuperseded(g, attempt) {
 		a.engine.Cancel(a.ctx, g.id, attempt)
 		return
 	}
@@ -64,10 +67,10 @@
 			err = a.copyTokens(g, attempt, src)
 		}
 		if err == nil {
-			a.leave(g, true)
+			a.finish(g, true)
 			return
 		}
-		if a.superseded(g, attempt) || a.ctx.Err() != nil {
+		if a.isSuperseded(g, attempt) || a.ctx.Err() != nil {
 			return
 		}
 		if !errors.Is(err, engine.ErrLost) && !errors.Is(err, engine.ErrUnknownStream) {
@@ -75,9 +78,9 @@
 			return
 		}
 		losses++
-		a.log.WithFields(g.fields()).WithError(err).WithField("losses", losses).Warn("engine lost")
-		if losses == mostLosses {
-			a.fail(g, errHarmful)
+		a.log.WithFields(g.logFields()).WithError(err).WithField("losses", losses).Warn("engine lost during a generation")
+		if losses == maxEngineLosses {
+			a.fail(g, errCrashesEngine)
 			return
 		}
 		attempt, src, err = a.recoverStream(ctx, g, attempt, err)
@@ -88,6 +91,7 @@
 	}
 }
 
+// generate starts an attempt at the engine, after the tokens in the buffer.
 func (a *Agent) generate(ctx context.Context, g *generation, attempt uint32) (engine.Stream, error) {
 	req := g.req
 	req.Attempt = attempt
@@ -101,6 +105,8 @@
 	return a.engine.Generate(ctx, req)
 }
 
+// copyTokens copies tokens from src to the buffer. It returns nil when the
+// stream is complete.
 func (a *Agent) copyTokens(g *generation, attempt uint32, src engine.Stream) error {
 	last := time.Time{}
 	for {
@@ -114,14 +120,16 @@
 		if err := g.buf.Append(attempt, t.Index, t.Text); err != nil {
 			return err
 		}
-		last = a.observe(g, last)
+		last = a.observeToken(g, last)
 		a.mu.Lock()
 		a.policy.Progress(g.job, int(t.Index)+1)
 		a.mu.Unlock()
 	}
 }
 
-func (a *Agent) observe(g *generation, last time.Time) time.Time {
+// observeToken records the time since the last token, unless last is zero, and
+// returns the current time.
+func (a *Agent) observeToken(g *generation, last time.Time) time.Time {
 	now := time.Now()
 	if a.observer != nil && !last.IsZero() {
 		a.observer.Token(g.req.Team, now.Sub(last))
@@ -129,37 +137,40 @@
 	return now
 }
 
-// superseded reports whether another attempt or no attempt of g is to run.
-func (a *Agent) superseded(g *generation, attempt uint32) bool {
+// isSuperseded reports whether attempt must not run any more, because g has a
+// higher attempt, is paused or has ended.
+func (a *Agent) isSuperseded(g *generation, attempt uint32) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return g.left || !g.job.Running() || g.buf.Attempt() != attempt
+	return g.unscheduled || !g.job.Running() || g.buf.Attempt() != attempt
 }
 
-// mostLosses is how often an engine may end under a generation. One that ends each engine
-// that begins to run it would end them without limit, with the streams of others.
-const mostLosses = 3
+// maxEngineLosses is how often the engine may be lost during a generation before
+// the generation fails. Without a limit, a request that crashes each engine that
+// runs it would interrupt the streams of others again and again.
+const maxEngineLosses = 3
 
-var errHarmful = errors.New("engines end under the generation")
+var errCrashesEngine = errors.New("engines end under the generation")
 
 const (
-	firstBackoff = 50 * time.Millisecond
-	maxBackoff   = time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// recoverStream gets g's stream back after the engine was lost: the same
-// attempt if the engine still holds it, a higher one from the tokens that
-// arrived if the engine continues generations. It never starts over behind
-// tokens that a caller may have: that would splice two generations.
+// recoverStream gets the stream of g back after the engine was lost. It attaches
+// to the same attempt if the engine still has it. Otherwise it starts a higher
+// attempt after the received tokens, if the engine can resume from a prefix. It
+// never starts from the first token when the caller may already have tokens:
+// that would splice two generations.
 func (a *Agent) recoverStream(ctx context.Context, g *generation, attempt uint32, cause error) (uint32, engine.Stream, error) {
 	deadline := time.Now().Add(a.cfg.EngineGracePeriod)
-	for backoff := firstBackoff; time.Now().Before(deadline); backoff = min(2*backoff, maxBackoff) {
+	for backoff := initialBackoff; time.Now().Before(deadline); backoff = min(2*backoff, maxBackoff) {
 		src, err := a.engine.Attach(ctx, g.id, g.buf.NextIndex())
 		if err == nil {
 			return attempt, src, nil
 		}
 		if errors.Is(err, engine.ErrUnknownStream) {
-			return a.restart(ctx, g, attempt, cause)
+			return a.startNextAttempt(ctx, g, attempt, cause)
 		}
 		if !wait.For(ctx, backoff) {
 			break
@@ -168,11 +179,13 @@
 	return attempt, nil, errors.Wrap(cause, "engine did not come back")
 }
 
-func (a *Agent) restart(ctx context.Context, g *generation, attempt uint32, cause error) (uint32, engine.Stream, error) {
-	if g.once {
+// startNextAttempt starts the attempt after the given one. It fails with cause if
+// the request must not run twice or its tokens can't be resumed.
+func (a *Agent) startNextAttempt(ctx context.Context, g *generation, attempt uint32, cause error) (uint32, engine.Stream, error) {
+	if g.nonIdempotent {
 		return attempt, nil, errors.Wrap(cause, "request must not run twice")
 	}
-	if g.buf.NextIndex() > 0 && !a.resumes {
+	if g.buf.NextIndex() > 0 && !a.engineResumes {
 		return attempt, nil, errors.Wrap(cause, "engine does not resume from a prefix")
 	}
 	next := attempt + 1
@@ -183,52 +196,52 @@
 	return next, src, err
 }
 
-// fail ends g with the caller's view of an engine's error.
+// fail ends g with the failure that its caller receives for err.
 func (a *Agent) fail(g *generation, err error) {
-	g.buf.Fail(a.outcome(g, err))
-	a.leave(g, false)
-	a.log.WithFields(g.fields()).WithError(err).Warn("generation failed")
+	g.buf.Fail(a.engineFailure(g, err))
+	a.finish(g, false)
+	a.log.WithFields(g.logFields()).WithError(err).Warn("generation failed")
 }
 
-// outcome turns an engine's error. A rejection before any token is the one
-// case in which the engine itself says that the request did not run.
-func (a *Agent) outcome(g *generation, err error) *failure.Error {
+// engineFailure converts an error of the engine. Only a rejection before the
+// first token proves that the request did not run.
+func (a *Agent) engineFailure(g *generation, err error) *failure.Error {
 	if errors.Is(err, engine.ErrRejected) && g.buf.NextIndex() == 0 {
 		return failure.NotRun(kingcupv1.Reason_REASON_UNKNOWN_MODEL, 0, "%v", err)
 	}
-	if errors.Is(err, errHarmful) {
+	if errors.Is(err, errCrashesEngine) {
 		return failure.Unknown(kingcupv1.Reason_REASON_HARMFUL, 0, "%v", err)
 	}
 	return failure.Unknown(kingcupv1.Reason_REASON_ENGINE_LOST, time.Second, "%v", err)
 }
 
-func (g *generation) fields() map[string]any {
+func (g *generation) logFields() map[string]any {
 	return map[string]any{"generation": g.id, "request": g.req.RequestID, "team": g.req.Team}
 }
 
-// adopt re-attaches to the streams that the engine runs from before this
-// process began.
-func (a *Agent) adopt(ctx context.Context) error {
+// adoptRunning attaches to the streams that the engine has been running since
+// before this process started.
+func (a *Agent) adoptRunning(ctx context.Context) error {
 	running, err := a.engine.List(ctx)
 	if err != nil {
-		return errors.Wrap(err, "engine list")
+		return errors.Wrap(err, "list running streams of the engine")
 	}
 	for _, r := range running {
-		a.adoptOne(r)
+		a.adopt(r)
 	}
 	return nil
 }
 
-func (a *Agent) adoptOne(r engine.RunningStream) {
+func (a *Agent) adopt(r engine.RunningStream) {
 	g := &generation{
 		id: r.ID,
 		req: engine.Request{
 			ID: r.ID, Team: r.Team, RequestID: r.RequestID, Model: r.Model, MaxTokens: r.MaxTokens,
 		},
 		buf: stream.NewBuffer(a.cfg.BufferBytes),
-		// Whether the request may be repeated died with the last process.
-		once:       true,
-		dispatched: true,
+		// Only the previous process knew whether the request may be repeated.
+		nonIdempotent: true,
+		dispatched:    true,
 	}
 	g.buf.BeginAttempt(r.Attempt)
 	g.job = &sched.Job{
@@ -236,14 +249,16 @@
 		PromptTokens: int(r.PromptBytes)/a.cfg.BytesPerToken + 1, MaxTokens: int(r.MaxTokens), EmittedBefore: int(r.Emitted),
 	}
 	a.mu.Lock()
-	a.enter(g)
+	a.register(g)
 	a.policy.Adopt(a.now(), g.job)
 	a.mu.Unlock()
-	a.log.WithFields(g.fields()).Info("re-attached after a restart")
-	a.wg.Go(func() { a.pumpAdopted(g, r.Attempt) })
+	a.log.WithFields(g.logFields()).Info("attached to a generation that the engine was already running")
+	a.wg.Go(func() { a.runAdopted(g, r.Attempt) })
 }
 
-func (a *Agent) pumpAdopted(g *generation, attempt uint32) {
+// runAdopted copies the tokens of an adopted generation from its first token. It
+// does not recover the stream if the engine is lost.
+func (a *Agent) runAdopted(g *generation, attempt uint32) {
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	src, err := a.engine.Attach(ctx, g.id, 0)
@@ -251,10 +266,10 @@
 		err = a.copyTokens(g, attempt, src)
 	}
 	if err == nil {
-		a.leave(g, true)
+		a.finish(g, true)
 		return
 	}
-	if !a.superseded(g, attempt) && a.ctx.Err() == nil {
+	if !a.isSuperseded(g, attempt) && a.ctx.Err() == nil {
 		a.fail(g, err)
 	}
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -45,50 +45,50 @@
 func (a *Agent) handleCancel(cancel *innerv1.Cancel, st *wire.Stream) {
 	g := a.find(cancel.GetGenerationId(), cancel.GetTeam())
 	if g != nil {
-		a.end(g, kingcupv1.Reason_REASON_CANCELLED, "cancelled by the caller")
+		a.cancelGeneration(g, kingcupv1.Reason_REASON_CANCELLED, "cancelled by the caller")
 	}
 	st.Send(&innerv1.Reply{Kind: &innerv1.Reply_Done{Done: &innerv1.Done{Found: g != nil}}})
 }
 
-// maxBatch bounds the tokens in one frame, so that a reader that catches up
-// does not hold a stream of others behind one large frame.
-const maxBatch = 256
+// maxFrameTokens limits the tokens in one frame, so that a reader that catches up
+// does not delay other streams by one large frame.
+const maxFrameTokens = 256
 
-// relay sends g's tokens from next on, then its end. It returns when the peer
-// is gone too.
+// relay sends the tokens of g from index next on, then the end of the stream. It
+// returns early when the peer disconnects.
 func (a *Agent) relay(ctx context.Context, g *generation, next uint64, st *wire.Stream) {
-	a.countRelay(1)
-	defer a.countRelay(-1)
+	a.addOpenRelays(1)
+	defer a.addOpenRelays(-1)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go a.controls(g, st, cancel)
+	go a.handleControls(g, st, cancel)
 	r := g.buf.NewReader(next)
 	defer r.Close()
-	a.copyOut(ctx, g, r, st)
+	a.sendTokens(ctx, g, r, st)
 }
 
-func (a *Agent) countRelay(n int) {
+func (a *Agent) addOpenRelays(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.relays += n
+	a.openRelays += n
 }
 
-func (a *Agent) copyOut(ctx context.Context, g *generation, r *stream.Reader, st *wire.Stream) {
+func (a *Agent) sendTokens(ctx context.Context, g *generation, r *stream.Reader, st *wire.Stream) {
 	var batch stream.Batch
 	tokens := &kingcupv1.Tokens{}
 	kind := &innerv1.Reply_Tokens{Tokens: tokens}
 	reply := &innerv1.Reply{Kind: kind}
 	for {
-		end, err := r.Read(ctx, &batch, maxBatch)
+		end, err := r.Read(ctx, &batch, maxFrameTokens)
 		if err != nil {
-			st.Fail(readError(err))
+			st.Fail(readFailure(err))
 			break
 		}
 		if end != nil {
 			st.Send(&innerv1.Reply{Kind: &innerv1.Reply_End{End: endProto(end)}})
 			break
 		}
-		tokens.FirstIndex, tokens.Attempt, tokens.Texts = batch.First, batch.Attempt, batch.Texts
+		tokens.FirstIndex, tokens.Attempt, tokens.Texts = batch.FirstIndex, batch.Attempt, batch.Texts
 		if err := st.Send(reply); err != nil {
 			return
 		}
@@ -108,28 +108,29 @@
 	return &kingcupv1.End{Tokens: end.Tokens, Digest: end.Digest, FinishReason: end.FinishReason}
 }
 
-// readError turns a buffer's error into the caller's view.
-func readError(err error) error {
+// readFailure converts an error of a buffer's reader to the failure that the
+// caller receives.
+func readFailure(err error) error {
 	switch {
 	case errors.Is(err, stream.ErrTrimmed):
 		return failure.Unknown(kingcupv1.Reason_REASON_SLOW_READER, 0, "reader fell behind the buffer")
-	case errors.Is(err, stream.ErrAhead):
+	case errors.Is(err, stream.ErrBeyondEnd):
 		return failure.Unknown(kingcupv1.Reason_REASON_INVALID, 0, "index is beyond the stream")
 	}
 	return err
 }
 
-// controls reads what the entry sends on a generation's stream, and ends the
-// relay when the entry is gone.
-func (a *Agent) controls(g *generation, st *wire.Stream, gone context.CancelFunc) {
-	defer gone()
+// handleControls executes the control messages that the entry sends on the
+// stream of g, and cancels the relay when the entry disconnects.
+func (a *Agent) handleControls(g *generation, st *wire.Stream, cancelRelay context.CancelFunc) {
+	defer cancelRelay()
 	for {
 		c := &innerv1.Control{}
 		if err := st.Recv(c); err != nil {
 			return
 		}
 		if c.GetCancel() {
-			a.end(g, kingcupv1.Reason_REASON_CANCELLED, "cancelled by the caller")
+			a.cancelGeneration(g, kingcupv1.Reason_REASON_CANCELLED, "cancelled by the caller")
 		}
 		if c.GetWithdraw() {
 			a.withdraw(g, kingcupv1.Reason_REASON_DEADLINE, "withdrawn before its start")
@@ -138,7 +139,7 @@
 }
 
 func (a *Agent) handleCall(ctx context.Context, call *innerv1.Call, st *wire.Stream) {
-	body, err := a.call(ctx, call)
+	body, err := a.callService(ctx, call)
 	if err != nil {
 		st.Fail(err)
 		return
@@ -146,15 +147,15 @@
 	st.Send(&innerv1.Reply{Kind: &innerv1.Reply_Call{Call: &kingcupv1.CallResponse{Body: body}}})
 }
 
-func (a *Agent) call(ctx context.Context, call *innerv1.Call) ([]byte, error) {
-	// calling rises before leaving is looked at, so that a drain that begins
-	// in between waits for this call.
-	a.calling.Add(1)
-	defer a.calling.Add(-1)
+func (a *Agent) callService(ctx context.Context, call *innerv1.Call) ([]byte, error) {
+	// activeCalls is incremented before leaving is read, so that a drain that
+	// begins in between waits for this call.
+	a.activeCalls.Add(1)
+	defer a.activeCalls.Add(-1)
 	if a.leaving.Load() {
-		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, leavingRetry, "backend server is leaving")
+		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, leavingRetryAfter, "backend server is leaving")
 	}
-	if a.calls == nil {
+	if a.service == nil {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_UNKNOWN_MODEL, 0, "no plain service here")
 	}
 	if ms := call.GetDeadlineMs(); ms > 0 {
@@ -163,7 +164,7 @@
 		defer cancel()
 	}
 	r := call.GetRequest()
-	body, err := a.calls.Call(ctx, r.GetTeam(), r.GetRequestId(), r.GetBody())
+	body, err := a.service.Call(ctx, r.GetTeam(), r.GetRequestId(), r.GetBody())
 	if errors.Is(err, engine.ErrRejected) {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_BACKEND_LOST, time.Second, "%v", err)
 	}
--- a/stream/buffer.go
+++ b/stream/buffer.go
@@ -1,6 +1,6 @@
-// Package stream holds the tokens of one generation between the engine that
+// Package stream buffers the tokens of one generation between the engine that
 // produces them and the readers that relay them. A token is identified by
-// generation, attempt and index; the buffer admits each index once, in order,
+// generation, attempt and index. The buffer accepts each index once, in order,
 // and only from the current attempt.
 //
 // Buffer is safe for concurrent use. Its mutex is a leaf in the lock order: no
@@ -18,36 +18,41 @@
 
 // Errors of a Buffer.
 var (
-	// ErrStaleAttempt refuses a token of an attempt that was superseded.
+	// ErrStaleAttempt means that the attempt is not the current one, or not
+	// above it in BeginAttempt.
 	ErrStaleAttempt = errors.New("token of a superseded attempt")
-	// ErrGap refuses a token that leaves out an index.
+	// ErrGap means that tokens are missing before an index or the end.
 	ErrGap = errors.New("token index leaves a gap")
-	// ErrTrimmed says that a reader asks for tokens that are no longer held.
+	// ErrTrimmed means that the buffer has already dropped the requested tokens.
 	ErrTrimmed = errors.New("tokens are no longer held")
-	// ErrAhead says that a reader asks for an index beyond the next one.
-	ErrAhead = errors.New("index is beyond the stream")
-	// ErrDigest says that the tokens differ from the engine's record.
-	ErrDigest = errors.New("digest differs from the engine's record")
+	// ErrBeyondEnd means that the requested index is beyond the end of a closed
+	// stream.
+	ErrBeyondEnd = errors.New("index is beyond the stream")
+	// ErrDigestMismatch means that the tokens differ from those that the engine
+	// has recorded.
+	ErrDigestMismatch = errors.New("digest differs from the engine's record")
 )
 
-// End closes a stream that is whole.
+// End describes a complete stream.
 type End struct {
 	Tokens       uint64
 	Digest       uint64
 	FinishReason string
 }
 
-// Buffer keeps a bounded window of a generation's latest tokens.
+// Buffer keeps the latest tokens of a generation, up to a limit.
 type Buffer struct {
 	maxBytes int
 
 	mu      sync.Mutex
 	attempt uint32
-	data    []byte
-	// ends[i] is the offset in data behind token base+i.
-	ends    []uint32
-	base    uint64
-	digest  engine.Digest
+	// data is the text of the kept tokens; ends[i] is the offset in data after
+	// the token with index base+i.
+	data   []byte
+	ends   []uint32
+	base   uint64
+	digest engine.Digest
+	// end is set when the stream is complete, err when it has failed.
 	end     *End
 	err     error
 	readers []*Reader
@@ -58,8 +63,9 @@
 	return &Buffer{maxBytes: maxBytes, digest: engine.NewDigest()}
 }
 
-// BeginAttempt raises the current attempt; tokens of lower ones are refused from now
-// on. It returns ErrStaleAttempt if attempt is not above the current one.
+// BeginAttempt makes attempt the current one; tokens of lower attempts are
+// refused from now on. It returns ErrStaleAttempt if attempt is not above the
+// current one.
 func (b *Buffer) BeginAttempt(attempt uint32) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,26 +76,26 @@
 	return nil
 }
 
-// Attempt is the current attempt.
+// Attempt returns the current attempt.
 func (b *Buffer) Attempt() uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.attempt
 }
 
-// Append adds the token at index. An index that is already held is dropped
+// Append adds the token at index. A token that has already arrived is ignored
 // without error, because engines repeat tokens after a re-attach.
 func (b *Buffer) Append(attempt uint32, index uint64, text []byte) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// A paused reader of a superseded engine stream can deliver late. Without
-	// this check its tokens would follow those of the new attempt and the
-	// caller would see two generations spliced. The attempt is compared under
-	// the lock that Begin takes, so no late token can pass in between.
+	// The goroutine that reads a superseded engine stream can be late. Without
+	// this check its tokens would follow those of the new attempt, and the
+	// caller would see two generations spliced. BeginAttempt takes the same
+	// lock, so no late token can pass between the check and the append.
 	if attempt != b.attempt {
 		return ErrStaleAttempt
 	}
-	next := b.next()
+	next := b.nextIndex()
 	if index < next {
 		return nil
 	}
@@ -100,12 +106,12 @@
 	b.ends = append(b.ends, uint32(len(b.data)))
 	b.digest.Add(text)
 	b.trim()
-	b.wake()
+	b.notifyReaders()
 	return nil
 }
 
-// trim drops the oldest half once the window is full, so that the cost of
-// moving bytes is spread over as many tokens.
+// trim drops the older half of the tokens when the buffer is full, so that the
+// cost of moving the rest is amortized over many tokens.
 func (b *Buffer) trim() {
 	if len(b.data) <= b.maxBytes {
 		return
@@ -121,8 +127,9 @@
 	b.base += uint64(drop)
 }
 
-// Finish closes the stream as whole. It returns ErrDigest, and fails the
-// stream with it, if the tokens are not those that the engine recorded.
+// Finish closes the stream as complete. If the tokens differ from the engine's
+// record, it fails the stream with ErrGap or ErrDigestMismatch and returns that
+// error.
 func (b *Buffer) Finish(attempt uint32, end End) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,20 +139,20 @@
 	if b.closed() {
 		return nil
 	}
-	defer b.wake()
-	if end.Tokens != b.next() {
-		b.err = errors.Wrapf(ErrGap, "engine sent %d tokens, %d arrived", end.Tokens, b.next())
+	defer b.notifyReaders()
+	if end.Tokens != b.nextIndex() {
+		b.err = errors.Wrapf(ErrGap, "engine sent %d tokens, %d arrived", end.Tokens, b.nextIndex())
 		return b.err
 	}
 	if end.Digest != b.digest.Sum() {
-		b.err = ErrDigest
+		b.err = ErrDigestMismatch
 		return b.err
 	}
 	b.end = &end
 	return nil
 }
 
-// Fail closes the stream with err. A stream that is closed stays as it is.
+// Fail closes the stream with err. It has no effect on a closed stream.
 func (b *Buffer) Fail(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -153,17 +160,17 @@
 		return
 	}
 	b.err = err
-	b.wake()
+	b.notifyReaders()
 }
 
-// Closed reports whether the stream has ended, whole or failed.
+// Closed reports whether the stream is complete or has failed.
 func (b *Buffer) Closed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.closed()
 }
 
-// Failed reports whether the stream has ended without being whole.
+// Failed reports whether the stream has failed.
 func (b *Buffer) Failed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -174,25 +181,25 @@
 	return b.end != nil || b.err != nil
 }
 
-// NextIndex is the index of the next token to arrive.
+// NextIndex returns the index of the next token to arrive.
 func (b *Buffer) NextIndex() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.next()
+	return b.nextIndex()
 }
 
-func (b *Buffer) next() uint64 {
+func (b *Buffer) nextIndex() uint64 {
 	return b.base + uint64(len(b.ends))
 }
 
-// Readers is the number of open readers.
-func (b *Buffer) Readers() int {
+// ReaderCount returns the number of open readers.
+func (b *Buffer) ReaderCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.readers)
 }
 
-// Prefix copies all tokens from index 0, or returns ErrTrimmed.
+// Prefix returns a copy of all tokens from index 0, or ErrTrimmed.
 func (b *Buffer) Prefix() ([][]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -209,7 +216,7 @@
 	return out, nil
 }
 
-// Preload puts the tokens of an earlier attempt in front of an empty buffer.
+// Preload fills an empty buffer with the tokens of an earlier attempt.
 func (b *Buffer) Preload(prefix [][]byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -220,7 +227,7 @@
 	}
 }
 
-func (b *Buffer) wake() {
+func (b *Buffer) notifyReaders() {
 	for _, r := range b.readers {
 		select {
 		case r.ready <- struct{}{}:
@@ -229,22 +236,25 @@
 	}
 }
 
-// Batch is a run of consecutive tokens. Its memory is reused by the next read.
+// Batch is a sequence of consecutive tokens. Its memory is reused by the next
+// Read.
 type Batch struct {
-	First   uint64
-	Attempt uint32
-	Texts   [][]byte
-	data    []byte
+	FirstIndex uint64
+	Attempt    uint32
+	Texts      [][]byte
+	data       []byte
 }
 
-// Reader follows a buffer from an index. It is for one goroutine.
+// Reader reads a buffer from an index on. It must not be used by two goroutines
+// at the same time.
 type Reader struct {
 	buf   *Buffer
 	next  uint64
 	ready chan struct{}
 }
 
-// NewReader returns a reader whose first token is next; the caller closes it.
+// NewReader returns a reader whose first token has index next. The caller closes
+// it.
 func (b *Buffer) NewReader(next uint64) *Reader {
 	r := &Reader{buf: b, next: next, ready: make(chan struct{}, 1)}
 	b.mu.Lock()
@@ -253,7 +263,7 @@
 	return r
 }
 
-// Close ends the reader.
+// Close removes the reader from its buffer.
 func (r *Reader) Close() {
 	r.buf.mu.Lock()
 	defer r.buf.mu.Unlock()
@@ -265,12 +275,12 @@
 	}
 }
 
-// Read blocks until there are tokens and copies all of them, at most maxTokens,
-// into batch. At the end of a whole stream it returns the End and no tokens; a
-// failed stream's error comes after its last token.
+// Read blocks until there are tokens to read and copies up to maxTokens of them
+// into batch. After the last token it returns the End of a complete stream, or
+// the error of a failed one, without tokens.
 func (r *Reader) Read(ctx context.Context, batch *Batch, maxTokens int) (*End, error) {
 	for {
-		done, end, err := r.take(batch, maxTokens)
+		done, end, err := r.tryRead(batch, maxTokens)
 		if done {
 			return end, err
 		}
@@ -282,7 +292,9 @@
 	}
 }
 
-func (r *Reader) take(batch *Batch, maxTokens int) (bool, *End, error) {
+// tryRead is Read without blocking; it returns false if there is nothing to read
+// yet.
+func (r *Reader) tryRead(batch *Batch, maxTokens int) (bool, *End, error) {
 	b := r.buf
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -290,14 +302,14 @@
 	if r.next < b.base {
 		return true, nil, ErrTrimmed
 	}
-	if r.next > b.next() {
+	if r.next > b.nextIndex() {
 		if b.closed() {
-			return true, nil, ErrAhead
+			return true, nil, ErrBeyondEnd
 		}
 		return false, nil, nil
 	}
-	if r.next < b.next() {
-		r.copyOut(batch, maxTokens)
+	if r.next < b.nextIndex() {
+		r.copyTokens(batch, maxTokens)
 		return true, nil, nil
 	}
 	if b.err != nil {
@@ -306,7 +318,9 @@
 	return b.end != nil, b.end, nil
 }
 
-func (r *Reader) copyOut(batch *Batch, maxTokens int) {
+// copyTokens copies up to maxTokens tokens to batch and advances the reader. The
+// caller holds the buffer's mutex.
+func (r *Reader) copyTokens(batch *Batch, maxTokens int) {
 	b := r.buf
 	first := int(r.next - b.base)
 	last := min(len(b.ends), first+maxTokens)
@@ -314,7 +328,7 @@
 	if first > 0 {
 		start = b.ends[first-1]
 	}
-	batch.First = r.next
+	batch.FirstIndex = r.next
 	batch.Attempt = b.attempt
 	batch.data = append(batch.data[:0], b.data[start:b.ends[last-1]]...)
 	from := uint32(0)
--- a/stream/buffer_test.go
+++ b/stream/buffer_test.go
@@ -11,11 +11,11 @@
 	"kingcupplank.example/kingcup/engine"
 )
 
-func token(attempt uint32, i uint64) []byte { return fmt.Appendf(nil, " %d.%d", attempt, i) }
+func tokenText(attempt uint32, i uint64) []byte { return fmt.Appendf(nil, " %d.%d", attempt, i) }
 
-// Attempts begin, engines repeat and deliver late, readers join anywhere. Every
-// reader must see indices without gap or repeat, and never a token that came
-// from an attempt after a higher one had begun.
+// New attempts begin, engines repeat tokens, and tokens of superseded attempts
+// arrive late. A reader that starts at any index must see each index once, in
+// order, and no token that arrived after a higher attempt had begun.
 func TestBufferProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBuffer(1 << 20)
@@ -30,17 +30,17 @@
 				require.ErrorIs(t, b.BeginAttempt(attempt), ErrStaleAttempt)
 			case 1:
 				stale := rapid.Uint32Range(0, attempt-1).Draw(t, "stale")
-				require.ErrorIs(t, b.Append(stale, b.NextIndex(), token(stale, b.NextIndex())), ErrStaleAttempt)
+				require.ErrorIs(t, b.Append(stale, b.NextIndex(), tokenText(stale, b.NextIndex())), ErrStaleAttempt)
 			default:
 				i := rapid.Uint64Range(0, b.NextIndex()+1).Draw(t, "index")
-				err := b.Append(attempt, i, token(attempt, i))
+				err := b.Append(attempt, i, tokenText(attempt, i))
 				if i > uint64(len(want)) {
 					require.ErrorIs(t, err, ErrGap)
 					continue
 				}
 				require.NoError(t, err)
 				if i == uint64(len(want)) {
-					want = append(want, string(token(attempt, i)))
+					want = append(want, string(tokenText(attempt, i)))
 				}
 			}
 		}
@@ -49,6 +49,7 @@
 	})
 }
 
+// readAll closes the buffer and returns the tokens from an index on.
 func readAll(t require.TestingT, b *Buffer, from uint64) []string {
 	b.Fail(context.Canceled)
 	r := b.NewReader(from)
@@ -61,20 +62,22 @@
 			require.ErrorIs(t, err, context.Canceled)
 			return got
 		}
-		require.Equal(t, from+uint64(len(got)), batch.First)
+		require.Equal(t, from+uint64(len(got)), batch.FirstIndex)
 		for _, text := range batch.Texts {
 			got = append(got, string(text))
 		}
 	}
 }
 
+// A generation has far more text than the buffer keeps. Its memory must stay below
+// the limit, and reading dropped tokens must fail.
 func TestBufferBoundsMemory(t *testing.T) {
-	const bound = 1 << 10
-	b := NewBuffer(bound)
+	const maxBytes = 1 << 10
+	b := NewBuffer(maxBytes)
 	require.NoError(t, b.BeginAttempt(1))
 	for i := range uint64(10000) {
-		require.NoError(t, b.Append(1, i, token(1, i)))
-		require.LessOrEqual(t, len(b.data), bound)
+		require.NoError(t, b.Append(1, i, tokenText(1, i)))
+		require.LessOrEqual(t, len(b.data), maxBytes)
 	}
 	r := b.NewReader(0)
 	defer r.Close()
@@ -85,24 +88,27 @@
 	require.ErrorIs(t, err, ErrTrimmed)
 }
 
+// A stream whose token count or digest differs from the engine's record must not
+// become complete.
 func TestFinishChecksTheEnginesRecord(t *testing.T) {
 	digest := engine.NewDigest()
-	digest.Add(token(1, 0))
-	for _, c := range []struct {
+	digest.Add(tokenText(1, 0))
+	for _, tc := range []struct {
 		end  End
 		want error
 	}{
 		{End{Tokens: 1, Digest: digest.Sum()}, nil},
 		{End{Tokens: 2, Digest: digest.Sum()}, ErrGap},
-		{End{Tokens: 1, Digest: digest.Sum() + 1}, ErrDigest},
+		{End{Tokens: 1, Digest: digest.Sum() + 1}, ErrDigestMismatch},
 	} {
 		b := NewBuffer(1 << 10)
 		require.NoError(t, b.BeginAttempt(1))
-		require.NoError(t, b.Append(1, 0, token(1, 0)))
-		require.ErrorIs(t, b.Finish(1, c.end), c.want)
+		require.NoError(t, b.Append(1, 0, tokenText(1, 0)))
+		require.ErrorIs(t, b.Finish(1, tc.end), tc.want)
 	}
 }
 
+// BenchmarkRelay measures one token through a buffer to one reader.
 func BenchmarkRelay(b *testing.B) {
 	buf := NewBuffer(64 << 10)
 	buf.BeginAttempt(1)
