--- a/engine/engineclient/client.go
+++ b/engine/engineclient/client.go
@@ -1,5 +1,4 @@
-// Package engineclient implements engine.Engine over an engine's gRPC
-// protocol.
+// Package engineclient implements engine.Engine with the engines' gRPC protocol.
 package engineclient
 
 import (
@@ -14,12 +13,12 @@
 	platformv1 "kingcupplank.example/kingcup/proto/kingcup/platform/v1"
 )
 
-// Client talks to one engine. It is safe for concurrent use.
+// Client calls one engine. It is safe for concurrent use.
 type Client struct {
 	rpc platformv1.EngineServiceClient
 }
 
-// New returns a client on conn, which the caller closes.
+// New returns a client that uses conn; the caller closes conn.
 func New(conn grpc.ClientConnInterface) *Client {
 	return &Client{rpc: platformv1.NewEngineServiceClient(conn)}
 }
@@ -29,8 +28,8 @@
 	msg platformv1.EngineGenerateResponse
 }
 
-// Recv implements engine.Stream. One message is reused for all tokens; the
-// text is valid until the next call.
+// Recv implements engine.Stream. It reuses one message for all tokens, so the
+// text of a token is valid only until the next call.
 func (s *stream) Recv() (engine.Token, error) {
 	s.msg.Reset()
 	if err := s.rpc.RecvMsg(&s.msg); err != nil {
@@ -45,6 +44,7 @@
 	}, nil
 }
 
+// engineError converts a gRPC status to an error of package engine.
 func engineError(err error) error {
 	switch status.Code(err) {
 	case codes.NotFound:
--- a/engine/serviceclient/client.go
+++ b/engine/serviceclient/client.go
@@ -12,15 +12,15 @@
 	"kingcupplank.example/kingcup/engine"
 )
 
-// Headers that a plain service may read.
+// Request headers that identify a call to the plain service.
 const (
 	HeaderTeam      = "X-Kingcup-Team"
 	HeaderRequestID = "X-Kingcup-Request-Id"
 )
 
 const (
-	defaultTimeout = 30 * time.Second
-	maxAnswerBytes = 4 << 20
+	defaultTimeout   = 30 * time.Second
+	maxResponseBytes = 4 << 20
 )
 
 // Client calls one plain service by POST. It is safe for concurrent use.
@@ -34,10 +34,10 @@
 	return &Client{
 		url: "http://" + address + "/call",
 		http: &fasthttp.Client{
-			MaxResponseBodySize: maxAnswerBytes,
-			// fasthttp repeats a request whose connection closed before the
-			// answer, also a POST when this is unset. The service may have
-			// run it, so a repeat could run a non-idempotent call twice.
+			MaxResponseBodySize: maxResponseBytes,
+			// By default fasthttp retries a request whose connection closed
+			// before the response, even a POST. The service may have run it, so
+			// a retry could run a non-idempotent call twice.
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 			MaxIdemponentCallAttempts: 1,
 		},
@@ -64,18 +64,19 @@
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
 		return nil, callError(err)
 	}
-	// A 503 can follow a call that ran, for example from a crashed handler, so
-	// no status counts as proof that the call did not run.
+	// No status proves that the call did not run: a handler that crashes after
+	// running it also answers 503, for example.
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return nil, errors.Wrapf(engine.ErrLost, "status %d", resp.StatusCode())
 	}
 	return append([]byte(nil), resp.Body()...), nil
 }
 
-// callError is ErrRejected only where no byte can have reached the service.
+// callError returns ErrRejected only if the connection was not established, so
+// that no byte can have reached the service. Otherwise it returns ErrLost.
 func callError(err error) error {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return errors.Wrap(engine.ErrRejected, err.Error())
 	}
 	return errors.Wrap(engine.ErrLost, err.Error())
