--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,7 +1,6 @@
-// Package failure is the error type that callers and operators see. Every
-// layer below has errors of its own; entry and agent turn them into this one
-// at their edge, so that the outcome of a request is always one of three:
-// answered, not run, unknown.
+// Package failure is the error type that callers and operators receive. Entry and
+// agent convert the errors of the layers below to this type at their API, so that
+// the outcome of a request is always one of three: answered, not run, unknown.
 //
 // All functions are safe for concurrent use.
 package failure
@@ -18,7 +17,8 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// Error is a failed request with its outcome.
+// Error is the failure of a request. RetryAfter zero means that a retry would not
+// help.
 type Error struct {
 	Outcome    kingcupv1.Outcome
 	Reason     kingcupv1.Reason
@@ -31,18 +31,17 @@
 	return fmt.Sprintf("%s (%s): %s", e.Reason, e.Outcome, e.Detail)
 }
 
-// NotRun is a refusal of a request that definitely did not run. A retryAfter
-// of zero means that a repeat will not help.
+// NotRun returns the failure of a request that certainly did not run.
 func NotRun(reason kingcupv1.Reason, retryAfter time.Duration, format string, args ...any) *Error {
 	return &Error{Outcome: kingcupv1.Outcome_OUTCOME_NOT_RUN, Reason: reason, RetryAfter: retryAfter, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Unknown is a failure of a request that may have run.
+// Unknown returns the failure of a request that may have run.
 func Unknown(reason kingcupv1.Reason, retryAfter time.Duration, format string, args ...any) *Error {
 	return &Error{Outcome: kingcupv1.Outcome_OUTCOME_UNKNOWN, Reason: reason, RetryAfter: retryAfter, Detail: fmt.Sprintf(format, args...)}
 }
 
-// FromProto turns the wire form into an Error.
+// FromProto converts the wire form to an Error.
 func FromProto(f *kingcupv1.Failure) *Error {
 	return &Error{
 		Outcome:    f.GetOutcome(),
@@ -52,7 +51,7 @@
 	}
 }
 
-// Proto is the wire form of e.
+// Proto returns the wire form of e.
 func (e *Error) Proto() *kingcupv1.Failure {
 	return &kingcupv1.Failure{
 		Outcome:      e.Outcome,
@@ -62,18 +61,20 @@
 	}
 }
 
-// GRPCStatus lets grpc send e with its detail; grpc looks for this method.
+// GRPCStatus returns e as a gRPC status with the wire form as a detail. The grpc
+// package calls this method on errors that a handler returns.
 func (e *Error) GRPCStatus() *status.Status {
-	st := status.New(code(e), e.Detail)
-	withDetail, err := st.WithDetails(e.Proto())
+	st := status.New(statusCode(e), e.Detail)
+	withFailure, err := st.WithDetails(e.Proto())
 	if err != nil {
 		return st
 	}
-	return withDetail
+	return withFailure
 }
 
-// FromError finds the Error in err. An error of another kind becomes an unknown
-// outcome, because nothing is known of how far the request came.
+// FromError returns the Error that err wraps or carries as a gRPC status detail.
+// Any other error becomes an Error with unknown outcome, because the request may
+// have run.
 func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -92,12 +93,13 @@
 	return Unknown(kingcupv1.Reason_REASON_INTERNAL, 0, "%v", err)
 }
 
-// IsNotRun reports whether err says that the request did not run.
+// IsNotRun reports whether err means that the request certainly did not run.
 func IsNotRun(err error) bool {
 	return err != nil && FromError(err).Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN
 }
 
-func code(e *Error) codes.Code {
+// statusCode returns the gRPC status code for the reason of e.
+func statusCode(e *Error) codes.Code {
 	switch e.Reason {
 	case kingcupv1.Reason_REASON_INVALID, kingcupv1.Reason_REASON_PROMPT_TOO_LARGE, kingcupv1.Reason_REASON_PROTOCOL:
 		return codes.InvalidArgument
