--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,6 +1,7 @@
-// Package claim makes a non-idempotent request run at most once: its key is
-// claimed in the platform's table before it is dispatched, and its outcome is
-// recorded there. Claims of one process are grouped into few transactions.
+// Package claim runs a non-idempotent request at most once. The request's key is
+// claimed in the platform's table before the request is dispatched, and its
+// outcome is recorded there. The writes of a process are batched into few
+// transactions.
 package claim
 
 import (
@@ -16,22 +17,23 @@
 	"kingcupplank.example/kingcup/storage"
 )
 
-// State of a claimed request.
+// State is the state of a claimed request.
 type State string
 
-// The states. A claim moves from Claimed to Done or to Released; a Released
-// key may be claimed again.
+// The states. A claim changes from Claimed to Done or to Released; a Released
+// key can be claimed again.
 const (
-	// Claimed means that the request may run or have run.
+	// Claimed means that the request may be running or may have run.
 	Claimed State = "claimed"
-	// Done means that it ran and Answer is what it answered.
+	// Done means that the request ran; Record.Answer is its response.
 	Done State = "done"
-	// Released means that it certainly did not run.
+	// Released means that the request certainly did not run.
 	Released State = "released"
 )
 
-// MaxAnswer bounds a recorded answer in bytes; a longer one is not kept.
-const MaxAnswer = 64 << 10
+// MaxAnswerBytes limits the recorded response in bytes; a longer one is not
+// recorded.
+const MaxAnswerBytes = 64 << 10
 
 // Key is a caller's idempotency key.
 type Key struct {
@@ -41,110 +43,115 @@
 
 const rowPrefix = "claim/"
 
-// row is the key's row in the table. The team's length is part of it: team "a"
-// with request "b/c" and team "a/b" with request "c" would otherwise share a row,
-// and one caller would be given the other's answer.
-func (k Key) row() string {
+// rowKey returns the key of the row in the table. It contains the length of the
+// team's name: otherwise team "a" with request "b/c" and team "a/b" with request
+// "c" would share a row, and one caller would receive the other's response.
+func (k Key) rowKey() string {
 	return rowPrefix + strconv.Itoa(len(k.Team)) + "/" + k.Team + "/" + k.RequestID
 }
 
-// Record is what the table holds for a key.
+// Record is the content of a key's row.
 type Record struct {
 	State State
-	// Nonce identifies the claim, so that one whose answer was lost is
-	// recognized when read back.
+	// Nonce identifies the claim. If the response to the write was lost, the
+	// claim recognizes its own record by the nonce when it reads the row.
 	Nonce string
-	// GenerationID and Server find the stream of a claimed generation.
+	// GenerationID is the generation of a claimed request, by which its stream
+	// can be found.
 	GenerationID string `json:",omitempty"`
 	Answer       []byte `json:",omitempty"`
-	// Partial is set when the answer was too long to keep.
+	// Partial is set if the response was too long to be recorded.
 	Partial bool `json:",omitempty"`
-	// At is when the record was written, for retention.
+	// At is when the record was written, for its retention.
 	At time.Time
 }
 
-// Claim is a claim that this process won.
+// Claim is a claim that this process has won.
 type Claim struct {
 	Key      Key
 	Record   Record
 	revision uint64
 }
 
-// Putter writes the row of a claim if it is at a revision; 0 means absent.
-// Errors are those of storage.Table.Commit.
+// Putter writes the row of a claim if the row is at a revision; 0 means that it
+// must not exist. Errors are those of storage.Table.Commit.
 type Putter interface {
 	Put(ctx context.Context, key string, revision uint64, value []byte) (uint64, error)
 }
 
-// Claims is safe for concurrent use.
+// Claims claims keys and records outcomes. It is safe for concurrent use.
 type Claims struct {
 	table storage.Table
-	group *grouper
-	// routed groups writes that several processes send here.
-	routed *grouper
-	route  func(key string) Putter
+	local *batcher
+	// forwarded batches writes that other processes forward to this one.
+	forwarded *batcher
+	forwarder func(key string) Putter
 }
 
-// ForwardedWindow is the time over which writes of several processes are grouped.
-// At the target size eight processes get about a hundred writes a second each.
+// ForwardedWindow is the time over which writes of several processes are batched.
+// At the target size, each of the eight processes that write claims gets about a
+// hundred writes per second.
 const ForwardedWindow = 25 * time.Millisecond
 
-// New keeps claims in table, grouped over window. Close ends it.
+// New returns Claims that keeps its rows in table and batches writes over window.
+// The caller closes it.
 func New(table storage.Table, window time.Duration) *Claims {
 	return &Claims{
-		table: table, group: newGrouper(table, window), routed: newGrouper(table, ForwardedWindow),
-		route: func(string) Putter { return nil },
+		table: table, local: newBatcher(table, window), forwarded: newBatcher(table, ForwardedWindow),
+		forwarder: func(string) Putter { return nil },
 	}
 }
 
-// SetForwarder sets who writes a key's row; nil is this process by itself. It is called
-// before the first claim. Whoever writes, the row's condition decides, so two
-// processes may disagree on the route without harm.
-func (c *Claims) SetForwarder(route func(key string) Putter) {
-	c.route = route
+// SetForwarder sets the function that selects who writes a key's row; nil selects
+// this process's own batches. It must be called before the first claim. Processes
+// may select different writers for a key without harm, because each write is
+// conditional on the row's revision.
+func (c *Claims) SetForwarder(forwarder func(key string) Putter) {
+	c.forwarder = forwarder
 }
 
-// Forwarded writes rows that other processes send to this one.
+// Forwarded returns the Putter for the rows that are forwarded to this process.
 func (c *Claims) Forwarded() Putter {
-	return c.routed
+	return c.forwarded
 }
 
-// IsRowKey reports whether key is the row of a claim.
+// IsRowKey reports whether key is the key of a claim's row.
 func IsRowKey(key string) bool {
 	return strings.HasPrefix(key, rowPrefix)
 }
 
-// Close ends the grouping of claims.
+// Close stops the batching of writes and waits for the commits in flight.
 func (c *Claims) Close() {
-	c.group.close()
-	c.routed.close()
+	c.local.close()
+	c.forwarded.close()
 }
 
-const settleTries = 6
+const maxWriteAttempts = 6
 
-const settleBackoff = 20 * time.Millisecond
+const retryBackoff = 20 * time.Millisecond
 
-// Claim takes key for the caller. Exactly one of held and existing is set
-// without an error. With an error the caller must not dispatch.
-func (c *Claims) Claim(ctx context.Context, key Key, rec Record) (held *Claim, existing *Record, err error) {
+// Claim claims key. Without an error it returns either the claim that it has won,
+// or the existing record of another claim. After an error the caller must not
+// dispatch the request.
+func (c *Claims) Claim(ctx context.Context, key Key, rec Record) (won *Claim, existing *Record, err error) {
 	rec.State = Claimed
 	rec.At = time.Now()
 	revision := uint64(0)
-	for try := 0; try < settleTries; try++ {
+	for attempt := 0; attempt < maxWriteAttempts; attempt++ {
 		rev, err := c.put(ctx, key, revision, rec)
 		if err == nil {
 			return &Claim{Key: key, Record: rec, revision: rev}, nil, nil
 		}
-		if errors.Is(err, storage.ErrUnavailable) && try == 0 {
+		if errors.Is(err, storage.ErrUnavailable) && attempt == 0 {
 			return nil, nil, err
 		}
-		// The answer was lost, or somebody holds the key; that may be this
-		// claim itself, applied by a try whose answer was lost. Without the
-		// nonce a caller would be told "in progress" by its own claim, and
-		// without reading back two entries could both believe they won.
+		// Either the response was lost or the row has another revision; an
+		// earlier attempt of this claim may have written the row. Without the
+		// nonce, the caller would get "in progress" because of its own claim.
+		// Without reading the row, two entries could both believe that they won.
 		row, found, err := c.read(ctx, key)
 		if err != nil {
-			wait.For(ctx, settleBackoff)
+			wait.For(ctx, retryBackoff)
 			continue
 		}
 		switch {
@@ -159,8 +166,8 @@
 	return nil, nil, errors.Wrap(storage.ErrUnsettled, "claim")
 }
 
-// Look reads the record of key; nil if there is none.
-func (c *Claims) Look(ctx context.Context, key Key) (*Record, error) {
+// Lookup returns the record of key, or nil if there is none.
+func (c *Claims) Lookup(ctx context.Context, key Key) (*Record, error) {
 	row, rec, err := c.read(ctx, key)
 	if err != nil || row.Revision == 0 {
 		return nil, err
@@ -168,38 +175,39 @@
 	return &rec, nil
 }
 
-// Finish records the answer of a held claim. It may fail, in which case the key
-// stays claimed and never runs again.
-func (c *Claims) Finish(ctx context.Context, h *Claim, answer []byte) error {
-	rec := h.Record
+// Finish records the response of a claimed request. After an error the key may
+// stay claimed; its request then never runs again.
+func (c *Claims) Finish(ctx context.Context, claim *Claim, answer []byte) error {
+	rec := claim.Record
 	rec.State = Done
 	rec.Answer = answer
-	if len(answer) > MaxAnswer {
+	if len(answer) > MaxAnswerBytes {
 		rec.Answer, rec.Partial = nil, true
 	}
-	return c.settle(ctx, h, rec)
+	return c.writeOutcome(ctx, claim, rec)
 }
 
-// Release gives a held claim back. The caller must know that the request did
-// not run and never will under this claim.
-func (c *Claims) Release(ctx context.Context, h *Claim) error {
-	rec := h.Record
+// Release releases the key of a claim. The caller must be certain that the request
+// did not run and never will under this claim.
+func (c *Claims) Release(ctx context.Context, claim *Claim) error {
+	rec := claim.Record
 	rec.State = Released
-	return c.settle(ctx, h, rec)
+	return c.writeOutcome(ctx, claim, rec)
 }
 
-func (c *Claims) settle(ctx context.Context, h *Claim, rec Record) error {
+// writeOutcome writes rec over the record of a claim, with retries.
+func (c *Claims) writeOutcome(ctx context.Context, claim *Claim, rec Record) error {
 	rec.At = time.Now()
 	var err error
-	for range settleTries {
-		_, err = c.put(ctx, h.Key, h.revision, rec)
+	for range maxWriteAttempts {
+		_, err = c.put(ctx, claim.Key, claim.revision, rec)
 		var conflict *storage.ConflictError
 		if err == nil || errors.As(err, &conflict) {
-			// Only this claim's holder writes over its revision, so a
-			// conflict means that an earlier try was applied.
+			// Only the owner of the claim writes over its revision, so a
+			// conflict means that an earlier attempt was applied.
 			return nil
 		}
-		if !wait.For(ctx, settleBackoff) {
+		if !wait.For(ctx, retryBackoff) {
 			break
 		}
 	}
@@ -211,14 +219,15 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "marshal claim")
 	}
-	if p := c.route(key.row()); p != nil {
-		return p.Put(ctx, key.row(), revision, value)
+	if p := c.forwarder(key.rowKey()); p != nil {
+		return p.Put(ctx, key.rowKey(), revision, value)
 	}
-	return c.group.Put(ctx, key.row(), revision, value)
+	return c.local.Put(ctx, key.rowKey(), revision, value)
 }
 
+// read returns the row and record of key; both are zero if there is no row.
 func (c *Claims) read(ctx context.Context, key Key) (storage.Row, Record, error) {
-	rows, err := c.table.Read(ctx, key.row())
+	rows, err := c.table.Read(ctx, key.rowKey())
 	if err != nil || len(rows) == 0 {
 		return storage.Row{}, Record{}, err
 	}
