--- a/lease/fence.go
+++ b/lease/fence.go
@@ -9,33 +9,36 @@
 	"kingcupplank.example/kingcup/storage"
 )
 
-// ErrStale refuses an order whose term is below one that was seen.
+// ErrStale means that the order's term is lower than one already seen.
 var ErrStale = errors.New("order has an old term")
 
-// Fence admits orders for one resource in rising terms. It is safe for
-// concurrent use; orders pass one at a time.
+// Fence refuses orders for one resource that have a stale term. It is safe for
+// concurrent use and executes one order at a time.
 type Fence struct {
 	table storage.Table
 	name  string
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// term is the highest term seen; loaded is set when the term in the table
+	// has been read.
 	term   uint64
 	loaded bool
 }
 
-// NewFence guards the resource whose lease is called name.
+// NewFence returns a fence for the resource whose lease is called name.
 func NewFence(table storage.Table, name string) *Fence {
 	return &Fence{table: table, name: name}
 }
 
-// Do calls f if term is not below any that Do has admitted or that the table
-// had given out when this process began. Orders never overlap.
+// Do calls order unless term is lower than a term that Do has accepted or that
+// the table contained at the first call. Calls of order never overlap.
 func (f *Fence) Do(ctx context.Context, term uint64, order func() error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// After a restart the highest term is not in memory. Without reading it
-	// back, a paused holder's old order would reach an engine that ignores
-	// terms and undo a newer one. The order waits in f.mu until it is known.
+	// After a restart the highest term is not in memory and must be read from
+	// the table. Otherwise an old order of a paused holder could reach an engine
+	// that ignores terms and undo a newer order. f.mu is held during the read, so
+	// other orders wait for it.
 	if !f.loaded {
 		known, err := ReadTerm(ctx, f.table, f.name)
 		if err != nil {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease gives one holder at a time the right to order something, with
-// a term that rises with each new holder and serves as fencing number. The
-// lease lives in a row of the platform's table.
+// Package lease implements leases: one holder at a time may give orders for a
+// resource. Each acquisition has a higher term, which serves as fencing number. A
+// lease is a row of the platform's table.
 package lease
 
 import (
@@ -13,36 +13,37 @@
 	"kingcupplank.example/kingcup/storage"
 )
 
-// ErrHeld says that another holder has the lease.
+// ErrHeld means that another holder has the lease.
 var ErrHeld = errors.New("lease is held by another")
 
 // Lease is the right to give orders until Deadline.
 type Lease struct {
 	// Term is the fencing number.
 	Term uint64
-	// Deadline is on the holder's own monotonic clock, counted from before
-	// the table was asked.
+	// Deadline is on the holder's monotonic clock. The time to live counts from
+	// before the call to the table, so the holder's lease ends no later than the
+	// expiry in the table.
 	Deadline time.Time
 }
 
-// margin is left unused at the end of a lease, for the time that an order
-// takes to its agent.
-const margin = time.Second
+// safetyMargin is the time before Deadline in which the holder no longer acts. It
+// covers the delivery of an order to its agent.
+const safetyMargin = time.Second
 
-// Valid reports whether the holder may still act at now.
+// Valid reports whether the holder may give an order at now.
 func (l Lease) Valid(now time.Time) bool {
-	// A holder that was paused still believes in its lease. It compares its
-	// monotonic clock, which runs on during a pause, directly before it acts;
-	// an order that passes the check and stalls afterwards is refused by the
-	// agent, which knows the higher term.
-	return now.Before(l.Deadline.Add(-margin))
+	// The lease of a paused process may have expired without its notice. The
+	// holder therefore checks its monotonic clock, which continues during a
+	// pause, directly before it acts. If an order is delayed after the check, the
+	// agent refuses it once it has seen a higher term.
+	return now.Before(l.Deadline.Add(-safetyMargin))
 }
 
 type record struct {
 	Holder string
 	Term   uint64
-	// Expires is in Unix milliseconds; only for takeover by others, who wait
-	// for the whole time to live on their own clock as well.
+	// Expires is in Unix milliseconds. Only other holders read it; they compare
+	// it with their own wall clock before a takeover.
 	Expires int64
 }
 
@@ -53,19 +54,19 @@
 	ttl    time.Duration
 }
 
-// NewManager acquires leases for holder.
+// NewManager returns a manager that acquires leases for holder, each for ttl.
 func NewManager(table storage.Table, holder string, ttl time.Duration) *Manager {
 	return &Manager{table: table, holder: holder, ttl: ttl}
 }
 
-func key(name string) string {
+func rowKey(name string) string {
 	return "lease/" + name
 }
 
-// Acquire takes the lease called name under a new, higher term. It returns
-// ErrHeld, an error of the platform, or *storage.ConflictError if another
-// holder was faster. A commit whose answer was lost counts as not acquired:
-// the term it may have used up is skipped.
+// Acquire acquires the lease called name under a new, higher term. It returns
+// ErrHeld, an error of the platform, or *storage.ConflictError if another holder
+// acquired the lease at the same time. If the response to the commit is lost, the
+// lease counts as not acquired; its term may then be used up and is skipped.
 func (m *Manager) Acquire(ctx context.Context, name string) (Lease, error) {
 	now := time.Now()
 	rec, revision, err := m.read(ctx, name)
@@ -82,7 +83,8 @@
 	return Lease{Term: next.Term, Deadline: now.Add(m.ttl)}, nil
 }
 
-// Release lets others acquire at once; the term stays.
+// Release lets other holders acquire the lease at once; the row keeps the term. It
+// does nothing if the lease already has another term.
 func (m *Manager) Release(ctx context.Context, name string, l Lease) error {
 	rec, revision, err := m.read(ctx, name)
 	if err != nil || rec.Term != l.Term {
@@ -91,7 +93,8 @@
 	return m.write(ctx, name, revision, record{Term: rec.Term})
 }
 
-// ReadTerm reads the highest term that was given out for name.
+// ReadTerm returns the highest term of the lease called name; 0 if it was never
+// acquired.
 func ReadTerm(ctx context.Context, table storage.Table, name string) (uint64, error) {
 	m := Manager{table: table}
 	rec, _, err := m.read(ctx, name)
@@ -99,7 +102,7 @@
 }
 
 func (m *Manager) read(ctx context.Context, name string) (record, uint64, error) {
-	rows, err := m.table.Read(ctx, key(name))
+	rows, err := m.table.Read(ctx, rowKey(name))
 	if err != nil || len(rows) == 0 {
 		return record{}, 0, err
 	}
@@ -116,8 +119,8 @@
 		return errors.Wrap(err, "marshal lease")
 	}
 	_, err = m.table.Commit(ctx, storage.Txn{
-		Conditions: []storage.Condition{{Key: key(name), Revision: revision}},
-		Writes:     []storage.Write{{Key: key(name), Value: value}},
+		Conditions: []storage.Condition{{Key: rowKey(name), Revision: revision}},
+		Writes:     []storage.Write{{Key: rowKey(name), Value: value}},
 	})
 	return err
 }
