--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -9,19 +9,19 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-func teamPut(name string, weight uint32) *kingcupv1.Row {
+func teamRow(name string, weight uint32) *kingcupv1.Row {
 	return &kingcupv1.Row{Row: &kingcupv1.Row_Team{Team: &kingcupv1.Team{Name: name, Weight: weight}}}
 }
 
 func delta(version uint64) *kingcupv1.Delta {
-	return &kingcupv1.Delta{Version: version, Puts: []*kingcupv1.Row{teamPut("t", uint32(version))}}
+	return &kingcupv1.Delta{Version: version, Puts: []*kingcupv1.Row{teamRow("t", uint32(version))}}
 }
 
-// Deltas and snapshots reach a replica late, repeated and out of order. The
-// version in force must never fall, must be consistent with its rows, and a gap
-// must be refused.
+// Deltas and snapshots reach a replica late, repeated and out of order. Its version
+// must never decrease and must match its rows, and a delta that leaves a gap must be
+// refused.
 func TestReplicaNeverReverts(t *testing.T) {
-	states := []*State{Empty()}
+	states := []*State{EmptyState()}
 	for v := uint64(1); v <= 20; v++ {
 		next, err := states[v-1].WithDelta(delta(v))
 		require.NoError(t, err)
@@ -50,15 +50,15 @@
 	})
 }
 
-func TestCheckFindsBrokenRows(t *testing.T) {
+func TestValidateFindsBrokenRows(t *testing.T) {
 	for name, row := range map[string]*kingcupv1.Row{
-		"team without weight":  teamPut("t", 0),
+		"team without weight":  teamRow("t", 0),
 		"team without a model": {Row: &kingcupv1.Row_Team{Team: &kingcupv1.Team{Name: "t", Weight: 1, Models: []string{"none"}}}},
 		"team without class":   {Row: &kingcupv1.Row_Team{Team: &kingcupv1.Team{Name: "t", Weight: 1, Priority: "none"}}},
 		"adapter of no model":  {Row: &kingcupv1.Row_Adapter{Adapter: &kingcupv1.Adapter{Name: "a", Model: "none"}}},
 		"model of no kind":     {Row: &kingcupv1.Row_Model{Model: &kingcupv1.Model{Name: "m"}}},
 	} {
-		next, err := Empty().WithDelta(&kingcupv1.Delta{Version: 1, Puts: []*kingcupv1.Row{row}})
+		next, err := EmptyState().WithDelta(&kingcupv1.Delta{Version: 1, Puts: []*kingcupv1.Row{row}})
 		require.NoError(t, err)
 		require.ErrorIs(t, next.Validate(), ErrInvalid, name)
 	}
--- a/conf/state.go
+++ b/conf/state.go
@@ -1,7 +1,7 @@
 // Package conf is the versioned configuration: teams, models, adapters and
-// priorities under one head version. A State is one version, immutable; a
-// Replica is what a process has in force; a Store commits changes through the
-// platform's table.
+// priorities. Each change raises the version by one. A State is the configuration
+// at one version; a Replica is the copy that a process uses; a Store commits
+// changes to the platform's table.
 package conf
 
 import (
@@ -15,58 +15,59 @@
 
 // Errors of the configuration.
 var (
-	// ErrGap says that a delta does not follow the version in force.
+	// ErrGap means that a delta does not follow the current version.
 	ErrGap = errors.New("delta does not follow the version in force")
-	// ErrInvalid says that a change contradicts itself or other rows.
+	// ErrInvalid means that a row is invalid or refers to a missing row.
 	ErrInvalid = errors.New("invalid change")
 )
 
-// Key names a row.
+// Key identifies a row.
 type Key struct {
 	Kind kingcupv1.RowKind
 	Name string
 }
 
-// State is the configuration at one version. It is never changed, so any
-// number of goroutines may read it.
+// State is the configuration at one version. It is immutable and therefore safe for
+// concurrent use.
 type State struct {
 	version  uint64
 	changeID string
 	rows     map[Key]*kingcupv1.Row
 }
 
-// Empty is version 0.
-func Empty() *State {
+// EmptyState returns version 0, which has no rows.
+func EmptyState() *State {
 	return &State{rows: map[Key]*kingcupv1.Row{}}
 }
 
-// Version is the head version of the state.
+// Version returns the version of the state.
 func (s *State) Version() uint64 { return s.version }
 
-// ChangeID identifies the change that made this version.
+// ChangeID returns the id of the change that made this version.
 func (s *State) ChangeID() string { return s.changeID }
 
-// Team returns a team by name, or nil.
+// Team returns the team with a name, or nil.
 func (s *State) Team(name string) *kingcupv1.Team {
 	return s.rows[Key{kingcupv1.RowKind_ROW_KIND_TEAM, name}].GetTeam()
 }
 
-// Model returns a model or service by name, or nil.
+// Model returns the model or service with a name, or nil.
 func (s *State) Model(name string) *kingcupv1.Model {
 	return s.rows[Key{kingcupv1.RowKind_ROW_KIND_MODEL, name}].GetModel()
 }
 
-// Adapter returns an adapter by name, or nil.
+// Adapter returns the adapter with a name, or nil.
 func (s *State) Adapter(name string) *kingcupv1.Adapter {
 	return s.rows[Key{kingcupv1.RowKind_ROW_KIND_ADAPTER, name}].GetAdapter()
 }
 
-// PriorityLevel is the level of a team's priority class; the default is 0.
+// PriorityLevel returns the level of a team's priority; the default is 0.
 func (s *State) PriorityLevel(t *kingcupv1.Team) uint32 {
 	return s.rows[Key{kingcupv1.RowKind_ROW_KIND_PRIORITY, t.GetPriority()}].GetPriority().GetLevel()
 }
 
-// Rows returns the rows of a kind sorted by name; the unspecified kind is all.
+// Rows returns the rows of a kind, sorted by name. ROW_KIND_UNSPECIFIED selects all
+// kinds.
 func (s *State) Rows(kind kingcupv1.RowKind) []*kingcupv1.Row {
 	keys := make([]Key, 0, len(s.rows))
 	for k := range s.rows {
@@ -95,7 +96,7 @@
 	return 0
 }
 
-// Snapshot is the wire form of the state.
+// Snapshot returns the wire form of the state.
 func (s *State) Snapshot() *kingcupv1.Snapshot {
 	return &kingcupv1.Snapshot{
 		Version:  s.version,
@@ -104,7 +105,7 @@
 	}
 }
 
-// FromSnapshot is the state a snapshot describes.
+// FromSnapshot returns the state of a snapshot. It ignores rows without a key.
 func FromSnapshot(snap *kingcupv1.Snapshot) *State {
 	s := &State{version: snap.GetVersion(), changeID: snap.GetChangeId(), rows: make(map[Key]*kingcupv1.Row, len(snap.GetRows()))}
 	for _, r := range snap.GetRows() {
@@ -115,7 +116,7 @@
 	return s
 }
 
-// RowKey is the key of a row, or ErrInvalid.
+// RowKey returns the key of a row, or ErrInvalid if the row has no name.
 func RowKey(r *kingcupv1.Row) (Key, error) {
 	var k Key
 	switch row := r.GetRow().(type) {
@@ -134,7 +135,8 @@
 	return k, nil
 }
 
-// WithDelta is the state after d, which must follow s directly.
+// WithDelta returns the state after d is applied. It returns ErrGap unless d has the
+// version after that of s.
 func (s *State) WithDelta(d *kingcupv1.Delta) (*State, error) {
 	if d.GetVersion() != s.version+1 {
 		return nil, errors.Wrapf(ErrGap, "delta %d after version %d", d.GetVersion(), s.version)
@@ -153,18 +155,18 @@
 	return next, nil
 }
 
-// Validate returns ErrInvalid if a row refers to a row that is not there or has a
-// value out of range.
+// Validate returns ErrInvalid if a row refers to a missing row or has an invalid
+// value.
 func (s *State) Validate() error {
 	for _, r := range s.rows {
-		if err := s.checkRow(r); err != nil {
+		if err := s.validateRow(r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *State) checkRow(r *kingcupv1.Row) error {
+func (s *State) validateRow(r *kingcupv1.Row) error {
 	if a := r.GetAdapter(); a != nil && s.Model(a.GetModel()) == nil {
 		return errors.Wrapf(ErrInvalid, "adapter %q: model %q does not exist", a.GetName(), a.GetModel())
 	}
--- a/conf/store.go
+++ b/conf/store.go
@@ -21,21 +21,24 @@
 	snapshotKey = "config/snapshot"
 )
 
-// VersionsPerSnapshot is the number of versions between snapshots.
+// VersionsPerSnapshot is the number of versions between two snapshots.
 const VersionsPerSnapshot = 32
 
-// MaxTableDeltas is how many deltas stay in the table; a change can be recognized by
-// its id for as long. It is over a day of changes at the target size.
+// MaxTableDeltas is the number of deltas that stay in the table. A repeated change is
+// recognized by its id while its delta is there. At the target size this is more
+// than a day of changes.
 const MaxTableDeltas = 512
 
 const (
-	settleTries   = 5
-	settleBackoff = 50 * time.Millisecond
+	maxCommitAttempts = 5
+	commitBackoff     = 50 * time.Millisecond
 )
 
-// ConflictError says that a change was refused because the head has moved.
+// ConflictError means that a change was refused because another change has its
+// version.
 type ConflictError struct {
-	// Version is the head that the change met; 0 if it is not known.
+	// Version is the head version when the change was refused; 0 if it is not
+	// known.
 	Version uint64
 }
 
@@ -44,13 +47,13 @@
 	return fmt.Sprintf("configuration is at version %d", e.Version)
 }
 
-// Store commits and loads configuration. It is safe for concurrent use.
+// Store commits and reads the configuration. It is safe for concurrent use.
 type Store struct {
 	table   storage.Table
 	objects storage.Objects
 }
 
-// NewStore keeps deltas in table and snapshots in objects.
+// NewStore returns a store with its deltas in table and its snapshots in objects.
 func NewStore(table storage.Table, objects storage.Objects) *Store {
 	return &Store{table: table, objects: objects}
 }
@@ -59,6 +62,7 @@
 	return fmt.Sprintf("%s%016d", deltaPrefix, version)
 }
 
+// head is the content and the revision of the head row.
 type head struct {
 	version  uint64
 	revision uint64
@@ -76,22 +80,22 @@
 	return head{version: version, revision: rows[0].Revision}, nil
 }
 
-// Head reads the version of the head.
+// Head reads the head version.
 func (s *Store) Head(ctx context.Context) (uint64, error) {
 	h, err := s.readHead(ctx)
 	return h.version, err
 }
 
-// Commit makes d the next version if the head is still d.Version - 1. Errors:
-// *ConflictError, storage.ErrUnavailable (certainly not committed),
-// storage.ErrUnsettled (may be committed).
+// Commit commits d if the head version is d.Version - 1. Errors: *ConflictError,
+// storage.ErrUnavailable (certainly not committed), storage.ErrUnsettled (may be
+// committed).
 func (s *Store) Commit(ctx context.Context, d *kingcupv1.Delta) error {
 	h, err := s.readHead(ctx)
 	if err != nil {
 		return err
 	}
 	if h.version+1 != d.GetVersion() {
-		return s.conflict(ctx, d, h.version)
+		return s.resolveConflict(ctx, d, h.version)
 	}
 	value, err := proto.Marshal(d)
 	if err != nil {
@@ -107,34 +111,35 @@
 	return s.commitSettled(ctx, d, txn)
 }
 
-// commitSettled repeats a commit whose answer was lost until it is known who
-// holds the version. The repeat is safe: the transaction is conditional on the
-// head's revision, so it takes effect once at most, however often it is sent.
+// commitSettled retries a commit whose response was lost until it is known which
+// change has the version. Retries are safe: the transaction is conditional on the
+// head's revision, so it is applied at most once.
 func (s *Store) commitSettled(ctx context.Context, d *kingcupv1.Delta, txn storage.Txn) error {
-	sent := false
-	for range settleTries {
+	mayBeCommitted := false
+	for range maxCommitAttempts {
 		_, err := s.table.Commit(ctx, txn)
 		var conflict *storage.ConflictError
 		switch {
 		case err == nil:
 			return nil
 		case errors.As(err, &conflict):
-			return s.conflict(ctx, d, d.GetVersion())
+			return s.resolveConflict(ctx, d, d.GetVersion())
 		case errors.Is(err, storage.ErrUnsettled):
-			sent = true
-		case !sent:
+			mayBeCommitted = true
+		case !mayBeCommitted:
 			return err
 		}
-		if !wait.For(ctx, settleBackoff) {
+		if !wait.For(ctx, commitBackoff) {
 			break
 		}
 	}
 	return errors.Wrapf(storage.ErrUnsettled, "change %s", d.GetChangeId())
 }
 
-// conflict decides whether the version that stands in the way is d itself,
-// committed by an earlier try whose answer was lost.
-func (s *Store) conflict(ctx context.Context, d *kingcupv1.Delta, at uint64) error {
+// resolveConflict returns nil if the stored delta with the version of d is d itself,
+// committed by an earlier attempt whose response was lost. Otherwise it returns a
+// ConflictError with headVersion.
+func (s *Store) resolveConflict(ctx context.Context, d *kingcupv1.Delta, headVersion uint64) error {
 	rows, err := s.table.Read(ctx, deltaKey(d.GetVersion()))
 	if err != nil {
 		return errors.Wrap(storage.ErrUnsettled, err.Error())
@@ -145,7 +150,7 @@
 			return nil
 		}
 	}
-	return &ConflictError{Version: at}
+	return &ConflictError{Version: headVersion}
 }
 
 // Deltas reads the deltas from have+1 to the head.
@@ -169,13 +174,15 @@
 	return out, nil
 }
 
-// tableTimeout bounds a call to the table within CatchUp. A snapshot ends by its own bound on
-// silence: it may be long.
+// tableTimeout limits a call to the table in CatchUp. It does not apply to the
+// snapshot, which may be long; the object store's client has its own timeout for
+// silence.
 const tableTimeout = 4 * time.Second
 
-// CatchUp brings r to the head of the store.
+// CatchUp updates r to the head version. It reads the snapshot first if r is more
+// than VersionsPerSnapshot behind.
 func (s *Store) CatchUp(ctx context.Context, r *Replica) error {
-	head, err := s.boundedHead(ctx)
+	head, err := s.headWithTimeout(ctx)
 	if err != nil {
 		return err
 	}
@@ -194,7 +201,7 @@
 	return applyAll(r, deltas)
 }
 
-func (s *Store) boundedHead(ctx context.Context) (uint64, error) {
+func (s *Store) headWithTimeout(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	return s.Head(ctx)
@@ -209,8 +216,8 @@
 	return nil
 }
 
-// Prune deletes the deltas that a snapshot has replaced, up to KeptDeltas before
-// version. Only one snapshot's worth is deleted at a time.
+// Prune deletes the oldest deltas from the table and keeps the last MaxTableDeltas
+// up to version. One call deletes only as many as there are between two snapshots.
 func (s *Store) Prune(ctx context.Context, version uint64) error {
 	if version <= MaxTableDeltas {
 		return nil
@@ -224,8 +231,8 @@
 	return err
 }
 
-// loadSnapshot is an optimization: where the object store has none, all deltas
-// are read from the table.
+// loadSnapshot installs the snapshot from the object store. It is an optimization
+// and ignores errors: without a snapshot, CatchUp reads all deltas from the table.
 func (s *Store) loadSnapshot(ctx context.Context, r *Replica) {
 	value, err := s.objects.Get(ctx, snapshotKey)
 	if err != nil {
@@ -237,8 +244,8 @@
 	}
 }
 
-// SaveSnapshot writes st to the object store. Two writers may race; a reader
-// that gets the older snapshot reads more deltas.
+// SaveSnapshot writes st to the object store. If two writers race, an older snapshot
+// may remain; readers then read more deltas.
 func (s *Store) SaveSnapshot(ctx context.Context, st *State) error {
 	value, err := proto.Marshal(st.Snapshot())
 	if err != nil {
--- a/conf/store_test.go
+++ b/conf/store_test.go
@@ -10,9 +10,9 @@
 	"kingcupplank.example/kingcup/internal/standin/tables"
 )
 
-// More changes are made than the table keeps deltas for. A process that starts
-// then must reach the head from the snapshot and the deltas that are left, and
-// one that lags by a few versions from deltas alone.
+// There are more changes than the table keeps deltas. A process that starts then
+// must reach the head from the snapshot and the remaining deltas. A process that is
+// a few versions behind must reach it from deltas alone.
 func TestCatchUpAfterPruning(t *testing.T) {
 	ctx := context.Background()
 	table := tables.New()
