--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -141,8 +141,8 @@
 // place has the gateway choose an engine; one that gets none tries again in a while.
 func (f *fleet) place(g *generation, now time.Duration) {
 	g.lease = f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MostUsed: 0.97,
-		MostPrompt: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
+		Service: svc, ExpectedTokens: g.memory, PromptTokens: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
+		MaxPromptPending: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
 	}, now)
 	if g.lease == nil {
 		f.at(now+5*tick, func() { f.place(g, now+5*tick) })
@@ -161,8 +161,8 @@
 // free by what is known.
 func (f *fleet) cover(g *generation, now time.Duration) {
 	l := f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
-		MostUsed: 0.5, MostOfAll: 0.5, Near: g.lease.Server.FailureDomain, Within: true, Draw: f.rng.Uint64(),
+		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, ForCopy: true, CopySpeed: 18_000,
+		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.lease.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
 	}, now)
 	if l == nil {
 		return
@@ -239,7 +239,7 @@
 	})
 	inCells := divided.play()
 	partial := newFleet(func(self subset.Item, all []subset.Item) ([]subset.Item, cells.Place) {
-		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, Count: 1}
+		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, CellCount: 1}
 	})
 	drawn := partial.play()
 	t.Logf("late: %.3f in cells, %.3f with links drawn from all", inCells, drawn)
@@ -259,7 +259,7 @@
 		all = append(all, s)
 	}
 	r.Reset(all, 0, 0)
-	r.SetPlace(cells.Place{OwnCell: 0, Count: count})
+	r.SetPlace(cells.Place{OwnCell: 0, CellCount: count})
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
 	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
 	require.NotNil(t, l)
--- a/backends/load.go
+++ b/backends/load.go
@@ -5,24 +5,24 @@
 // Load is requests at a server.
 type Load struct {
 	Running int
-	// Tokens is the memory that they are expected to need.
-	Tokens int
-	// Prompt is the prompt tokens of those that have not begun to answer: what a
+	// ExpectedTokens is the memory that they are expected to need.
+	ExpectedTokens int
+	// PromptTokens is the prompt tokens of those that have not begun to answer: what a
 	// new request has to wait for.
-	Prompt int
-	// Copying is the tokens of memory that are being copied to the server: a further
+	PromptTokens int
+	// CopyTokens is the tokens of memory that are being copied to the server: a further
 	// copy waits on its link behind them.
-	Copying int
+	CopyTokens int
 	// StartTime is the life of the server that has the load, see Server.
 	StartTime int64
 }
 
 func (l Load) plus(o Load) Load {
-	return Load{Running: l.Running + o.Running, Tokens: l.Tokens + o.Tokens, Prompt: l.Prompt + o.Prompt, Copying: l.Copying + o.Copying}
+	return Load{Running: l.Running + o.Running, ExpectedTokens: l.ExpectedTokens + o.ExpectedTokens, PromptTokens: l.PromptTokens + o.PromptTokens, CopyTokens: l.CopyTokens + o.CopyTokens}
 }
 
 func (l Load) minus(o Load) Load {
-	return Load{Running: l.Running - o.Running, Tokens: l.Tokens - o.Tokens, Prompt: l.Prompt - o.Prompt, Copying: l.Copying - o.Copying}
+	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, PromptTokens: l.PromptTokens - o.PromptTokens, CopyTokens: l.CopyTokens - o.CopyTokens}
 }
 
 // load is what is known of a server's load, here and at other processes.
@@ -223,9 +223,9 @@
 	return true
 }
 
-// Movers counts, by process, the requests at servers of a failure domain that are
+// CountRequestsAtLeaving counts, by process, the requests at servers of a failure domain that are
 // leaving. Those of this process have the name self.
-func (r *Registry) Movers(self, domain string) map[string]int {
+func (r *Registry) CountRequestsAtLeaving(self, domain string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]int)
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -20,12 +20,12 @@
 	for p := range 22 {
 		loads := make(map[string]Load)
 		for i := range 43 {
-			loads[fmt.Sprint("s-", i)] = Load{Running: 1, Tokens: rng.IntN(800), Prompt: rng.IntN(100)}
+			loads[fmt.Sprint("s-", i)] = Load{Running: 1, ExpectedTokens: rng.IntN(800), PromptTokens: rng.IntN(100)}
 		}
 		r.SetRemote(fmt.Sprint("vm-", p), loads)
 	}
 	for b.Loop() {
-		if l := r.Acquire(Query{Service: svc, Tokens: 3000, Prompt: 2600, MostUsed: 0.97, MostPrompt: 3000, Draw: rng.Uint64()}, 0); l != nil {
+		if l := r.Acquire(Query{Service: svc, ExpectedTokens: 3000, PromptTokens: 2600, MaxMemoryUse: 0.97, MaxPromptPending: 3000, Draw: rng.Uint64()}, 0); l != nil {
 			l.Release(ResultInconclusive, 0)
 		}
 	}
@@ -48,7 +48,7 @@
 			loads := make(map[string]Load)
 			for _, s := range servers {
 				if rapid.Bool().Draw(t, "some") {
-					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Tokens: 10, StartTime: rapid.Int64Range(0, 1).Draw(t, "born")}
+					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), ExpectedTokens: 10, StartTime: rapid.Int64Range(0, 1).Draw(t, "born")}
 				}
 			}
 			r.SetRemote(p, loads)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -275,38 +275,38 @@
 // Query asks for a server.
 type Query struct {
 	Service string
-	// Tokens is the memory that the request is expected to need at its peak, Prompt
+	// ExpectedTokens is the memory that the request is expected to need at its peak, PromptTokens
 	// the prompt tokens that a server has to read before it answers.
-	Tokens, Prompt int
+	ExpectedTokens, PromptTokens int
 	// PromptSpeed is the prompt tokens a second that servers read.
 	PromptSpeed float64
-	// MostUsed bounds the part of its memory that the server may have in use, the
+	// MaxMemoryUse bounds the part of its memory that the server may have in use, the
 	// request included, MostPrompt the prompt tokens that it reads before; 0 is no
 	// bound.
-	MostUsed   float64
-	MostPrompt int
-	// MostOfAll bounds the part of the memory that all servers of the service have in
+	MaxMemoryUse     float64
+	MaxPromptPending int
+	// MaxServiceMemoryUse bounds the part of the memory that all servers of the service have in
 	// use together; 0 is no bound.
-	MostOfAll float64
+	MaxServiceMemoryUse float64
 	// Tried are the servers that are not to be asked again.
 	Tried []string
-	// Near is the failure domain to prefer, the process's own if empty; Within drops
+	// PreferredDomain is the failure domain to prefer, the process's own if empty; Within drops
 	// all others.
-	Near   string
-	Within bool
+	PreferredDomain string
+	SameDomainOnly  bool
 	// Regions are where the request may run.
 	Regions routing.Regions
-	// Clock is what cold servers are shared out by.
-	Clock pacing.SharedTime
+	// SharedTime is what cold servers are shared out by.
+	SharedTime pacing.SharedTime
 	// Turns bounds the choice to servers where it is this process's turn, nil for
 	// all.
 	Turns *flow.Turns
 	// Spill lets servers of other cells be taken where the own one has none with room.
 	// What is sent there by others is not known.
 	Spill bool
-	// Copy asks for a server to copy a run's memory to; CopySpeed is the tokens of
+	// ForCopy asks for a server to copy a run's memory to; CopySpeed is the tokens of
 	// memory a second that a server's link takes.
-	Copy      bool
+	ForCopy   bool
 	CopySpeed float64
 	// Draw is random.
 	Draw uint64
@@ -318,16 +318,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	views, list := r.views(q, now)
-	near := q.Near
+	near := q.PreferredDomain
 	if near == "" {
 		near = r.domain
 	}
-	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MostUsed, MaxPromptPending: q.MostPrompt, SameDomainOnly: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
+	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.ExpectedTokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.SameDomainOnly, Regions: q.Regions, CopySpeed: q.CopySpeed}
 	divided := cells.IsDivided(len(views), r.count)
 	if divided {
 		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
-	if q.MostOfAll > 0 && placement.MemoryUtilization(req, views) > q.MostOfAll {
+	if q.MaxServiceMemoryUse > 0 && placement.MemoryUtilization(req, views) > q.MaxServiceMemoryUse {
 		return nil
 	}
 	draws := r.draws(len(views))
@@ -339,7 +339,7 @@
 		req.IsOwnTurn, req.Reserved, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
 	}
 	policy := r.policy
-	if q.Copy {
+	if q.ForCopy {
 		policy = r.copies
 	}
 	i := policy.BestOf(draws, req, views, q.Draw)
@@ -352,7 +352,7 @@
 	}
 	s := list[i]
 	if l := s.bound(r.traits(q.Service), now); l.Rate > 0 {
-		s.pacer.Sent(r.share(len(list)), l, q.Clock, now)
+		s.pacer.Sent(r.share(len(list)), l, q.SharedTime, now)
 	}
 	return r.lease(s, q, len(list))
 }
@@ -360,11 +360,11 @@
 // SetPlace says which of how many cells this process is in, and which others send to the same
 // servers. It reports whether the cell is news.
 func (r *Registry) SetPlace(p cells.Place) bool {
-	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.All)
+	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := r.cell != p.OwnCell || r.count != p.Count
-	r.cell, r.count = p.OwnCell, p.Count
+	news := r.cell != p.OwnCell || r.count != p.CellCount
+	r.cell, r.count = p.OwnCell, p.CellCount
 	r.inCell, r.inAll = inCell, inAll
 	return news
 }
@@ -388,11 +388,11 @@
 	for _, s := range list {
 		load := r.load(s)
 		// A copy of a run leads to requests that cannot wait for their turn.
-		paced := q.Copy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.Clock, now)
+		paced := q.ForCopy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.SharedTime, now)
 		r.scratch = append(r.scratch, placement.Server{
 			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.regions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
 			Running: load.Running, Slots: s.Slots,
-			MemoryForecast: uint64(max(0, load.Tokens)), PromptPending: max(0, load.Prompt), CopyPending: max(0, load.Copying), MemoryTotal: uint64(traits.MemoryTokens),
+			MemoryForecast: uint64(max(0, load.ExpectedTokens)), PromptPending: max(0, load.PromptTokens), CopyPending: max(0, load.CopyTokens), MemoryTotal: uint64(traits.MemoryTokens),
 			FailureRate: s.failureRate(now), Avoid: now < s.avoidUntil || s.suspectUntil > 0 || r.losing(s, now) || r.restsElsewhere(s), BackingOff: now < s.restUntil, Cold: now < s.coldUntil, Paced: paced, Down: r.ended(s, now),
 		})
 	}
@@ -421,13 +421,13 @@
 
 // Ready counts the servers of a service that take requests.
 func (r *Registry) Ready(service string) int {
-	ready, _ := r.Standing(service, nil)
+	ready, _ := r.CountReadyWithin(service, nil)
 	return ready
 }
 
-// Standing counts the servers of a service that take requests which must stay in some
+// CountReadyWithin counts the servers of a service that take requests which must stay in some
 // regions, and those that would if they were not cordoned.
-func (r *Registry) Standing(service string, within routing.Regions) (ready, cordoned int) {
+func (r *Registry) CountReadyWithin(service string, within routing.Regions) (ready, cordoned int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -142,7 +142,7 @@
 		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *late) *relay.Relay {
 			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Peers: gr, Quarantine: gr.suspects})
 			l.relay.Store(r)
-			held := r.Quarantined
+			held := r.CancelQuarantined
 			gr.suspects.held.Store(&held)
 			return r
 		},
@@ -216,11 +216,11 @@
 		return (clock.SinceBoot() - confirmed).Seconds()
 	})
 	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
-	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.Live())) })
+	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.LiveStates())) })
 	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
 	rec.RegisterGauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
-	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.Limited()) })
-	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.Resting(clock.SinceBoot())) })
+	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.CountRateLimited()) })
+	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.CountBackingOff(clock.SinceBoot())) })
 	rec.RegisterGauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLogLines()) })
 	if err := g.serveMetrics(set, rec); err != nil {
 		callers.Close()
@@ -251,7 +251,7 @@
 // follow copies a table, together with the peers.
 func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, shared follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
-		Name: table, PollTimeout: wait, Gap: gap,
+		Name: table, PollTimeout: wait, MinCallInterval: gap,
 		Called:   func(r follow.Reason) { g.group.costs.called(table, string(r)) },
 		Restored: func() { g.group.costs.restored(table) },
 		Keep:     g.group.answers[table] != nil,
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -57,10 +57,10 @@
 
 // reads decides for a follower of a table; see readers.Role.Reads.
 func (r *readerRole) reads(now time.Duration, reached bool) bool {
-	look := readers.Inputs{Now: now, Reached: reached, ProcessCount: r.group.crowd(), Draw: rand.Float64()}
+	look := readers.Inputs{Now: now, StoreReached: reached, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
+	was := r.role.IsReading()
 	reads := r.role.ShouldRead(look)
 	r.changed(was, reads, look.ProcessCount)
 	return reads
@@ -71,7 +71,7 @@
 	if without > 0 && without < joinPatience && !r.joined.Load() {
 		return false
 	}
-	look := readers.Inputs{Now: now, Reached: true, ProcessCount: r.group.crowd(), Draw: rand.Float64()}
+	look := readers.Inputs{Now: now, StoreReached: true, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	switch {
 	case without > 0 && r.first.Load():
 		look.ProcessCount = 1
@@ -80,7 +80,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
+	was := r.role.IsReading()
 	turn := r.role.MayTryStore(look)
 	r.changed(was, turn, look.ProcessCount)
 	return turn
@@ -115,7 +115,7 @@
 		return
 	}
 	r.mu.Lock()
-	reading := r.role.Reading()
+	reading := r.role.IsReading()
 	r.mu.Unlock()
 	if reading && r.told.CompareAndSwap(false, true) {
 		r.spread()
@@ -125,7 +125,7 @@
 // spread has the peers told of the readers at once.
 func (r *readerRole) spread() {
 	r.news.Store(true)
-	r.group.links.Nudge()
+	r.group.links.SendStateNow()
 }
 
 // list is what is told of the readers, in some states.
@@ -141,7 +141,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.role.Readers(now, answered) {
-		out = append(out, &peerv1.Reader{Name: o.Name, FailureDomain: o.FailureDomain, LinkMbps: o.LinkMbps, AnsweredMs: o.Answered.Milliseconds()})
+		out = append(out, &peerv1.Reader{Name: o.Name, FailureDomain: o.FailureDomain, LinkMbps: o.LinkMbps, AnsweredMs: o.AnsweredAt.Milliseconds()})
 	}
 	return out
 }
@@ -156,7 +156,7 @@
 	for _, o := range list {
 		rs = append(rs, readers.Reader{
 			Name: o.GetName(), FailureDomain: o.GetFailureDomain(), LinkMbps: o.GetLinkMbps(),
-			Answered: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
+			AnsweredAt: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
 		})
 	}
 	r.mu.Lock()
@@ -175,7 +175,7 @@
 func (g *group) answered() time.Duration {
 	at := time.Duration(-1)
 	for _, table := range []string{operator.Table, directory.Table} {
-		if a := g.followers[table].Answered(); at < 0 || a < at {
+		if a := g.followers[table].LastAnswer(); at < 0 || a < at {
 			at = a
 		}
 	}
@@ -189,7 +189,7 @@
 	if others == 0 {
 		return 1
 	}
-	heard := float64(len(g.links.Live())) / float64(min(others, g.links.MostLinks))
+	heard := float64(len(g.links.LiveStates())) / float64(min(others, g.links.MaxLinks))
 	return 1 + min(1, heard)*float64(others)
 }
 
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -83,7 +83,7 @@
 			return err
 		}
 		m.sent(CauseState, len(frame))
-		tick.Reset(period(m.Links()))
+		tick.Reset(period(m.LinkCount()))
 		if first {
 			up()
 			if err := m.greet(send); err != nil {
@@ -120,10 +120,10 @@
 
 // greet tells a peer of suspects when a link to it is up.
 func (m *Manager) greet(send func([]byte) error) error {
-	if m.Greet == nil {
+	if m.InitialSuspects == nil {
 		return nil
 	}
-	s := m.Greet()
+	s := m.InitialSuspects()
 	if s == nil {
 		return nil
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -27,7 +27,7 @@
 // reply is what came of an attempt.
 type reply struct {
 	*attempt
-	answer *Answer
+	answer *Response
 	err    error
 	at     time.Duration
 }
@@ -47,11 +47,11 @@
 	if err := a.Recheck(); err != nil {
 		return nil, err
 	}
-	if a.From != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
+	if a.ResumeFrom != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
 		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
-	a.Begun, a.Timeout = r.Now(), j.left()
+	a.SentAt, a.Timeout = r.Now(), j.left()
 	a.Priority = -1
 	if j.Generation != nil {
 		a.Priority = j.priority
@@ -71,7 +71,7 @@
 	if r.Registry.IsIneligible(lease.Server, j.regions) {
 		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.FailureDomain}
 	}
-	if _, leaving := r.Registry.State(lease.Server); leaving && a.From == nil {
+	if _, leaving := r.Registry.State(lease.Server); leaving && a.ResumeFrom == nil {
 		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " is leaving"}
 	}
 	if r.Registry.IsBackingOff(lease.Server, r.Now()) {
@@ -96,9 +96,9 @@
 func (r *Relay) finishAttempt(j *job, p reply) (*offer, error) {
 	lease := p.lease
 	entry := j.log.WithFields(logrus.Fields{
-		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.Tokens,
-		"prompt": lease.Prompt, "of": lease.Of,
-		"waited_ms": (p.Begun - j.arrived).Milliseconds(), "answer_ms": (p.at - p.Begun).Milliseconds(),
+		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.ExpectedTokens,
+		"prompt": lease.PromptTokens, "of": lease.ServerCount,
+		"waited_ms": (p.SentAt - j.arrived).Milliseconds(), "answer_ms": (p.at - p.SentAt).Milliseconds(),
 	})
 	if p.err != nil {
 		p.cut()
@@ -112,8 +112,8 @@
 	j.ran++
 	j.answering.Store(true)
 	lease.FinishPrompt()
-	if p.From == nil {
-		r.prompted(lease.Prompt+j.prompt(), p.at-p.Begun)
+	if p.ResumeFrom == nil {
+		r.prompted(lease.PromptTokens+j.prompt(), p.at-p.SentAt)
 	}
 	entry.WithField("status", p.answer.Status).Info("sent")
 	return &offer{lease: lease, answer: p.answer, cut: p.cut}, nil
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -42,10 +42,10 @@
 		return nil
 	}
 	q := r.query(j)
-	q.Tokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
-	q.MostUsed, q.MostOfAll = coverRoom, coverOfAll
-	q.Copy, q.CopySpeed = true, e.CopySpeed()
-	q.Near, q.Within = s.FailureDomain, true
+	q.ExpectedTokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
+	q.MaxMemoryUse, q.MaxServiceMemoryUse = coverRoom, coverOfAll
+	q.ForCopy, q.CopySpeed = true, e.CopySpeed()
+	q.PreferredDomain, q.SameDomainOnly = s.FailureDomain, true
 	return r.Registry.Acquire(q, r.Now())
 }
 
@@ -77,7 +77,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.cover = &copied{Copy: Copy{Source: o.cover.Server.Address, Handle: u.job.ID}, lease: o.cover}
+	u.cover = &copied{KVCopy: KVCopy{Source: o.cover.Server.Address, Handle: u.job.ID}, lease: o.cover}
 }
 
 // uncover gives the room of the standing copy back.
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -38,7 +38,7 @@
 // standInLine has a request wait for its turn where no server takes any number, and refuses it
 // if that comes too late. It returns nil otherwise.
 func (r *Relay) standInLine(j *job, l *line, w *flow.Waiter, p backends.Availability) *Refusal {
-	if !p.Later() {
+	if !p.MustWait() {
 		return nil
 	}
 	if j.ran == 0 {
@@ -84,7 +84,7 @@
 	}
 	l.mu.Lock()
 	l.queue.SetRate(p.PerSecond)
-	turn := p.Next + l.queue.EstimateWait(w, now)
+	turn := p.RateWait + l.queue.EstimateWait(w, now)
 	l.mu.Unlock()
 	if p.Resting {
 		turn = min(turn, p.Rest)
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -33,7 +33,7 @@
 
 // copied is a copy of a run's memory at a server that counts it.
 type copied struct {
-	Copy
+	KVCopy
 	lease *backends.Reservation
 }
 
@@ -246,7 +246,7 @@
 func (r *Relay) drop(c copied) {
 	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
-	r.Upstream.Drop(ctx, c.Copy)
+	r.Upstream.DropCopy(ctx, c.KVCopy)
 	c.lease.Release(backends.ResultInconclusive, r.Now())
 }
 
@@ -341,13 +341,13 @@
 func (m *move) target() *backends.Reservation {
 	r := m.relay
 	q := r.query(m.run.job)
-	q.Tokens, q.Tried, q.MostUsed = m.run.memory(), m.tried, copyRoom
-	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
-	q.Near = m.from.FailureDomain
+	q.ExpectedTokens, q.Tried, q.MaxMemoryUse = m.run.memory(), m.tried, copyRoom
+	q.ForCopy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
+	q.PreferredDomain = m.from.FailureDomain
 	first := q
-	first.Turns, first.Within = r.Peers.MoveTurns(m.from.FailureDomain), true
+	first.Turns, first.SameDomainOnly = r.Peers.MigrationTurns(m.from.FailureDomain), true
 	anyRoom := q
-	anyRoom.MostUsed = 0
+	anyRoom.MaxMemoryUse = 0
 	for _, q := range []backends.Query{first, q, anyRoom} {
 		if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
 			r.Peers.Notify()
@@ -394,10 +394,10 @@
 	if handle == "" {
 		return took, err
 	}
-	c := copied{Copy: Copy{Source: m.from.Address, Handle: handle}, lease: m.to.lease}
+	c := copied{KVCopy: KVCopy{Source: m.from.Address, Handle: handle}, lease: m.to.lease}
 	if err != nil && final {
 		// The run has stopped and only its server has its memory.
-		c.lease = m.relay.Registry.Rejoin(m.from, m.run.memory())
+		c.lease = m.relay.Registry.ReserveAt(m.from, m.run.memory())
 	}
 	if c.lease != nil && !m.run.addCopy(c) {
 		go m.relay.drop(c)
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -38,7 +38,7 @@
 			if w.failed() {
 				o.lease.Release(backends.ResultFailed, r.Now())
 				if j.mayRepeat() && !w.more {
-					r.Observer.Attempt(j.service, "server error")
+					r.Observer.AttemptFailed(j.service, "server error")
 					j.tried = append(j.tried, o.lease.Server.ID)
 					spare, j.hasAnswer = w, true
 					continue
@@ -56,7 +56,7 @@
 		if err != nil {
 			r.broke(ctx, j, o.lease.Server)
 		}
-		r.Observer.Attempt(j.service, "spoilt")
+		r.Observer.AttemptFailed(j.service, "spoilt")
 		o.lease.Release(backends.ResultFailed, r.Now())
 		j.tried = append(j.tried, o.lease.Server.ID)
 		j.log.WithError(err).WithField("server", o.lease.Server.ID).WithField("status", o.answer.Status).Warn("answer is spoilt")
@@ -82,19 +82,19 @@
 
 // whole is an answer, read to its end or to wholeUpTo bytes.
 type whole struct {
-	*Answer
+	*Response
 	body []byte
 	// more says that the body goes on.
 	more bool
 }
 
-func readWhole(a *Answer) (*whole, error) {
+func readWhole(a *Response) (*whole, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, wholeUpTo+1))
 	if err != nil {
 		a.Body.Close()
 		return nil, err
 	}
-	w := &whole{Answer: a, body: body, more: len(body) > wholeUpTo}
+	w := &whole{Response: a, body: body, more: len(body) > wholeUpTo}
 	if !w.more {
 		a.Body.Close()
 	}
@@ -104,7 +104,7 @@
 // proper reports whether the answer is the server's own, as it made it. A success
 // without the server's signature, or recoded on its way, is not.
 func (w *whole) proper() bool {
-	return w.Status >= 300 || w.Sealed && !w.Encoded
+	return w.Status >= 300 || w.Signed && !w.Recoded
 }
 
 func (w *whole) failed() bool { return w.Status >= 500 }
@@ -114,7 +114,7 @@
 	if !w.more && w.Length < 0 {
 		w.Length = int64(len(w.body))
 	}
-	if out.Begin(w.Answer) != nil {
+	if out.Begin(w.Response) != nil {
 		out.Abort()
 		return OutcomeCallerGone
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,8 +35,8 @@
 type Observer interface {
 	Finished(team, service string, kind routing.Kind, outcome string)
 	FirstByte(team, service string, kind routing.Kind, d time.Duration)
-	Pause(team string, d time.Duration)
-	Attempt(service, result string)
+	EventPause(team string, d time.Duration)
+	AttemptFailed(service, result string)
 	Migrated(result string)
 	// ServerCrashed is told of a server that has ended under requests.
 	ServerCrashed(service string)
@@ -57,8 +57,8 @@
 // Quarantine remembers under which requests servers have ended, here and at all other
 // processes.
 type Quarantine interface {
-	// Any reports whether anything is known of any request.
-	Any() bool
+	// HasRecords reports whether anything is known of any request.
+	HasRecords() bool
 	// Quarantined reports whether a request must not be sent to servers, and for how much longer.
 	Quarantined(id quarantine.ID) (left time.Duration, held bool)
 	// TrialDue reports whether a request that is held is to be tried.
@@ -76,8 +76,8 @@
 
 // Peers tells of the other processes that serve callers.
 type Peers interface {
-	// Known counts the processes, this one included; 0 if not known.
-	Known() int
+	// Count counts the processes, this one included; 0 if not known.
+	Count() int
 	// ConfigCurrent reports whether they know no newer configuration than the one that this process
 	// started with.
 	ConfigCurrent() bool
@@ -86,18 +86,18 @@
 	// Notify has them told at once of what has changed here: a generation, or a copy of
 	// one, was put on an engine, or a server fails.
 	Notify()
-	// Queued tells them what waits here for a service; the name is left out.
-	Queued(service string, q flow.Contender)
-	// Used tells them what the teams that use a service most have used here, and
+	// ReportQueue tells them what waits here for a service; the name is left out.
+	ReportQueue(service string, q flow.Contender)
+	// ReportUsage tells them what the teams that use a service most have used here, and
 	// Usage is what they tell.
-	Used(service string, top []flow.Usage)
+	ReportUsage(service string, top []flow.Usage)
 	Usage(service string) []flow.Usage
 	// Turns is whose turn it is at the servers of a service for a request of some
 	// rank, nil while no other process has one waiting that is as urgent.
 	Turns(service string, rank int) *flow.Turns
-	// MoveTurns is whose turn it is to copy runs off the servers that leave a failure
+	// MigrationTurns is whose turn it is to copy runs off the servers that leave a failure
 	// domain, nil while only this process has such runs.
-	MoveTurns(domain string) *flow.Turns
+	MigrationTurns(domain string) *flow.Turns
 	// SharedClock is a clock that all processes go by.
 	SharedClock() pacing.SharedTime
 }
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -43,8 +43,8 @@
 	// Wait is how long the caller waits for the answer, 0 if it did not say.
 	Wait time.Duration
 	Key  string
-	// After is the last event that the caller has of a stream, empty if none.
-	After string
+	// LastEventID is the last event that the caller has of a stream, empty if none.
+	LastEventID string
 	// Generation is nil for plain requests.
 	Generation *Generation
 }
@@ -53,45 +53,45 @@
 type Attempt struct {
 	Request *Request
 	Server  backends.Server
-	// Begun is when it was sent.
-	Begun time.Duration
+	// SentAt is when it was sent.
+	SentAt time.Duration
 	// Timeout is how long the server may take.
 	Timeout time.Duration
 	// Team is the name of the key's holder, empty if none.
 	Team string
 	// Priority ranks the request at an engine, -1 for none.
 	Priority int
-	// After is the last event already delivered, empty for none.
-	After string
+	// LastEventID is the last event already delivered, empty for none.
+	LastEventID string
 	// StandbyAddress is the address of a server that the run's memory is sent to as it grows,
 	// empty for none. The copy there has the request's id for a handle.
 	StandbyAddress string
-	// From is a copy of the run's memory to go on from, nil for a new run.
-	From *Copy
+	// ResumeFrom is a copy of the run's memory to go on from, nil for a new run.
+	ResumeFrom *KVCopy
 	// Recheck is the last look before the attempt is sent, once there is a connection for it. An
 	// error ends the attempt unsent. Errors: *Refused.
 	Recheck func() error
 }
 
-// Copy is a run's memory at another server.
-type Copy struct {
+// KVCopy is a run's memory at another server.
+type KVCopy struct {
 	// Source is the address of the server that the run was on.
 	Source string
 	Handle string
 }
 
-// Answer is a server's answer, head first.
-type Answer struct {
+// Response is a server's answer, head first.
+type Response struct {
 	Status int
 	Header []Field
 	// Length is the body's, -1 if the answer does not say.
 	Length int64
-	// Events marks a stream.
-	Events bool
-	// Sealed marks an answer that bears the server's signature.
-	Sealed bool
-	// Encoded marks a body that is not as the server made it.
-	Encoded bool
+	// IsStream marks a stream.
+	IsStream bool
+	// Signed marks an answer that bears the server's signature.
+	Signed bool
+	// Recoded marks a body that is not as the server made it.
+	Recoded bool
 	// Body ends with io.EOF only if it is whole.
 	Body io.ReadCloser
 }
@@ -107,12 +107,12 @@
 
 // The reasons of servers.
 const (
-	// RefusedFull is a server without room.
-	RefusedFull NotRunReason = "full"
-	// RefusedReplaced is another server at the address.
-	RefusedReplaced NotRunReason = "replaced"
-	// RefusedUnreachable is a server that nothing could be sent to.
-	RefusedUnreachable NotRunReason = "unreachable"
+	// NotRunFull is a server without room.
+	NotRunFull NotRunReason = "full"
+	// NotRunReplaced is another server at the address.
+	NotRunReplaced NotRunReason = "replaced"
+	// NotRunUnreachable is a server that nothing could be sent to.
+	NotRunUnreachable NotRunReason = "unreachable"
 	// NotRunDown is a server that does not listen at its address any more.
 	NotRunDown NotRunReason = "ended"
 	// NotRunIneligible is a server that the request must not be sent to: its failure domain is
@@ -128,8 +128,8 @@
 var (
 	// ErrNoRun says that the server runs no such request.
 	ErrNoRun = errors.New("no such run")
-	// ErrMoveBusy says that the run is being copied by another call.
-	ErrMoveBusy = errors.New("run is being copied")
+	// ErrCopyInProgress says that the run is being copied by another call.
+	ErrCopyInProgress = errors.New("run is being copied")
 	// ErrNoRoom says that the target of a copy has no room or is unreachable.
 	ErrNoRoom = errors.New("no room for the copy")
 )
@@ -138,28 +138,28 @@
 type Upstream interface {
 	// Send sends an attempt and waits for the answer's head. The attempt ends
 	// with ctx. Errors: *Refused, or one that leaves the outcome unknown.
-	Send(ctx context.Context, a *Attempt) (*Answer, error)
+	Send(ctx context.Context, a *Attempt) (*Response, error)
 	// CopyRun copies the memory of a run to the server at the address to; a later
 	// call copies what is new. A final call stops the run first and closes its
 	// stream without an end. A handle may come with ErrNoRoom: then the run has
 	// stopped and its server keeps the memory.
 	CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
-	// Drop frees a copy that will not be used.
-	Drop(ctx context.Context, c Copy)
+	// DropCopy frees a copy that will not be used.
+	DropCopy(ctx context.Context, c KVCopy)
 	// CloseIdle closes the idle connections to an address, whose server has ended.
 	CloseIdle(address string)
 	// IsDown reports whether nothing listens at a server's address any more. It is false
 	// where that cannot be told.
 	IsDown(ctx context.Context, s backends.Server) bool
-	// Leaving asks a server whether it is about to end.
-	Leaving(ctx context.Context, s backends.Server) (bool, error)
+	// IsLeaving asks a server whether it is about to end.
+	IsLeaving(ctx context.Context, s backends.Server) (bool, error)
 }
 
 // Responder takes the one final answer to a request: Refuse, or Begin, any
 // number of Write, and End or Abort.
 type Responder interface {
 	Refuse(f Refusal)
-	Begin(a *Answer) error
+	Begin(a *Response) error
 	// Write passes bytes on at once.
 	Write(p []byte) error
 	End()
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -35,8 +35,8 @@
 	Name, FailureDomain string
 	// LinkMbps is its bandwidth in Mbit/s, 0 if it is not known.
 	LinkMbps float64
-	// Answered is the store's steady clock when the store last answered it.
-	Answered time.Duration
+	// AnsweredAt is the store's steady clock when the store last answered it.
+	AnsweredAt time.Duration
 }
 
 // Choose picks those that read the store for all, by the same rule everywhere.
@@ -85,29 +85,29 @@
 // NewRole returns the role of a process that does not read yet.
 func NewRole(self Reader) *Role { return &Role{self: self, others: make(map[string]Reader)} }
 
-// Reading reports whether the process reads the store.
-func (r *Role) Reading() bool { return r.reading }
+// IsReading reports whether the process reads the store.
+func (r *Role) IsReading() bool { return r.reading }
 
 // AddReports takes what another process knows.
 func (r *Role) AddReports(list []Reader, now time.Duration) {
 	for _, o := range list {
-		if o.Name == r.self.Name || !fresh(o, now) || o.Answered > now+ahead {
+		if o.Name == r.self.Name || !fresh(o, now) || o.AnsweredAt > now+ahead {
 			continue
 		}
-		if known, ok := r.others[o.Name]; !ok || o.Answered > known.Answered {
+		if known, ok := r.others[o.Name]; !ok || o.AnsweredAt > known.AnsweredAt {
 			r.others[o.Name] = o
 		}
 	}
 }
 
-func fresh(o Reader, now time.Duration) bool { return now-o.Answered < AnswerTimeout }
+func fresh(o Reader, now time.Duration) bool { return now-o.AnsweredAt < AnswerTimeout }
 
 // Readers lists those that read the store, as far as it is known here: what is told to
 // others. answered is when the store last answered this process.
 func (r *Role) Readers(now, answered time.Duration) []Reader {
 	list := r.alive(now)
 	self := r.self
-	self.Answered = answered
+	self.AnsweredAt = answered
 	if r.reading && fresh(self, now) {
 		list = append(list, self)
 	}
@@ -130,14 +130,14 @@
 type Inputs struct {
 	// Now is the store's steady clock, as near as it is known here.
 	Now time.Duration
-	// Reached says that the store answered the last call of this process.
-	Reached bool
+	// StoreReached says that the store answered the last call of this process.
+	StoreReached bool
 	// ProcessCount is how many processes are in the same place, this one included: those that it
 	// knows, by the part of its links that it hears something on. One that hears nobody
 	// is alone.
 	ProcessCount float64
-	// Draw is drawn from [0, 1).
-	Draw float64
+	// Random is drawn from [0, 1).
+	Random float64
 }
 
 // ShouldRead decides whether this process reads the store. One that does goes on until two
@@ -145,7 +145,7 @@
 // readers, or where it is better than one of them; of many that could, few try at a time.
 func (r *Role) ShouldRead(l Inputs) bool {
 	others := r.alive(l.Now)
-	if r.reading && !l.Reached {
+	if r.reading && !l.StoreReached {
 		r.reading = false
 	}
 	if r.reading {
@@ -167,7 +167,7 @@
 func (r *Role) volunteer(l Inputs) bool {
 	since := min(max(l.Now-r.looked, 0), longestLook)
 	r.looked = l.Now
-	r.reading = l.ProcessCount <= 1 || l.Draw < volunteersPerSecond*since.Seconds()/l.ProcessCount
+	r.reading = l.ProcessCount <= 1 || l.Random < volunteersPerSecond*since.Seconds()/l.ProcessCount
 	return r.reading
 }
 
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -15,8 +15,8 @@
 	begun  bool
 }
 
-// First notes a first try.
-func (b *Budget) First() {
+// RecordFirstTry notes a first try.
+func (b *Budget) RecordFirstTry() {
 	if !b.begun {
 		b.begun = true
 		b.tokens = b.Max
@@ -24,8 +24,8 @@
 	b.tokens = min(b.Max, b.tokens+b.Ratio)
 }
 
-// Take reports whether a retry is allowed, and uses it up.
-func (b *Budget) Take() bool {
+// TryTake reports whether a retry is allowed, and uses it up.
+func (b *Budget) TryTake() bool {
 	if b.tokens < 1 {
 		return false
 	}
