--- a/conf/store.go
+++ b/conf/store.go
@@ -34,8 +34,8 @@
 	commitBackoff     = 50 * time.Millisecond
 )
 
-// ConflictError means that a change was refused because another change has its
-// version.
+// ConflictError means that a change was refused because its version does not follow
+// the head version.
 type ConflictError struct {
 	// Version is the head version when the change was refused; 0 if it is not
 	// known.
@@ -216,8 +216,9 @@
 	return nil
 }
 
-// Prune deletes the oldest deltas from the table and keeps the last MaxTableDeltas
-// up to version. One call deletes only as many as there are between two snapshots.
+// Prune deletes old deltas, which a snapshot has replaced, and keeps the last
+// MaxTableDeltas up to version. One call deletes only about as many deltas as there
+// are between two snapshots.
 func (s *Store) Prune(ctx context.Context, version uint64) error {
 	if version <= MaxTableDeltas {
 		return nil
--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -99,7 +99,7 @@
 	}
 	g := a.newGeneration(start)
 	decision := a.policy.Offer(a.now(), g.job)
-	if decision.Verdict == sched.Refuse {
+	if decision.Admission == sched.Refused {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, decision.RetryAfter, "queue of team %s is too long", g.job.Team)
 	}
 	a.register(g)
@@ -125,7 +125,7 @@
 	a.acts = a.policy.Tick(a.now(), a.acts[:0])
 	for _, act := range a.acts {
 		g := a.scheduled[act.Job]
-		switch act.Verb {
+		switch act.Kind {
 		case sched.Start:
 			a.startJob(g)
 		case sched.Pause:
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -104,7 +104,7 @@
 		PromptTokens: a.Prompt, MaxTokens: MaxTokens, EmittedBefore: a.Emitted, Urgent: a.Emitted > 0,
 	}
 	s.out.class(t).Offered++
-	if d := s.policy.Offer(s.now, j); d.Verdict == sched.Refuse {
+	if d := s.policy.Offer(s.now, j); d.Admission == sched.Refused {
 		s.out.class(t).Refused++
 		return
 	}
@@ -115,7 +115,7 @@
 	s.acts = s.policy.Tick(s.now, s.acts[:0])
 	for _, act := range s.acts {
 		r := s.jobs[act.Job]
-		switch act.Verb {
+		switch act.Kind {
 		case sched.Start:
 			s.start(r)
 		case sched.Pause:
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -13,7 +13,7 @@
 		}
 		p.removePaused(j)
 		p.markRunning(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
@@ -38,7 +38,7 @@
 		}
 		p.dequeue(t, j)
 		p.markRunning(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -65,7 +65,7 @@
 	j.arrivedAt, j.emitted, j.state = now, j.EmittedBefore, stateQueued
 	b.queue = append(b.queue, j)
 	b.stats.Queued++
-	return Decision{Verdict: Queue}
+	return Decision{Admission: Queued}
 }
 
 // Adopt implements Policy.
@@ -137,7 +137,7 @@
 		b.stats.Queued--
 		b.startsByTeam[j.Team]++
 		b.markRunning(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
@@ -150,7 +150,7 @@
 		if expired {
 			j.state = stateDone
 			b.stats.Queued--
-			acts = append(acts, Action{Verb: Expire, Job: j, RetryAfter: b.maxWait})
+			acts = append(acts, Action{Kind: Expire, Job: j, RetryAfter: b.maxWait})
 		}
 		return expired
 	})
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -122,11 +122,11 @@
 	j.contrib = p.forecastJob(j)
 	if wait := p.estimateWait(t, j); !p.cfg.Disabled.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
 		j.state = stateDone
-		return Decision{Verdict: Refuse, RetryAfter: p.retryAfter(j, wait)}
+		return Decision{Admission: Refused, RetryAfter: p.retryAfter(j, wait)}
 	}
 	j.state = stateQueued
 	p.enqueue(t, j)
-	return Decision{Verdict: Queue}
+	return Decision{Admission: Queued}
 }
 
 // forecastJob computes the contribution of j to the batch.
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -28,7 +28,7 @@
 
 func (e *simEngine) offer(j *Job, length int) {
 	e.length[j] = length
-	if e.p.Offer(e.now, j).Verdict == Refuse {
+	if e.p.Offer(e.now, j).Admission == Refused {
 		e.ended++
 		return
 	}
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, act := range e.p.Tick(e.now, nil) {
-		switch act.Verb {
+		switch act.Kind {
 		case Start:
 			emitted, ok := e.queued[act.Job]
 			require.True(t, ok, "started a job that is not waiting")
--- a/sched/rate.go
+++ b/sched/rate.go
@@ -12,7 +12,7 @@
 	updatedAt time.Duration
 }
 
-// rateTimeConstant is the age at which an amount counts 1/e.
+// rateTimeConstant is the age at which an amount has decayed to 1/e.
 const rateTimeConstant = 10 * time.Second
 
 func (r *decayingRate) add(now time.Duration, amount float64) {
--- a/sched/refuse.go
+++ b/sched/refuse.go
@@ -61,7 +61,7 @@
 			wait := p.estimateWait(t, j)
 			p.dequeue(t, j)
 			j.state = stateDone
-			acts = append(acts, Action{Verb: Expire, Job: j, RetryAfter: p.retryAfter(j, max(wait, time.Second))})
+			acts = append(acts, Action{Kind: Expire, Job: j, RetryAfter: p.retryAfter(j, max(wait, time.Second))})
 		}
 	}
 	return acts
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -55,32 +55,32 @@
 // Waiting reports whether the job is queued or paused.
 func (j *Job) Waiting() bool { return j.state == stateQueued || j.state == statePaused }
 
-// Verdict is the answer to an offered job.
-type Verdict uint8
+// Admission states whether an offered job is queued or refused.
+type Admission uint8
 
-// The verdicts.
+// The possible answers.
 const (
-	// Queue means that a later Start or Expire action follows.
-	Queue Verdict = iota
-	// Refuse means that the policy does not keep the job; it did not run.
-	Refuse
+	// Queued means that a later Start or Expire action follows.
+	Queued Admission = iota
+	// Refused means that the policy does not keep the job; it did not run.
+	Refused
 )
 
 // Decision answers Offer.
 type Decision struct {
-	Verdict Verdict
+	Admission Admission
 	// RetryAfter is how long the caller of a refused job should wait before a
 	// retry.
 	RetryAfter time.Duration
 }
 
-// Verb is the kind of an Action.
-type Verb uint8
+// ActionKind is the kind of an Action.
+type ActionKind uint8
 
-// The verbs.
+// The kinds of actions.
 const (
 	// Start the job, or resume it if it was paused.
-	Start Verb = iota
+	Start ActionKind = iota
 	// Pause the job: remove it from the engine and keep its tokens.
 	Pause
 	// Expire the job: fail it as not run, because it has waited too long.
@@ -89,7 +89,7 @@
 
 // Action is one step for the caller to carry out. RetryAfter is set for Expire.
 type Action struct {
-	Verb       Verb
+	Kind       ActionKind
 	Job        *Job
 	RetryAfter time.Duration
 }
--- a/sched/victims.go
+++ b/sched/victims.go
@@ -24,7 +24,7 @@
 		j := p.selectVictim()
 		p.removeRunning(j)
 		p.markPaused(j)
-		acts = append(acts, Action{Verb: Pause, Job: j})
+		acts = append(acts, Action{Kind: Pause, Job: j})
 	}
 	return acts
 }
