--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -108,14 +108,14 @@
 func TestSpoiltWordsOfPeersChangeNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
 	for _, l := range []RateLimitReport{
-		{Named: true, PerSecond: 3}, {Known: true, Named: true, PerSecond: -1}, {Known: true, Named: true, PerSecond: math.NaN()},
-		{Known: true, Named: true, PerSecond: math.Inf(1)}, {Known: true, Named: true, PerSecond: 3, Age: -time.Second},
+		{Limited: true, PerSecond: 3}, {Known: true, Limited: true, PerSecond: -1}, {Known: true, Limited: true, PerSecond: math.NaN()},
+		{Known: true, Limited: true, PerSecond: math.Inf(1)}, {Known: true, Limited: true, PerSecond: 3, Age: -time.Second},
 	} {
 		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: l, StartTime: s.StartTime}}, time.Minute))
-		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Named: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
+		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Limited: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
 		require.Zero(t, r.CountRateLimited())
 	}
-	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Named: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
+	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Limited: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
 	require.Equal(t, 1, r.CountRateLimited())
 }
 
@@ -174,7 +174,7 @@
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second), "once")
 	r.Put(s, 2*time.Second)
 	require.Zero(t, r.Ready(svc))
-	r.Reset(nil, 10*time.Second, 12*time.Second)
+	r.ReplaceAll(nil, 10*time.Second, 12*time.Second)
 	r.Put(s, 13*time.Second)
 	require.Zero(t, r.Ready(svc))
 	again := s
@@ -208,7 +208,7 @@
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
 	lease.Release(ResultOK, 4*time.Second)
-	r.ApplySignals(s, Signals{Backoff: MostRest}, 0, 5*time.Second)
+	r.ApplySignals(s, Signals{Backoff: MaxBackoff}, 0, 5*time.Second)
 	again := s
 	again.StartTime = 2
 	r.Put(again, 6*time.Second)
--- a/backends/load.go
+++ b/backends/load.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// SetRemote replaces what another process has told of its load; nil forgets it.
-func (r *Registry) SetRemote(process string, loads map[string]Load) {
+// SetRemoteLoads replaces what another process has told of its load; nil forgets it.
+func (r *Registry) SetRemoteLoads(process string, loads map[string]Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.addTold(r.remote[process], Load.minus)
@@ -130,8 +130,8 @@
 // StatusChange is news that another process has told of a server.
 type StatusChange struct {
 	Server
-	// Limit reports that it is of its limit.
-	Limit bool
+	// RateLimitChanged reports that it is of its limit.
+	RateLimitChanged bool
 }
 
 // SetRemoteStatuses replaces what another process has told of what is wrong with servers; nil forgets
@@ -158,7 +158,7 @@
 			left = s.report(left, NoticeTold)
 		}
 		if limitNews := s.limit.hear(l.RateLimit, now); limitNews || leavingNews {
-			news = append(news, StatusChange{Server: s.Server, Limit: limitNews})
+			news = append(news, StatusChange{Server: s.Server, RateLimitChanged: limitNews})
 		}
 	}
 	r.mu.Unlock()
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Reset replaces the directory. outage is how long it was silent before.
-func (r *Registry) Reset(list []Server, outage, now time.Duration) {
+// ReplaceAll replaces the directory. outage is how long it was silent before.
+func (r *Registry) ReplaceAll(list []Server, outage, now time.Duration) {
 	r.mu.Lock()
 	left := r.reset(list, outage, now)
 	r.mu.Unlock()
@@ -432,7 +432,7 @@
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
 		switch {
-		case s.Service != service || s.gone || s.withheld || s.Leaving || !within.Allow(r.regions[s.FailureDomain]):
+		case s.Service != service || s.gone || s.withheld || s.Leaving || !within.Allows(r.regions[s.FailureDomain]):
 		case r.cordoned[s.FailureDomain]:
 			cordoned++
 		default:
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -9,8 +9,8 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// Shared is a page as one process passes it on to others.
-type Shared struct {
+// SharedPage is a page as one process passes it on to others.
+type SharedPage struct {
 	Page
 	// Since is the revision that the page goes on from.
 	Since revision.Revision
@@ -35,10 +35,10 @@
 	// processes that ask, few may at the same time.
 	MayCallStore(without time.Duration) bool
 	// Share passes on a page that was read.
-	Share(s Shared)
-	// Reading reports whether another process says that a long answer of the store is
+	Share(s SharedPage)
+	// IsPeerReading reports whether another process says that a long answer of the store is
 	// coming in there.
-	Reading() bool
+	IsPeerReading() bool
 }
 
 // silentSlack is how much longer than a call may wait nothing may be heard before
@@ -73,11 +73,11 @@
 // silent reports whether too little is heard of others to live on them; mu is held.
 func (f *Follower) silent() bool {
 	age := f.now() - f.made
-	return age > f.cfg.PollTimeout+silentSlack && (age > readingPatience || !f.sharing.Reading())
+	return age > f.cfg.PollTimeout+silentSlack && (age > readingPatience || !f.sharing.IsPeerReading())
 }
 
-// Reading reports whether a long answer is coming in here.
-func (f *Follower) Reading() bool { return f.reading.Load() }
+// IsReading reports whether a long answer is coming in here.
+func (f *Follower) IsReading() bool { return f.reading.Load() }
 
 // leanPoll is how often a process that lives on others looks whether it still may.
 const leanPoll = 100 * time.Millisecond
@@ -94,7 +94,7 @@
 
 // ReceivePage takes a page that another process has read. One that leaves a gap is not
 // taken; the changes between are then fetched, or read from the store.
-func (f *Follower) ReceivePage(s Shared) {
+func (f *Follower) ReceivePage(s SharedPage) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -151,7 +151,7 @@
 
 func relayConfig(set *settings.Settings) relay.Config {
 	return relay.Config{
-		RevokeBound: set.Bounds.Revoke, ApplyBound: set.Bounds.ApplyConfig,
+		RevokeTimeout: set.Bounds.Revoke, ApplyTimeout: set.Bounds.ApplyConfig,
 		RetryRatio: set.Bounds.RetryRatio, RetryExtra: set.Bounds.RetryExtra,
 	}
 }
@@ -215,7 +215,7 @@
 		_, confirmed := rep.Current()
 		return (clock.SinceBoot() - confirmed).Seconds()
 	})
-	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
+	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.KnownCount() - 1) })
 	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.LiveStates())) })
 	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
 	rec.RegisterGauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
@@ -252,9 +252,9 @@
 func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, shared follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
 		Name: table, PollTimeout: wait, MinCallInterval: gap,
-		Called:   func(r follow.Reason) { g.group.costs.called(table, string(r)) },
-		Restored: func() { g.group.costs.restored(table) },
-		Keep:     g.group.answers[table] != nil,
+		OnCall:     func(r follow.Reason) { g.group.costs.called(table, string(r)) },
+		OnRestored: func() { g.group.costs.restored(table) },
+		KeepRows:   g.group.answers[table] != nil,
 	}
 	f := follow.New(cfg, g.store.Table(table), sink, shared, clock.SinceBoot, g.log)
 	g.group.followers[table] = f
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -76,8 +76,8 @@
 	var d net.Dialer
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
-		State: g.state, Receiver: g, Answer: g.answer, Log: log, Forgotten: g.forgotten,
-		Sent: costs.toPeer, MaxLinks: mostLinks, Placed: g.placed, InitialSuspects: g.suspects.greet,
+		State: g.state, Receiver: g, Answer: g.answer, Log: log, OnForgotten: g.forgotten,
+		OnSent: costs.toPeer, MaxLinks: mostLinks, OnPlaced: g.placed, InitialSuspects: g.suspects.greet,
 	})
 	return g
 }
@@ -94,7 +94,7 @@
 	s := &peerv1.State{
 		From:     &peerv1.Member{Name: g.self.Name, Address: g.self.Address, FailureDomain: g.self.FailureDomain},
 		Stopping: g.stopping.Load(), StoreReached: g.reached(),
-		ConfigVersion: g.ownVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].Reading(),
+		ConfigVersion: g.ownVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].IsReading(),
 		Positions: g.positions(), Readers: g.role.list(),
 	}
 	for id, l := range g.registry.Loads() {
@@ -122,13 +122,13 @@
 // pass passes on what a peer has told of servers that is news here.
 func (g *group) pass(peer string, losses map[string]backends.ServerStatus, news []backends.StatusChange) {
 	for _, t := range news {
-		if !t.Limit {
+		if !t.RateLimitChanged {
 			continue
 		}
 		l := losses[t.ID].RateLimit
 		g.log.WithFields(logrus.Fields{
 			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
-			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
+			"named": l.Limited, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
 		}).Info("a peer tells of a server's limit")
 	}
 	if len(news) > 0 {
@@ -139,7 +139,7 @@
 func lossOf(server string, l backends.ServerStatus) *peerv1.Loss {
 	out := &peerv1.Loss{Server: server, InARow: uint32(l.ConsecutiveLosses), Ended: l.Down, Leaving: l.Leaving, Resting: l.BackingOff, Born: l.StartTime}
 	if l.RateLimit.Known {
-		out.Limit = &peerv1.Limit{Named: l.RateLimit.Named, PerSecond: l.RateLimit.PerSecond, AgeMs: l.RateLimit.Age.Milliseconds()}
+		out.Limit = &peerv1.Limit{Named: l.RateLimit.Limited, PerSecond: l.RateLimit.PerSecond, AgeMs: l.RateLimit.Age.Milliseconds()}
 	}
 	return out
 }
@@ -150,14 +150,14 @@
 func lossFrom(l *peerv1.Loss) backends.ServerStatus {
 	out := backends.ServerStatus{ConsecutiveLosses: int(l.GetInARow()), Down: l.GetEnded(), Leaving: l.GetLeaving(), BackingOff: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
-		out.RateLimit = backends.RateLimitReport{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
+		out.RateLimit = backends.RateLimitReport{Known: true, Limited: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
 	return out
 }
 
 func (g *group) reached() bool {
 	for _, f := range g.followers {
-		if !f.Reached() {
+		if !f.StoreReached() {
 			return false
 		}
 	}
@@ -167,7 +167,7 @@
 // State implements peers.Receiver.
 func (g *group) State(peer string, s *peerv1.State) {
 	if s == nil {
-		g.registry.SetRemote(peer, nil)
+		g.registry.SetRemoteLoads(peer, nil)
 		g.registry.SetRemoteStatuses(peer, nil, clock.SinceBoot())
 		return
 	}
@@ -182,7 +182,7 @@
 			Running: int(l.GetRunning()), ExpectedTokens: int(l.GetTokens()), PromptTokens: int(l.GetPrompt()), CopyTokens: int(l.GetCopying()), StartTime: l.GetBorn(),
 		}
 	}
-	g.registry.SetRemote(peer, loads)
+	g.registry.SetRemoteLoads(peer, loads)
 	g.role.hear(s.GetReaders())
 	g.positionsHeard(s.GetPositions())
 	g.configNamed(s)
@@ -205,11 +205,11 @@
 	if p.GetTable() == operator.Table {
 		g.config.announced(peer)
 	}
-	f.ReceivePage(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
+	f.ReceivePage(follow.SharedPage{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
 // Count implements relay.Others.
-func (g *group) Count() int { return g.links.Known() }
+func (g *group) Count() int { return g.links.KnownCount() }
 
 // AcceptingRequests implements relay.Others.
 func (g *group) AcceptingRequests() bool {
@@ -232,8 +232,8 @@
 	table string
 }
 
-// Reading implements follow.Sharing.
-func (s sharing) Reading() bool { return false }
+// IsPeerReading implements follow.Sharing.
+func (s sharing) IsPeerReading() bool { return false }
 
 // shareTime is the time of a VM's link that passing a page on may take. Beyond it callers
 // would wait behind the page: 64 KB for 28 peers take 1.5 s of a link of 10 Mbit/s.
@@ -245,7 +245,7 @@
 // tooLong reports whether a page would hold up this VM's link, which passes it to every
 // peer, or a peer's: a wide link takes at once what a thin one takes seconds for, longer
 // than a frame may take to be written, and the link would be given up with it.
-func (g *group) tooLong(p follow.Shared) bool {
+func (g *group) tooLong(p follow.SharedPage) bool {
 	size := 0
 	for _, r := range p.Rows {
 		size += len(r.Value) + rowOverhead
@@ -263,7 +263,7 @@
 
 // Share implements follow.Sharing. Of a page that is too long only its revision is
 // told; the peers notice the gap and read it from the store.
-func (s sharing) Share(p follow.Shared) {
+func (s sharing) Share(p follow.SharedPage) {
 	s.role.answered()
 	page := &peerv1.Page{
 		Table: s.table, Since: p.Since.Wire(), Revision: p.Revision.Wire(),
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -77,13 +77,13 @@
 	InitialSuspects func() *peerv1.Suspects
 	// MaxLinks bounds the peers of its own cell that this gateway tells.
 	MaxLinks int
-	// Placed is told where this gateway stands among the others; it may be nil.
-	Placed func(cells.Place)
-	// Forgotten is told of members that have not been reached for long.
-	Forgotten func(Member)
-	// Sent is told of the bytes that go to a peer, by cause; it may be nil.
-	Sent func(Cause, int)
-	Log  logrus.FieldLogger
+	// OnPlaced is told where this gateway stands among the others; it may be nil.
+	OnPlaced func(cells.Place)
+	// OnForgotten is told of members that have not been reached for long.
+	OnForgotten func(Member)
+	// OnSent is told of the bytes that go to a peer, by cause; it may be nil.
+	OnSent func(Cause, int)
+	Log    logrus.FieldLogger
 }
 
 // Cause is what bytes between gateways are for.
@@ -99,8 +99,8 @@
 )
 
 func (m *Manager) sent(c Cause, bytes int) {
-	if m.Sent != nil {
-		m.Sent(c, bytes)
+	if m.OnSent != nil {
+		m.OnSent(c, bytes)
 	}
 }
 
@@ -241,14 +241,14 @@
 	for _, it := range links {
 		out = append(out, m.book[it.Name])
 	}
-	if m.Placed != nil {
-		m.Placed(place)
+	if m.OnPlaced != nil {
+		m.OnPlaced(place)
 	}
 	return out
 }
 
-// Known counts the gateways that this one has heard of, itself included.
-func (m *Manager) Known() int {
+// KnownCount counts the gateways that this one has heard of, itself included.
+func (m *Manager) KnownCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.book) + 1
@@ -267,9 +267,9 @@
 	return float64(links) / period(links).Seconds()
 }
 
-// Linked lists the gateways that can be asked, by name: those with a link in either
+// LinkedPeers lists the gateways that can be asked, by name: those with a link in either
 // direction.
-func (m *Manager) Linked() (out []string) {
+func (m *Manager) LinkedPeers() (out []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, n := range m.members {
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -163,7 +163,7 @@
 	read := r.readTime(j)
 	run := read + time.Duration(longer*float64(j.events(0))*float64(r.usualPause()))
 	lastBy := j.arrived + j.left() - run
-	if s := j.route.Silence; s > 0 {
+	if s := j.route.EventTimeout; s > 0 {
 		lastBy = min(lastBy, j.arrived+time.Duration(silenceShare*float64(s))-read)
 	}
 	return &flow.Waiter{
@@ -227,10 +227,10 @@
 // resting refuses a request whose engines all rest for longer than it can wait, nil otherwise.
 func (r *Relay) resting(j *job, w *flow.Waiter) *Refusal {
 	p := r.paceOf(j)
-	if !p.MustWait() || p.Bounded || r.Now()+p.Rest <= w.DispatchDeadline {
+	if !p.MustWait() || p.HasRateLimited || r.Now()+p.BackoffWait <= w.DispatchDeadline {
 		return nil
 	}
-	return r.refuseInLine(j, p, p.Rest)
+	return r.refuseInLine(j, p, p.BackoffWait)
 }
 
 // spillAfter is how long a request waits for an engine of its own gateway's cell before it
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -32,7 +32,7 @@
 // that may have run asks out of line, as it would hold up the others for the few servers that are
 // left to it. The line is of no use once a server takes any number.
 func (r *Relay) mayAsk(j *job, l *line, w *flow.Waiter) bool {
-	return j.ran > 0 || l.isNext(w, r.Now()) || r.paceOf(j).Open
+	return j.ran > 0 || l.isNext(w, r.Now()) || r.paceOf(j).HasUnlimited
 }
 
 // standInLine has a request wait for its turn where no server takes any number, and refuses it
@@ -79,15 +79,15 @@
 
 // wait estimates how long a request waits for its turn.
 func (l *line) wait(w *flow.Waiter, p backends.Availability, now time.Duration) time.Duration {
-	if !p.Bounded {
-		return p.Rest
+	if !p.HasRateLimited {
+		return p.BackoffWait
 	}
 	l.mu.Lock()
 	l.queue.SetRate(p.PerSecond)
 	turn := p.RateWait + l.queue.EstimateWait(w, now)
 	l.mu.Unlock()
-	if p.Resting {
-		turn = min(turn, p.Rest)
+	if p.HasBackingOff {
+		turn = min(turn, p.BackoffWait)
 	}
 	return turn
 }
@@ -105,7 +105,7 @@
 // refuseInLine refuses a request that would have its turn too late.
 func (r *Relay) refuseInLine(j *job, p backends.Availability, turn time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoRoom)
-	if p.Bounded {
+	if p.HasRateLimited {
 		turn = min(turn, latestReturn)
 	}
 	if !f.MayHaveRun {
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -64,7 +64,7 @@
 // canMove reports whether the run can be moved and is lost otherwise.
 func (u *run) canMove() bool {
 	e := u.job.engine
-	return e != nil && e.Moves && u.job.Generation != nil && !u.job.route.Resumable
+	return e != nil && e.SupportsMigration && u.job.Generation != nil && !u.job.route.Resumable
 }
 
 func (u *run) delivered(p progress, id string, now time.Duration) {
@@ -323,7 +323,7 @@
 			return true
 		}
 		lease.Release(backends.ResultInconclusive, m.relay.Now())
-		if !errors.Is(err, ErrNoRoom) {
+		if !errors.Is(err, ErrNoCapacity) {
 			return false
 		}
 		m.tried = append(m.tried, lease.Server.ID)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -136,7 +136,7 @@
 
 // mayRepeat reports whether the request may run once more.
 func (j *job) mayRepeat() bool {
-	return j.route.Repeatable() && j.ran < j.route.Servers && j.left() > leastLeft
+	return j.route.Repeatable() && j.ran < j.route.MaxServers && j.left() > leastLeft
 }
 
 // acquire takes a lease on a server, waiting a while for one with room.
@@ -164,7 +164,7 @@
 			return nil, refusal
 		}
 		poll, until := roomPoll, j.arrived+j.patience()
-		if pace := r.paceOf(j); pace.Bounded || pace.Resting {
+		if pace := r.paceOf(j); pace.HasRateLimited || pace.HasBackingOff {
 			if j.hasAnswer {
 				return nil, r.refuse(j, ReasonNoRoom)
 			}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,11 +20,11 @@
 
 // Config tunes a Relay.
 type Config struct {
-	// RevokeBound is how long after its removal a key may still be served, 0 for
+	// RevokeTimeout is how long after its removal a key may still be served, 0 for
 	// no bound.
-	RevokeBound time.Duration
-	// ApplyBound is how long a new version may take to be in force.
-	ApplyBound time.Duration
+	RevokeTimeout time.Duration
+	// ApplyTimeout is how long a new version may take to be in force.
+	ApplyTimeout time.Duration
 	// RetryRatio is the repeats allowed for each request, RetryExtra those that
 	// all processes together have besides.
 	RetryRatio float64
@@ -292,7 +292,7 @@
 	route := cfg.Match(req.Host, req.Path)
 	if route == nil {
 		// Behind its time this process may not know a route that others serve.
-		if r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
+		if r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
 			return nil, &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
 		return nil, &Refusal{Reason: ReasonNoRoute}
@@ -313,7 +313,7 @@
 	if left, barred := r.barred(j); barred {
 		return nil, &Refusal{Reason: ReasonHarmful, RetryAfter: left, Content: j.id().String()}
 	}
-	j.deadline = time.Now().Add(allowed(req.Wait, route.Timeout))
+	j.deadline = time.Now().Add(allowed(req.Timeout, route.Timeout))
 	if r.outlasts(j) {
 		return nil, &Refusal{Reason: ReasonStopping, RetryAfter: r.moveOn()}
 	}
@@ -331,15 +331,15 @@
 	if r.KeysStale(age) || !r.Peers.ConfigCurrent() {
 		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 	}
-	team := cfg.Team(j.Key)
+	team := cfg.TeamByKey(j.APIKey)
 	if team == nil {
-		if j.Key != "" && r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
+		if j.APIKey != "" && r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
 			return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
-		return &Refusal{Reason: ReasonKey}
+		return &Refusal{Reason: ReasonBadKey}
 	}
 	j.team, j.regions = team.Name, j.regions.Within(team.Regions)
-	if team.Ranked {
+	if team.HasPriority {
 		j.priority = team.Priority
 	}
 	return nil
@@ -348,7 +348,7 @@
 // KeysStale reports whether a configuration confirmed age ago is too old to
 // trust keys.
 func (r *Relay) KeysStale(age time.Duration) bool {
-	bound := r.cfg.Load().RevokeBound
+	bound := r.cfg.Load().RevokeTimeout
 	return bound > 0 && age > time.Duration(revokeMargin*float64(bound))
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -138,7 +138,7 @@
 // configuration in force still has it.
 func TestKeysAreNotTrustedWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{RevokeBound: 5 * time.Second})
+		w := newWorld(t, Config{RevokeTimeout: 5 * time.Second})
 		w.server("a", deskService)
 		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
@@ -150,11 +150,11 @@
 		require.False(t, c.refusal.MayHaveRun)
 		require.False(t, w.relay.Ready())
 		open := request("/open/x")
-		open.Key = ""
+		open.APIKey = ""
 		w.serve(open).whole(t, "ok")
 
 		w.apply(2, "other-key")
-		require.Equal(t, ReasonKey, w.serve(request("/once/x")).refusal.Reason)
+		require.Equal(t, ReasonBadKey, w.serve(request("/once/x")).refusal.Reason)
 	})
 }
 
@@ -163,7 +163,7 @@
 // serve the key, nor be ready, before its view has been confirmed again.
 func TestSuspendedVMTrustsNoKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{RevokeBound: 5 * time.Second, ApplyBound: 2 * time.Second})
+		w := newWorld(t, Config{RevokeTimeout: 5 * time.Second, ApplyTimeout: 2 * time.Second})
 		w.server("a", deskService)
 		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
@@ -172,7 +172,7 @@
 		require.Equal(t, ReasonStale, w.serve(request("/new/x")).refusal.Reason)
 		require.False(t, w.relay.Ready())
 		w.apply(2, "other-key")
-		require.Equal(t, ReasonKey, w.serve(request("/once/x")).refusal.Reason)
+		require.Equal(t, ReasonBadKey, w.serve(request("/once/x")).refusal.Reason)
 		require.True(t, w.relay.Ready())
 	})
 }
@@ -181,7 +181,7 @@
 // final for the caller; another VM knows the route, so the caller is sent back.
 func TestUnknownRouteIsNotFinalWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{ApplyBound: 2 * time.Second})
+		w := newWorld(t, Config{ApplyTimeout: 2 * time.Second})
 		require.Equal(t, ReasonNoRoute, w.serve(request("/new/x")).refusal.Reason)
 		time.Sleep(3 * time.Second)
 		c := w.serve(request("/new/x"))
@@ -254,7 +254,7 @@
 		go func() { first <- w.serve(request("/once/x")) }()
 		time.Sleep(600 * time.Millisecond)
 		w.server("b", deskService)
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"b": {Running: 3}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"b": {Running: 3}})
 		require.Equal(t, http.StatusOK, w.serve(request("/once/x")).status)
 		require.Equal(t, []string{"a", "b"}, w.up.servers())
 		require.True(t, (<-first).refusal.MayHaveRun)
--- a/routing/update.go
+++ b/routing/update.go
@@ -29,8 +29,8 @@
 
 // Add takes a part of the routes; drop goes before set.
 func (u *Update) Add(drop []RouteID, set []*Route) {
-	u.Drop = append(u.Drop, drop...)
-	u.Set = append(u.Set, set...)
+	u.DropRoutes = append(u.DropRoutes, drop...)
+	u.SetRoutes = append(u.SetRoutes, set...)
 	u.insert(drop, set)
 }
 
@@ -46,7 +46,7 @@
 // config is the version that the update leads to.
 func (u *Update) config() *Config {
 	next := &Config{
-		Version: u.Version, Limits: u.Limits, keyed: u.Keyed, services: make(map[string]*Service, len(u.Services)),
+		Version: u.Version, Limits: u.Limits, keyed: u.KeysRequired, services: make(map[string]*Service, len(u.Services)),
 	}
 	for _, s := range u.Services {
 		next.services[s.Name] = s
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -93,7 +93,7 @@
 		prior = forecast.NewLengths(nil)
 		p.modelLengths[model] = prior
 	}
-	l = forecast.NewLengths(prior)
+	l = forecast.NewLengthHistogram(prior)
 	t.lengths[model] = l
 	return l
 }
