--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -14,7 +14,7 @@
 type Forecasting struct {
 	cfg          Config
 	teams        map[string]*teamState
-	modelLengths map[string]*forecast.Lengths
+	modelLengths map[string]*forecast.LengthHistogram
 	// waitingTeams are the teams with a queued job, in no order.
 	waitingTeams []*teamState
 	paused       []*Job
@@ -39,7 +39,7 @@
 	running int
 	batch   batchForecast
 	// lengths are the output lengths by model.
-	lengths map[string]*forecast.Lengths
+	lengths map[string]*forecast.LengthHistogram
 	// lastActive is when a job of the team was last offered, started or ended.
 	lastActive time.Duration
 	// hasShare is set while weight is part of totalWeight.
@@ -56,7 +56,7 @@
 	return &Forecasting{
 		cfg:          cfg.withDefaults(),
 		teams:        make(map[string]*teamState),
-		modelLengths: make(map[string]*forecast.Lengths),
+		modelLengths: make(map[string]*forecast.LengthHistogram),
 	}
 }
 
@@ -65,7 +65,7 @@
 func (p *Forecasting) activateTeam(j *Job) *teamState {
 	t := p.teams[j.Team]
 	if t == nil {
-		t = &teamState{name: j.Team, lengths: make(map[string]*forecast.Lengths)}
+		t = &teamState{name: j.Team, lengths: make(map[string]*forecast.LengthHistogram)}
 		p.teams[j.Team] = t
 	}
 	weight := max(1, float64(j.Weight))
@@ -83,14 +83,14 @@
 
 // lengthsOf returns the output lengths of a team's requests to a model. Their
 // prior is the lengths of all teams at that model.
-func (p *Forecasting) lengthsOf(t *teamState, model string) *forecast.Lengths {
+func (p *Forecasting) lengthsOf(t *teamState, model string) *forecast.LengthHistogram {
 	l := t.lengths[model]
 	if l != nil {
 		return l
 	}
 	prior := p.modelLengths[model]
 	if prior == nil {
-		prior = forecast.NewLengths(nil)
+		prior = forecast.NewLengthHistogram(nil)
 		p.modelLengths[model] = prior
 	}
 	l = forecast.NewLengthHistogram(prior)
--- a/sched/memory.go
+++ b/sched/memory.go
@@ -58,7 +58,7 @@
 
 // newContribution computes the contribution of a stream. At each horizon the
 // stream uses its whole context if it still runs, and nothing if it has ended.
-func newContribution(l *forecast.Lengths, prompt, emitted, maxTokens int) contribution {
+func newContribution(l *forecast.LengthHistogram, prompt, emitted, maxTokens int) contribution {
 	c := contribution{emitted: emitted}
 	reachedNow := l.Survival(float64(emitted))
 	for k, ahead := range horizons {
