--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -14,7 +14,7 @@
 )
 
 func limitedRegistry() (*Registry, Server) {
-	r := New("z0", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
+	r := New("z0", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 	s := Server{ID: "s", Service: svc, StartTime: 1, Slots: 6}
 	r.Put(s, 0)
 	return r, s
@@ -173,16 +173,16 @@
 	require.Equal(t, News{Leaving: true}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second))
 	require.Equal(t, News{}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second), "once")
 	r.Put(s, 2*time.Second)
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 	r.ReplaceAll(nil, 10*time.Second, 12*time.Second)
 	r.Put(s, 13*time.Second)
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 	again := s
 	again.StartTime = 2
 	r.Put(again, 14*time.Second)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 	r.ApplySignals(s, Signals{Leaving: true}, 0, 15*time.Second)
-	require.Equal(t, 1, r.Ready(svc), "the word of the life before")
+	require.Equal(t, 1, r.CountReady(svc), "the word of the life before")
 }
 
 // Guards against others not being told of a server whose entry had said that it leaves: theirs
@@ -218,7 +218,7 @@
 // Guards against each of many gateways finding out by a request of its own that a server rests,
 // and against a server being left by all that asks one gateway alone for rest.
 func TestServerThatRestsForOthersIsAskedLast(t *testing.T) {
-	r := New("z0", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
+	r := New("z0", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 	tired, other := Server{ID: "a", Service: svc, Slots: 6}, Server{ID: "b", Service: svc, Slots: 6}
 	r.Put(tired, 0)
 	r.Put(other, 0)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -303,7 +303,7 @@
 			return nil, refusal
 		}
 	}
-	j.service = route.Pick(rand.Float64())
+	j.service = route.PickService(rand.Float64())
 	if s := cfg.Service(j.service); s != nil {
 		j.engine = s.Engine
 	}
@@ -338,7 +338,7 @@
 		}
 		return &Refusal{Reason: ReasonBadKey}
 	}
-	j.team, j.regions = team.Name, j.regions.Within(team.Regions)
+	j.team, j.regions = team.Name, j.regions.Intersect(team.Regions)
 	if team.HasPriority {
 		j.priority = team.Priority
 	}
