--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -50,13 +50,14 @@
 	})
 }
 
+// Each row is invalid by itself or refers to a row that does not exist.
 func TestValidateFindsBrokenRows(t *testing.T) {
 	for name, row := range map[string]*kingcupv1.Row{
-		"team without weight":  teamRow("t", 0),
-		"team without a model": {Row: &kingcupv1.Row_Team{Team: &kingcupv1.Team{Name: "t", Weight: 1, Models: []string{"none"}}}},
-		"team without class":   {Row: &kingcupv1.Row_Team{Team: &kingcupv1.Team{Name: "t", Weight: 1, Priority: "none"}}},
-		"adapter of no model":  {Row: &kingcupv1.Row_Adapter{Adapter: &kingcupv1.Adapter{Name: "a", Model: "none"}}},
-		"model of no kind":     {Row: &kingcupv1.Row_Model{Model: &kingcupv1.Model{Name: "m"}}},
+		"team without weight":          teamRow("t", 0),
+		"team with a missing model":    {Row: &kingcupv1.Row_Team{Team: &kingcupv1.Team{Name: "t", Weight: 1, Models: []string{"none"}}}},
+		"team with a missing priority": {Row: &kingcupv1.Row_Team{Team: &kingcupv1.Team{Name: "t", Weight: 1, Priority: "none"}}},
+		"adapter with a missing model": {Row: &kingcupv1.Row_Adapter{Adapter: &kingcupv1.Adapter{Name: "a", Model: "none"}}},
+		"model without a kind":         {Row: &kingcupv1.Row_Model{Model: &kingcupv1.Model{Name: "m"}}},
 	} {
 		next, err := EmptyState().WithDelta(&kingcupv1.Delta{Version: 1, Puts: []*kingcupv1.Row{row}})
 		require.NoError(t, err)
