--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -36,7 +36,7 @@
 	// BufferBytes limits the token text that is kept per generation.
 	BufferBytes int
 	// OrphanGracePeriod is how long a generation without a reader runs before
-	// it is cancelled.
+	// it is canceled.
 	OrphanGracePeriod time.Duration
 	// RetentionPeriod is how long a finished generation can still be read.
 	RetentionPeriod time.Duration
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	src, err := a.generate(ctx, g, attempt)
-	// If the attempt was cancelled before the engine knew the stream, that
+	// If the attempt was canceled before the engine knew the stream, that
 	// cancel had no effect. Without a second one the stream would continue
 	// without a reader.
 	if a.isSuperseded(g, attempt) {
--- a/lease/fence.go
+++ b/lease/fence.go
@@ -40,11 +40,11 @@
 	// that ignores terms and undo a newer order. f.mu is held during the read, so
 	// other orders wait for it.
 	if !f.loaded {
-		known, err := ReadTerm(ctx, f.table, f.name)
+		storedTerm, err := ReadTerm(ctx, f.table, f.name)
 		if err != nil {
 			return err
 		}
-		f.term = max(f.term, known)
+		f.term = max(f.term, storedTerm)
 		f.loaded = true
 	}
 	if term < f.term {
