--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -285,7 +285,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			g.upstream.Sweep()
+			g.upstream.CloseExpired()
 			g.registry.Expire(clock.SinceBoot())
 			g.group.cordons.Expire(clock.SinceBoot())
 		}
