--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -234,7 +234,7 @@
 	op := g.follow(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
 	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
 	gateways := g.follow(membersTable, membersWait, membersGap, members{g.group}, sharing{g.group, membersTable})
-	go ingress.NewReady(g.Ready).Serve(ready)
+	go ingress.NewReadinessServer(g.Ready).Serve(ready)
 	g.wg.Go(func() { g.group.links.Run(ctx, links) })
 	g.wg.Go(func() { op.Run(ctx) })
 	g.wg.Go(func() { g.directory.Run(ctx) })
