--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -232,7 +232,7 @@
 	g.cancel = cancel
 	g.wg.Go(func() { g.callers.Serve() })
 	op := g.follow(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
-	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
+	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, OnUnreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
 	gateways := g.follow(membersTable, membersWait, membersGap, members{g.group}, sharing{g.group, membersTable})
 	go ingress.NewReadinessServer(g.Ready).Serve(ready)
 	g.wg.Go(func() { g.group.links.Run(ctx, links) })
