--- a/claim/claim.go
+++ b/claim/claim.go
@@ -163,7 +163,7 @@
 			return nil, &found, nil
 		}
 	}
-	return nil, nil, errors.Wrap(storage.ErrUnsettled, "claim")
+	return nil, nil, errors.Wrap(storage.ErrOutcomeUnknown, "claim")
 }
 
 // Lookup returns the record of key, or nil if there is none.
--- a/conf/store.go
+++ b/conf/store.go
@@ -124,7 +124,7 @@
 			return nil
 		case errors.As(err, &conflict):
 			return s.resolveConflict(ctx, d, d.GetVersion())
-		case errors.Is(err, storage.ErrUnsettled):
+		case errors.Is(err, storage.ErrOutcomeUnknown):
 			mayBeCommitted = true
 		case !mayBeCommitted:
 			return err
@@ -133,7 +133,7 @@
 			break
 		}
 	}
-	return errors.Wrapf(storage.ErrUnsettled, "change %s", d.GetChangeId())
+	return errors.Wrapf(storage.ErrOutcomeUnknown, "change %s", d.GetChangeId())
 }
 
 // resolveConflict returns nil if the stored delta with the version of d is d itself,
@@ -142,7 +142,7 @@
 func (s *Store) resolveConflict(ctx context.Context, d *kingcupv1.Delta, headVersion uint64) error {
 	rows, err := s.table.Read(ctx, deltaKey(d.GetVersion()))
 	if err != nil {
-		return errors.Wrap(storage.ErrUnsettled, err.Error())
+		return errors.Wrap(storage.ErrOutcomeUnknown, err.Error())
 	}
 	if len(rows) == 1 {
 		stored := &kingcupv1.Delta{}
--- a/internal/standin/tables/tables.go
+++ b/internal/standin/tables/tables.go
@@ -100,12 +100,12 @@
 	}
 	if t.loseBefore > 0 {
 		t.loseBefore--
-		return 0, 0, storage.ErrUnsettled
+		return 0, 0, storage.ErrOutcomeUnknown
 	}
 	rev, err := t.apply(txn)
 	if t.loseAfter > 0 {
 		t.loseAfter--
-		return 0, 0, storage.ErrUnsettled
+		return 0, 0, storage.ErrOutcomeUnknown
 	}
 	return rev, t.delay, err
 }
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -13,9 +13,9 @@
 // failed, or a commit was certainly not applied.
 var ErrUnavailable = errors.New("platform unavailable")
 
-// ErrUnsettled says that a commit's answer was lost: it may have been applied
+// ErrOutcomeUnknown says that a commit's answer was lost: it may have been applied
 // or may still be. The caller settles it by reading back.
-var ErrUnsettled = errors.New("commit answer lost")
+var ErrOutcomeUnknown = errors.New("commit answer lost")
 
 // ErrNotFound says that the object store has no such object.
 var ErrNotFound = errors.New("object not found")
--- a/storage/tableclient/client.go
+++ b/storage/tableclient/client.go
@@ -51,7 +51,7 @@
 	if status.Code(err) == codes.ResourceExhausted {
 		return errors.Wrap(storage.ErrUnavailable, err.Error())
 	}
-	return errors.Wrap(storage.ErrUnsettled, err.Error())
+	return errors.Wrap(storage.ErrOutcomeUnknown, err.Error())
 }
 
 // Read implements storage.Table.
