--- a/flow/queue.go
+++ b/flow/queue.go
@@ -1,6 +1,6 @@
-// Package flow decides which of the requests that wait for a model engine goes
-// next, and which cannot be served in time. It is pure; a Queue is for one
-// goroutine at a time.
+// Package flow orders the requests that wait for a model engine, and detects requests
+// that cannot be served before their callers leave. It does no I/O and reads no clock. A
+// Queue must not be used by several goroutines at the same time.
 package flow
 
 import (
@@ -8,39 +8,41 @@
 	"time"
 )
 
-// Waiter is a request that waits for an engine with room.
+// Waiter is a request that waits for an engine with free capacity.
 type Waiter struct {
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	// Level is how far the request's team is above an equal share, see Shares.
+	// Level is how far the usage of the request's team is above an equal share, see
+	// Shares.Level.
 	Level int
-	// PromptTokens is the tokens that an engine has to read before the first answer.
+	// PromptTokens is the number of tokens that an engine reads before the first token
+	// of the answer.
 	PromptTokens int
-	// Arrived is when the request came, OnTimeDeadline when it has to reach an engine for
-	// its first answer to be on time, and DispatchDeadline for its whole answer to arrive
-	// before the caller has left.
+	// Arrived is the arrival time. OnTimeDeadline is the latest dispatch time at which
+	// the first token still meets its target. DispatchDeadline is the latest dispatch
+	// time at which the whole answer still arrives before the caller leaves.
 	Arrived, OnTimeDeadline, DispatchDeadline time.Duration
 }
 
-// Queue holds the waiters of one service.
+// Queue contains the waiting requests of one service.
 type Queue struct {
 	waiting []*Waiter
 	rate    rate
 }
 
-// NewQueue returns an empty queue. perSecond is the prompt tokens a second that
-// are assumed to go to engines until it has been seen.
+// NewQueue returns an empty queue. perSecond is the number of prompt tokens per second
+// that the engines are assumed to accept until their rate has been measured.
 func NewQueue(perSecond float64) *Queue {
 	return &Queue{rate: rate{perSecond: perSecond}}
 }
 
-// SetRate says what goes to servers in a second, where that is known without measuring.
+// SetRate sets the dispatch rate where it is known without measuring it.
 func (q *Queue) SetRate(perSecond float64) { q.rate.perSecond = perSecond }
 
-// Add adds a waiter.
+// Add appends a waiter.
 func (q *Queue) Add(w *Waiter) { q.waiting = append(q.waiting, w) }
 
-// Remove takes a waiter out. sent says that it went to an engine.
+// Remove takes a waiter out of the queue. sent says that it was dispatched to an engine.
 func (q *Queue) Remove(w *Waiter, sent bool, now time.Duration) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(o *Waiter) bool { return o == w })
 	if sent {
@@ -51,10 +53,10 @@
 // Contains reports whether a waiter is in the queue.
 func (q *Queue) Contains(w *Waiter) bool { return slices.Contains(q.waiting, w) }
 
-// Len is the number of waiters.
+// Len returns the number of waiters.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// HeadRank returns the rank of the next waiter and how many have it.
+// HeadRank returns the rank of the next waiter and the number of waiters with that rank.
 func (q *Queue) HeadRank(now time.Duration) (rank, n int) {
 	next := q.Next(now)
 	if next == nil {
@@ -69,12 +71,12 @@
 	return rank, n
 }
 
-// Next returns the waiter whose turn it is, nil if none waits.
+// Next returns the waiter to dispatch next, nil if the queue is empty.
 //
-// Requests that can still be on time go before those that cannot. Serving in the
-// order of arrival makes every request late once the queue is longer than the
-// target; this way the overload falls on those that are late already, and they
-// are served when there is room again.
+// Requests that can still be on time go before those that are already late. In the order
+// of arrival, every request would be late once the queue is longer than the latency
+// target. With this order only requests that are late already wait longer under overload,
+// and they are served when the engines have free capacity again.
 func (q *Queue) Next(now time.Duration) *Waiter {
 	var best *Waiter
 	for _, w := range q.waiting {
@@ -90,29 +92,29 @@
 	if rankA != rankB {
 		return rankA < rankB
 	}
-	if a.late(now) {
+	if a.isLate(now) {
 		return a.Arrived < b.Arrived
 	}
 	return a.OnTimeDeadline < b.OnTimeDeadline
 }
 
-// lateRank is added to the rank of a request that cannot be on time any more; it is
-// above all others.
+// lateRank is added to the rank of a late request. It is larger than the rank of any
+// request that can be on time.
 const lateRank = 1000
 
-// Rank orders requests by urgency, 0 first: those that can be on time before all
-// others, then by priority, then those of teams within their share.
+// Rank orders requests by urgency; 0 is the most urgent. Requests that can be on time
+// precede late ones, then priority decides, then the level of the team's usage.
 func (w *Waiter) Rank(now time.Duration) int {
 	rank := w.Priority*(MaxLevel+1) + w.Level
-	if w.late(now) {
+	if w.isLate(now) {
 		rank += lateRank
 	}
 	return rank
 }
 
-func (w *Waiter) late(now time.Duration) bool { return now > w.OnTimeDeadline }
+func (w *Waiter) isLate(now time.Duration) bool { return now > w.OnTimeDeadline }
 
-// EstimateWait estimates how long a request would wait behind those that go before it.
+// EstimateWait estimates how long a request waits behind the requests that precede it.
 func (q *Queue) EstimateWait(w *Waiter, now time.Duration) time.Duration {
 	ahead := 0
 	for _, o := range q.waiting {
@@ -123,41 +125,42 @@
 	return time.Duration(float64(ahead) / q.rate.perSecond * float64(time.Second))
 }
 
-// ShouldReject reports whether a request is better told at once to come back later: its
-// caller will have left before its turn.
+// ShouldReject reports whether a request is to be rejected at once, so that its caller
+// can retry later: by the estimate, the caller will have left before the request is
+// dispatched.
 //
-// One that cannot be on time any more waits on, behind all that can, and takes the room
-// that those leave. Sent away as long as others can be on time, more are refused for good,
-// and no more are on time.
+// A request that is only late stays in the queue behind all requests that can be on time
+// and uses the capacity that they leave free. Rejecting late requests while others can be
+// on time would lose more requests and serve no more on time.
 func (q *Queue) ShouldReject(w *Waiter, now time.Duration) bool {
 	return now+q.EstimateWait(w, now) > w.DispatchDeadline
 }
 
-// rate measures the prompt tokens that go to engines in a second while requests
-// wait. Without waiters it would measure the demand instead.
+// rate measures the prompt tokens per second that are dispatched to engines while
+// requests wait. With an empty queue it would measure the demand instead.
 type rate struct {
 	perSecond float64
 	since     time.Duration
 	tokens    int
-	busy      bool
+	measuring bool
 }
 
 const (
-	// rateSpan is the least time over which the rate is measured.
-	rateSpan = 500 * time.Millisecond
+	// minRateSpan is the shortest time over which the rate is measured.
+	minRateSpan = 500 * time.Millisecond
 	// rateGain is the weight of the newest measurement.
 	rateGain = 0.5
 )
 
 func (r *rate) add(tokens int, now time.Duration, waiting bool) {
-	if !r.busy {
-		r.busy, r.since, r.tokens = waiting, now, 0
+	if !r.measuring {
+		r.measuring, r.since, r.tokens = waiting, now, 0
 		return
 	}
 	r.tokens += tokens
-	if span := now - r.since; span >= rateSpan {
+	if span := now - r.since; span >= minRateSpan {
 		r.perSecond += rateGain * (float64(r.tokens)/span.Seconds() - r.perSecond)
 		r.since, r.tokens = now, 0
 	}
-	r.busy = waiting
+	r.measuring = waiting
 }
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -10,18 +10,19 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// request is one of a load that a test plays.
+// request is a request of a simulated load. target is the latency target of the first
+// token, took the latency, and inTime is set if it was dispatched before its deadline.
 type request struct {
 	Waiter
 	target, took time.Duration
-	sent         bool
+	inTime       bool
 }
 
-// load gives n requests a second for a while: half of them urgent and short-lived,
-// half with time.
-func load(perSecond float64, lasts time.Duration) (out []*request) {
+// load returns requests that arrive at an even rate. Every second one is urgent and its
+// caller leaves after 5 s; the callers of the others wait for 26 s.
+func load(perSecond float64, duration time.Duration) (out []*request) {
 	step := time.Duration(float64(time.Second) / perSecond)
-	for at := time.Duration(0); at < lasts; at += step {
+	for at := time.Duration(0); at < duration; at += step {
 		r := &request{target: seconds(1.8)}
 		r.Arrived, r.Priority, r.PromptTokens = at, 1, 3000
 		r.OnTimeDeadline, r.DispatchDeadline = at+seconds(1.3), at+seconds(26)
@@ -34,9 +35,9 @@
 	return out
 }
 
-// play serves a load by engines that read so many tokens a second in all, and
-// returns the share on time, and the share served, of each priority.
-func play(load []*request, perSecond float64, next func(q *Queue, now time.Duration) *Waiter) (onTime, served [2]float64) {
+// simulate serves a load by engines that read perSecond tokens per second in total. It
+// returns the share of requests that were on time, and the share served, by priority.
+func simulate(load []*request, perSecond float64, next func(q *Queue, now time.Duration) *Waiter) (onTime, served [2]float64) {
 	const tick = 5 * time.Millisecond
 	q := NewQueue(perSecond)
 	byWaiter := make(map[*Waiter]*request)
@@ -57,15 +58,15 @@
 			read := seconds(float64(w.PromptTokens) / perSecond)
 			free = max(free, now) + read
 			q.Remove(w, true, now)
-			r.sent, r.took = now <= w.DispatchDeadline, now-w.Arrived+seconds(0.4)
+			r.inTime, r.took = now <= w.DispatchDeadline, now-w.Arrived+seconds(0.4)
 		}
 	}
 	for _, r := range load {
 		total[r.Priority]++
-		if r.sent {
+		if r.inTime {
 			served[r.Priority]++
 		}
-		if r.sent && r.took <= r.target {
+		if r.inTime && r.took <= r.target {
 			onTime[r.Priority]++
 		}
 	}
@@ -83,32 +84,32 @@
 	return q.waiting[0]
 }
 
-// Half as many requests again come as the engines can read, for 14 s. In the order
-// of arrival nearly all are late after two seconds: 15 % of the urgent and 19 % of
-// the others were on time. With the order of Next it is all and 49 %, and whoever
-// cannot be on time is served once there is room again.
-func TestOverloadFallsOnThoseThatAreLate(t *testing.T) {
+// For 14 s the demand is one and a half times what the engines can read. In the order of
+// arrival nearly all requests are late after two seconds: 15 % of the urgent and 19 % of
+// the others were on time. In the order of Next all urgent requests and 49 % of the others
+// are on time, and late requests are served once the engines have free capacity again.
+func TestOverloadDelaysLateRequests(t *testing.T) {
 	const capacity, demand = 26000, 15
-	first, _ := play(load(demand, 14*time.Second), capacity, fifo)
-	onTime, served := play(load(demand, 14*time.Second), capacity, (*Queue).Next)
-	t.Logf("in the order of arrival on time: %.2f %.2f; by Next: %.2f %.2f, served %.2f %.2f",
-		first[0], first[1], onTime[0], onTime[1], served[0], served[1])
+	inOrder, _ := simulate(load(demand, 14*time.Second), capacity, fifo)
+	onTime, served := simulate(load(demand, 14*time.Second), capacity, (*Queue).Next)
+	t.Logf("on time in the order of arrival: %.2f %.2f; by Next: %.2f %.2f, served %.2f %.2f",
+		inOrder[0], inOrder[1], onTime[0], onTime[1], served[0], served[1])
 	require.Greater(t, onTime[0], 0.95)
 	require.Greater(t, onTime[1], 0.4)
-	require.Greater(t, onTime[0]+onTime[1], first[0]+first[1]+0.3)
+	require.Greater(t, onTime[0]+onTime[1], inOrder[0]+inOrder[1]+0.3)
 	require.Greater(t, served[0], 0.95)
 	require.Greater(t, served[1], 0.95)
 }
 
-// Without overload the order must not matter: all are on time.
-func TestNoLoadNoWait(t *testing.T) {
-	onTime, _ := play(load(6, 10*time.Second), 26000, (*Queue).Next)
+// Without overload all requests must be on time.
+func TestAllRequestsAreOnTimeWithoutOverload(t *testing.T) {
+	onTime, _ := simulate(load(6, 10*time.Second), 26000, (*Queue).Next)
 	require.Equal(t, [2]float64{1, 1}, onTime)
 }
 
-// The queue is so long that a caller would be gone before its turn: it is told at
-// once. One with more time waits, also when it cannot be on time any more.
-func TestRequestsWithoutAChanceAreRefusedAtOnce(t *testing.T) {
+// A request whose caller would leave before the request is dispatched must be rejected at
+// once. A request with a later deadline waits, even if it is already late.
+func TestRequestsThatCannotBeServedInTimeAreRejectedAtOnce(t *testing.T) {
 	q := NewQueue(10000)
 	const ahead = 20
 	for range ahead {
@@ -121,49 +122,50 @@
 
 	late := &Waiter{OnTimeDeadline: seconds(0.5), DispatchDeadline: seconds(7.5)}
 	q.Add(late)
-	require.False(t, q.ShouldReject(late, seconds(1)), "6 s of others' prompts go first, and it has 6.5")
+	require.False(t, q.ShouldReject(late, seconds(1)), "the wait is 6 s, the time to the deadline 6.5 s")
 	require.True(t, q.ShouldReject(late, seconds(1.6)))
 }
 
-// turnedAway plays a load whose late requests are sent away by a rule, and returns the
-// share that was served and the share that was on time.
-func turnedAway(load []*request, perSecond float64, refuse func(q *Queue, w *Waiter, now time.Duration) bool) (served, onTime float64) {
-	away := 0
+// simulateRejection simulates a load whose requests are rejected by a rule. It returns the
+// share of requests that were not rejected and the share that were on time.
+func simulateRejection(load []*request, perSecond float64, shouldReject func(q *Queue, w *Waiter, now time.Duration) bool) (served, onTime float64) {
+	rejected := 0
 	next := func(q *Queue, now time.Duration) *Waiter {
 		for _, w := range slices.Clone(q.waiting) {
-			if refuse(q, w, now) {
+			if shouldReject(q, w, now) {
 				q.Remove(w, false, now)
-				away++
+				rejected++
 			}
 		}
 		return q.Next(now)
 	}
-	on, _ := play(load, perSecond, next)
-	return 1 - float64(away)/float64(len(load)), (on[0] + on[1]) / 2
+	onTimeByPriority, _ := simulate(load, perSecond, next)
+	return 1 - float64(rejected)/float64(len(load)), (onTimeByPriority[0] + onTimeByPriority[1]) / 2
 }
 
-// whileOthersAreOnTime sends a late request away as long as another can be on time.
-func whileOthersAreOnTime(q *Queue, w *Waiter, now time.Duration) bool {
+// rejectLate rejects a late request while another request can still be on time, and every
+// request whose caller would leave before it is dispatched.
+func rejectLate(q *Queue, w *Waiter, now time.Duration) bool {
 	others := slices.ContainsFunc(q.waiting, func(o *Waiter) bool { return o != w && now <= o.OnTimeDeadline })
-	return w.late(now) && others || now+q.EstimateWait(w, now) > w.DispatchDeadline
+	return w.isLate(now) && others || now+q.EstimateWait(w, now) > w.DispatchDeadline
 }
 
-// Half as many requests again come for 4 s as the engines can read. Callers that cannot
-// be on time any more were sent away, 15 % of all here, though the room that the others
-// leave after the burst is enough for each; now all are served, and as many on time.
-func TestLateRequestsTakeTheRoomThatOthersLeave(t *testing.T) {
+// For 4 s the demand is one and a half times what the engines can read. Rejecting late
+// requests loses 15 % of all requests here, although the engines have enough free capacity
+// for them after the burst. With ShouldReject all are served, and as many are on time.
+func TestLateRequestsUseRemainingCapacity(t *testing.T) {
 	const capacity, demand = 26000, 15
-	before, onTimeBefore := turnedAway(load(demand, 4*time.Second), capacity, whileOthersAreOnTime)
-	served, onTime := turnedAway(load(demand, 4*time.Second), capacity, (*Queue).ShouldReject)
-	t.Logf("served %.3f before, %.3f now; on time %.3f and %.3f", before, served, onTimeBefore, onTime)
-	require.Less(t, before, 0.95)
+	servedRejecting, onTimeRejecting := simulateRejection(load(demand, 4*time.Second), capacity, rejectLate)
+	served, onTime := simulateRejection(load(demand, 4*time.Second), capacity, (*Queue).ShouldReject)
+	t.Logf("served %.3f if late requests are rejected, else %.3f; on time %.3f and %.3f", servedRejecting, served, onTimeRejecting, onTime)
+	require.Less(t, servedRejecting, 0.95)
 	require.Equal(t, 1.0, served)
-	require.InDelta(t, onTimeBefore, onTime, 0.01)
+	require.InDelta(t, onTimeRejecting, onTime, 0.01)
 }
 
-// The rate is measured while requests wait, not when the queue is empty: then it
-// would be the demand.
-func TestRateIsThatOfTheEngines(t *testing.T) {
+// The rate must be measured only while requests wait: with an empty queue the measurement
+// would be the demand and not the rate of the engines.
+func TestRateIsMeasuredOnlyWhileRequestsWait(t *testing.T) {
 	q := NewQueue(10000)
 	at := time.Duration(0)
 	for range 20 {
--- a/flow/shares.go
+++ b/flow/shares.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// Usage is what a team has used of a service's engines of late, in token seconds of
-// memory.
+// Usage is the recent use of a service's engines by one team. Amount is in token seconds
+// of engine memory, decayed over time.
 type Usage struct {
 	Team   string
 	Amount float64
 }
 
 const (
-	// usageHalfLife is the time in which usage counts half. Surges of large teams last
-	// seconds to tens of seconds; a longer memory would punish a team for the last one.
+	// usageHalfLife is the time after which usage counts half. Load spikes of large teams
+	// last seconds to tens of seconds; with a longer half-life a team would still be
+	// ranked lower for a spike that is over.
 	usageHalfLife = 10 * time.Second
-	// forgetBelow is the amount below which a team's usage is forgotten: a thousandth
-	// of a short request.
-	forgetBelow = 1.0
+	// minUsage is the amount below which a team's usage is deleted: a thousandth of a
+	// short request.
+	minUsage = 1.0
 	// MaxLevel is the level of teams that use more than four times an equal share.
 	MaxLevel = 3
 )
 
-// Shares counts what teams use and tells which of them take more than an equal share.
-// A Shares is for one goroutine at a time.
+// Shares adds up the usage of each team and grades teams that use more than an
+// equal share. It must not be used by several goroutines at the same time.
 type Shares struct {
-	amounts map[string]float64
-	at      time.Duration
+	amounts   map[string]float64
+	decayedAt time.Duration
 }
 
-// NewShares returns an empty count.
+// NewShares returns empty Shares.
 func NewShares() *Shares { return &Shares{amounts: make(map[string]float64)} }
 
-// Decay is what usage counts after some time.
+// Decay returns what an amount of usage counts after some time.
 func Decay(amount float64, age time.Duration) float64 {
 	return amount * math.Exp2(-float64(age)/float64(usageHalfLife))
 }
 
 // Charge adds to a team's usage.
 func (s *Shares) Charge(team string, amount float64, now time.Duration) {
-	s.fade(now)
+	s.decay(now)
 	s.amounts[team] += amount
 }
 
-func (s *Shares) fade(now time.Duration) {
-	if now <= s.at {
+func (s *Shares) decay(now time.Duration) {
+	if now <= s.decayedAt {
 		return
 	}
-	age := now - s.at
-	s.at = now
+	age := now - s.decayedAt
+	s.decayedAt = now
 	for team, amount := range s.amounts {
-		if amount = Decay(amount, age); amount < forgetBelow {
+		if amount = Decay(amount, age); amount < minUsage {
 			delete(s.amounts, team)
 		} else {
 			s.amounts[team] = amount
@@ -61,9 +62,9 @@
 	}
 }
 
-// Top lists the n teams with the most usage.
+// Top returns the n teams with the highest usage, highest first.
 func (s *Shares) Top(n int, now time.Duration) []Usage {
-	s.fade(now)
+	s.decay(now)
 	out := make([]Usage, 0, len(s.amounts))
 	for team, amount := range s.amounts {
 		out = append(out, Usage{team, amount})
@@ -74,14 +75,15 @@
 	return out[:min(n, len(out))]
 }
 
-// Level says how far a team is above an equal share of what all teams have used,
-// here and, as others tell, elsewhere: 0 up to the share, then one for each doubling.
+// Level grades how far a team's usage is above an equal share of the usage of
+// all teams: 0 up to the share, then one more for each doubling, up to MaxLevel. elsewhere
+// is the usage that other gateways have reported; it is added to the local usage.
 //
-// Where engines are scarce, those of the lowest level go first. The overload then
-// falls on the teams that make it, and a small team is served as if it were alone;
-// teams above their share still get all that is left.
+// Where engines are scarce, requests of teams with the lowest level go first. Overload
+// then delays the teams that cause it, and a small team is served as if it were the only
+// one. Teams above their share still get all remaining capacity.
 func (s *Shares) Level(team string, elsewhere []Usage, now time.Duration) int {
-	s.fade(now)
+	s.decay(now)
 	own, total := s.amounts[team], 0.0
 	teams := make(map[string]struct{}, len(s.amounts)+len(elsewhere))
 	for name, amount := range s.amounts {
--- a/flow/shares_test.go
+++ b/flow/shares_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Usage that others tell of counts like the own; it fades.
+// Usage that other gateways report counts like local usage, and all usage decays.
 func TestLevelsFollowUsage(t *testing.T) {
 	s := NewShares()
 	require.Zero(t, s.Level("a", nil, 0))
@@ -25,39 +25,41 @@
 	s.Charge("b", 12000, 4*usageHalfLife)
 	require.Zero(t, s.Level("a", nil, 4*usageHalfLife))
 	require.Equal(t, []Usage{{"b", 12000 + 1000.0/16}}, s.Top(1, 4*usageHalfLife))
-	s.fade(40 * usageHalfLife)
+	s.decay(40 * usageHalfLife)
 	require.Empty(t, s.amounts)
 }
 
-// team is one of a load: requests a second, and what became of them.
+// team is a team of a simulated load: the interval between its requests, the number of
+// requests, and the number of those that were on time.
 type team struct {
-	name          string
-	every         time.Duration
-	asked, onTime int
+	name             string
+	interval         time.Duration
+	requests, onTime int
 }
 
-// surge plays twenty small teams and a large one that asks for as much as all engines
-// can read, so that everything together is twice what can be served. It returns the
-// share on time of the small ones and of the large one.
-func surge(fair bool) (small, large float64) {
-	const tick, lasts, read, perSecond = 5 * time.Millisecond, 30 * time.Second, 2800, 28000
-	teams := []*team{{name: "large", every: 100 * time.Millisecond}}
+// simulateSpike simulates twenty small teams and a large team whose load alone is as much
+// as all engines can read, so that the total is nearly twice the capacity. It returns the
+// share of requests that were on time, for the small teams and for the large one. fair
+// turns usage levels on.
+func simulateSpike(fair bool) (small, large float64) {
+	const tick, duration, promptTokens, perSecond = 5 * time.Millisecond, 30 * time.Second, 2800, 28000
+	teams := []*team{{name: "large", interval: 100 * time.Millisecond}}
 	for i := range 20 {
-		teams = append(teams, &team{name: fmt.Sprint("small-", i), every: 2500 * time.Millisecond})
+		teams = append(teams, &team{name: fmt.Sprint("small-", i), interval: 2500 * time.Millisecond})
 	}
-	q, shares := NewQueue(perSecond), NewShares()
+	q, usage := NewQueue(perSecond), NewShares()
 	owner := make(map[*Waiter]*team)
 	free := time.Duration(0)
-	for now := time.Duration(0); now < lasts; now += tick {
+	for now := time.Duration(0); now < duration; now += tick {
 		for i, t := range teams {
-			if (now+time.Duration(i)*90*time.Millisecond)%t.every >= tick {
+			if (now+time.Duration(i)*90*time.Millisecond)%t.interval >= tick {
 				continue
 			}
-			w := &Waiter{Priority: 1, PromptTokens: read, Arrived: now, OnTimeDeadline: now + seconds(1.3), DispatchDeadline: now + seconds(6)}
+			w := &Waiter{Priority: 1, PromptTokens: promptTokens, Arrived: now, OnTimeDeadline: now + seconds(1.3), DispatchDeadline: now + seconds(6)}
 			if fair {
-				w.Level = shares.Level(t.name, nil, now)
+				w.Level = usage.Level(t.name, nil, now)
 			}
-			t.asked++
+			t.requests++
 			if !q.ShouldReject(w, now) {
 				q.Add(w)
 				owner[w] = t
@@ -69,28 +71,28 @@
 				break
 			}
 			q.Remove(w, true, now)
-			free = max(free, now) + seconds(float64(read)/perSecond)
-			shares.Charge(owner[w].name, read, now)
+			free = max(free, now) + seconds(float64(promptTokens)/perSecond)
+			usage.Charge(owner[w].name, promptTokens, now)
 			if now <= w.OnTimeDeadline {
 				owner[w].onTime++
 			}
 		}
 	}
-	var asked, onTime int
+	var requests, onTime int
 	for _, t := range teams[1:] {
-		asked, onTime = asked+t.asked, onTime+t.onTime
+		requests, onTime = requests+t.requests, onTime+t.onTime
 	}
-	return float64(onTime) / float64(asked), float64(teams[0].onTime) / float64(teams[0].asked)
+	return float64(onTime) / float64(requests), float64(teams[0].onTime) / float64(teams[0].requests)
 }
 
-// A large team surges to as much as all engines can do, twenty small ones ask for
-// four fifths of it. Without shares all are late alike; with them the small teams do not
-// notice the surge, and the large one gets what is left.
-func TestSmallTeamsDoNotNoticeALargeOne(t *testing.T) {
-	small, large := surge(false)
+// The load of a large team rises to the capacity of all engines, while twenty small teams
+// need four fifths of it. Without usage levels requests of all teams are late alike. With
+// them the small teams are on time, and the large one gets the remaining capacity.
+func TestLargeTeamDoesNotDelaySmallTeams(t *testing.T) {
+	small, large := simulateSpike(false)
 	require.Less(t, small, 0.75)
-	smallFair, largeFair := surge(true)
+	smallFair, largeFair := simulateSpike(true)
 	require.Greater(t, smallFair, 0.95)
 	require.Greater(t, largeFair, 0.02)
-	t.Logf("on time without shares: small %.2f large %.2f, with: %.2f %.2f", small, large, smallFair, largeFair)
+	t.Logf("on time without usage levels: small %.2f large %.2f, with: %.2f %.2f", small, large, smallFair, largeFair)
 }
--- a/flow/turns.go
+++ b/flow/turns.go
@@ -7,20 +7,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Contender is a process that has requests waiting for a service.
+// Contender is a process with requests that wait for a service.
 type Contender struct {
 	Name    string
 	Waiting int
-	// Rank is that of the most urgent of them, and WaitingAtRank the number of those that
-	// have it.
+	// Rank is the rank of its most urgent waiting request, WaitingAtRank the number of
+	// its waiting requests of that rank.
 	Rank, WaitingAtRank int
 }
 
-// NewTurns shares servers out for a request of some rank that waits at self, among
-// the others that have requests waiting too. It shares with those that are at least
-// as urgent only, and leaves a server to each request elsewhere that is more urgent:
-// otherwise those would get no more than their part of the servers that get room,
-// and wait as long as all others.
+// NewTurns returns the turns for a request of the given rank that waits at self. others
+// are the other processes with waiting requests. It returns nil if no other process has
+// requests that are at least as urgent.
+//
+// Only processes whose requests are at least as urgent become contenders, and one server
+// is reserved for each more urgent request elsewhere. Without the reservation those
+// requests would get only their process's share of the servers with free capacity, and
+// would wait as long as all others.
 func NewTurns(self Contender, others []Contender, rank int, period int64) *Turns {
 	t := &Turns{Self: self.Name, Period: period}
 	for _, c := range others {
@@ -38,28 +41,29 @@
 	return t
 }
 
-// Turns gives each server to one contender for a while. When a server gets room,
-// every process with a queue sees it within milliseconds, earlier than it hears
-// what the others have sent there. Without turns they all send at once: an engine
-// that joined empty was given several seconds of prompts, while its first callers
-// were promised less than one.
+// Turns assigns each server to one contender for one period of 60 ms: in that period only
+// this contender may send to the server. When a server gets free capacity, every process
+// with a queue sees it within milliseconds, earlier than it receives the other processes'
+// load reports. Without turns they all send at once: an engine that joined empty was given
+// several seconds of prompts, while its first callers had been promised less than one
+// second.
 //
-// Contenders get servers in proportion to what waits there. Processes that disagree
-// on the contenders or the period now and then send to the same server, or leave
-// it to each other for one period; both pass.
+// A contender gets servers in proportion to its number of waiting requests. Processes that
+// disagree on the contenders or on the period may send to the same server, or leave it
+// unused for one period; both are over after that period.
 type Turns struct {
-	// Self is the process that asks.
+	// Self is the name of this process.
 	Self string
-	// Period numbers the spans of time for which turns hold; it is the same
-	// everywhere.
+	// Period is the number of the current period. All processes number periods alike.
 	Period     int64
 	Contenders []Contender
-	// Reserved is the number of servers with room that are left to others.
+	// Reserved is the number of servers with free capacity that are left to more urgent
+	// requests of other processes.
 	Reserved int
 }
 
-// IsOwnTurn reports whether it is this process's turn at a server. Without other
-// contenders it always is.
+// IsOwnTurn reports whether a server is assigned to this process in this period. Without
+// other contenders it always is.
 func (t *Turns) IsOwnTurn(server string) bool {
 	if t == nil || len(t.Contenders) < 2 {
 		return true
@@ -73,8 +77,9 @@
 	return best == t.Self
 }
 
-// score is weighted rendezvous hashing: the highest wins, with a chance in
-// proportion to its weight, and the others' order does not depend on who is there.
+// score implements weighted rendezvous hashing. The contender with the highest score wins;
+// its chance is in proportion to its weight. The order of any two contenders does not
+// depend on the other ones.
 func (t *Turns) score(server string, c Contender) float64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/flow/turns_test.go
+++ b/flow/turns_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// In each period a server belongs to exactly one contender, and to each one in
-// proportion to what waits there.
+// In each period every server is assigned to exactly one contender, and each contender
+// gets servers in proportion to its number of waiting requests.
 func TestTurnsShareServersInProportion(t *testing.T) {
 	contenders := []Contender{{Name: "a", Waiting: 1}, {Name: "b", Waiting: 1}, {Name: "c", Waiting: 4}}
-	won := make(map[string]int)
+	wins := make(map[string]int)
 	const periods = 6000
 	for period := range int64(periods) {
 		owners := 0
@@ -20,20 +20,20 @@
 			turns := &Turns{Self: c.Name, Period: period, Contenders: contenders}
 			if turns.IsOwnTurn("s") {
 				owners++
-				won[c.Name]++
+				wins[c.Name]++
 			}
 		}
 		require.Equal(t, 1, owners)
 	}
-	require.InEpsilon(t, periods/6, won["a"], 0.1)
-	require.InEpsilon(t, periods/6, won["b"], 0.1)
-	require.InEpsilon(t, 4*periods/6, won["c"], 0.1)
+	require.InEpsilon(t, periods/6, wins["a"], 0.1)
+	require.InEpsilon(t, periods/6, wins["b"], 0.1)
+	require.InEpsilon(t, 4*periods/6, wins["c"], 0.1)
 }
 
-// Short urgent requests and long ones wait at several processes. An urgent one shares
-// servers with urgent ones only, and a long one leaves each urgent one a server; one
-// that is late goes behind all that can be on time.
-func TestUrgentRequestsGoFirstElsewhereToo(t *testing.T) {
+// Urgent, less urgent and late requests wait at several processes. An urgent request must
+// compete for servers with urgent ones only, and a less urgent request must leave one
+// server to each urgent one. A late request goes behind all that can be on time.
+func TestServersAreReservedForMoreUrgentRequestsElsewhere(t *testing.T) {
 	urgent, long, late := &Waiter{Priority: 0, OnTimeDeadline: seconds(9)}, &Waiter{Priority: 1, OnTimeDeadline: seconds(9)}, &Waiter{Priority: 0, OnTimeDeadline: seconds(1)}
 	now := seconds(2)
 	self := Contender{Name: "self", Waiting: 1}
@@ -42,35 +42,35 @@
 		{Name: "b", Waiting: 1, WaitingAtRank: 1, Rank: long.Rank(now)},
 		{Name: "c", Waiting: 1, WaitingAtRank: 1, Rank: late.Rank(now)},
 	}
-	t1 := NewTurns(self, others, urgent.Rank(now), 1)
-	require.Len(t, t1.Contenders, 2)
-	require.Zero(t, t1.Reserved)
-	t2 := NewTurns(self, others, long.Rank(now), 1)
-	require.Len(t, t2.Contenders, 3)
-	require.Equal(t, 2, t2.Reserved)
+	urgentTurns := NewTurns(self, others, urgent.Rank(now), 1)
+	require.Len(t, urgentTurns.Contenders, 2)
+	require.Zero(t, urgentTurns.Reserved)
+	longTurns := NewTurns(self, others, long.Rank(now), 1)
+	require.Len(t, longTurns.Contenders, 3)
+	require.Equal(t, 2, longTurns.Reserved)
 	require.Equal(t, 3, NewTurns(self, others, late.Rank(now), 1).Reserved)
 	require.Nil(t, NewTurns(self, others[1:], urgent.Rank(now), 1))
 }
 
-func TestTurnsWithoutOthersAreAlwaysMine(t *testing.T) {
+func TestEveryServerIsOwnTurnWithoutOtherContenders(t *testing.T) {
 	require.True(t, (*Turns)(nil).IsOwnTurn("s"))
 	require.True(t, (&Turns{Self: "a", Contenders: []Contender{{Name: "a", Waiting: 3}}}).IsOwnTurn("s"))
 }
 
-// crowd plays processes that each have a queue in front of the same engines and
-// hear of each other's sends after a while. An engine takes a prompt if less than
-// half a second of prompts is known to wait there.
-type crowd struct {
+// simulation has several processes that each have a queue in front of the same engines. A
+// process sends a prompt to an engine if no unread prompt is known to it there.
+type simulation struct {
 	processes, engines int
-	// hears is how long a send takes to be known to the others.
-	hears time.Duration
+	// delay is the time until the other processes know of a send.
+	delay time.Duration
+	// turns, if set, limits each process to the engines that are its own turn.
 	turns bool
 }
 
-// worst returns the most prompts that an engine had to read at once when all
-// engines joined empty, and how many of the requests were sent within the time.
-func (c crowd) worst(lasts time.Duration) (most, sent int) {
-	const tick, period, read = 5 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond
+// run starts with empty engines. It returns the largest number of unread prompts that an
+// engine had at one time, and the number of prompts that were sent.
+func (c simulation) run(duration time.Duration) (maxPending, sent int) {
+	const tick, period, readTime = 5 * time.Millisecond, 60 * time.Millisecond, 400 * time.Millisecond
 	type send struct {
 		process, engine int
 		at              time.Duration
@@ -80,15 +80,15 @@
 	for i := range contenders {
 		contenders[i] = Contender{Name: "p" + strconv.Itoa(i), Waiting: 5}
 	}
-	known := func(process, engine int, now time.Duration) (n int) {
+	pending := func(process, engine int, now time.Duration) (n int) {
 		for _, s := range sends {
-			if s.engine == engine && now-s.at < read && (s.process == process || now-s.at >= c.hears) {
+			if s.engine == engine && now-s.at < readTime && (s.process == process || now-s.at >= c.delay) {
 				n++
 			}
 		}
 		return n
 	}
-	for now := time.Duration(0); now < lasts; now += tick {
+	for now := time.Duration(0); now < duration; now += tick {
 		for p := range contenders {
 			if int(now/tick)%4 != p%4 {
 				continue
@@ -98,26 +98,27 @@
 				if c.turns && !turns.IsOwnTurn("e"+strconv.Itoa(e)) {
 					continue
 				}
-				if known(p, e, now) < 1 {
+				if pending(p, e, now) < 1 {
 					sends = append(sends, send{p, e, now})
 				}
 			}
 		}
 		for e := range c.engines {
-			most = max(most, known(-1, e, now+c.hears))
+			maxPending = max(maxPending, pending(-1, e, now+c.delay))
 		}
 	}
-	return most, len(sends)
+	return maxPending, len(sends)
 }
 
-// Six engines join empty while twenty-four processes have queues, and a send is
-// known to the others after 20 ms. Without turns an engine is given sixteen prompts
-// or more at once, 6 s of reading; with turns two, and the engines have as much to do.
-func TestTurnsKeepACrowdFromMeetingAtOneEngine(t *testing.T) {
-	c := crowd{processes: 24, engines: 6, hears: 20 * time.Millisecond}
-	without, _ := c.worst(2 * time.Second)
+// Six engines join empty while twenty-four processes have queues, and a send is known to
+// the other processes after 20 ms. Without turns an engine receives sixteen prompts or more
+// at once, which take 6 s to read. With turns it receives at most two, and no engine is
+// left idle.
+func TestTurnsPreventManyProcessesFromFillingOneEngine(t *testing.T) {
+	c := simulation{processes: 24, engines: 6, delay: 20 * time.Millisecond}
+	without, _ := c.run(2 * time.Second)
 	c.turns = true
-	with, sent := c.worst(2 * time.Second)
+	with, sent := c.run(2 * time.Second)
 	require.GreaterOrEqual(t, without, 16)
 	require.LessOrEqual(t, with, 2)
 	require.GreaterOrEqual(t, sent, 6*4, "engines must not be left idle")
