--- a/backends/registry.go
+++ b/backends/registry.go
@@ -244,8 +244,8 @@
 	r.tell(left)
 }
 
-// Replaced notes that another server answers at a server's address.
-func (r *Registry) Replaced(gone Server) {
+// MarkReplaced notes that another server answers at a server's address.
+func (r *Registry) MarkReplaced(gone Server) {
 	r.mu.Lock()
 	s := r.current(gone)
 	news := s != nil && !s.gone
@@ -327,7 +327,7 @@
 	if divided {
 		req.Own = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
-	if q.MostOfAll > 0 && placement.UsedOfAll(req, views) > q.MostOfAll {
+	if q.MostOfAll > 0 && placement.MemoryUtilization(req, views) > q.MostOfAll {
 		return nil
 	}
 	draws := r.draws(len(views))
@@ -393,7 +393,7 @@
 			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.regions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
 			Running: load.Running, Slots: s.Slots,
 			MemoryForecast: uint64(max(0, load.Tokens)), PromptPending: max(0, load.Prompt), CopyPending: max(0, load.Copying), MemoryTotal: uint64(traits.MemoryTokens),
-			FailureRate: s.failureRate(now), Avoid: now < s.avoidUntil || s.suspectUntil > 0 || r.losing(s, now) || r.restsElsewhere(s), Resting: now < s.restUntil, Cold: now < s.coldUntil, Paced: paced, Ended: r.ended(s, now),
+			FailureRate: s.failureRate(now), Avoid: now < s.avoidUntil || s.suspectUntil > 0 || r.losing(s, now) || r.restsElsewhere(s), BackingOff: now < s.restUntil, Cold: now < s.coldUntil, Paced: paced, Down: r.ended(s, now),
 		})
 	}
 	return r.scratch, list
