--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -70,7 +70,8 @@
 }
 
 // truncatedMean returns the mean of a lognormal length on condition that it is longer than
-// emitted. Lengths above maxTokens count as maxTokens.
+// emitted. mean and spread are those of the logarithm of the length. Lengths above maxTokens
+// count as maxTokens.
 func truncatedMean(mean, spread float64, emitted, maxTokens int) int {
 	if maxTokens > 0 && emitted >= maxTokens {
 		return emitted
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,6 +1,6 @@
-// Package subset picks the bounded set of peers that a process watches, by
-// rendezvous hashing: few peers change places when the list changes, and each
-// peer is watched by about equally many processes. It is pure.
+// Package subset picks a bounded set of peers for each process by rendezvous hashing. When
+// the list of peers changes, few picks change, and each peer is picked by about equally
+// many processes. It does no I/O and keeps no state.
 package subset
 
 import (
@@ -10,15 +10,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Item is something that can be picked.
+// Item is a peer that can be picked.
 type Item struct {
 	Name          string
 	FailureDomain string
 }
 
-// Pick returns at most n items for the process called self: half of them from
-// its own failure domain if there are so many, the rest from the others, so
-// that the loss of the own domain leaves as many.
+// Pick returns at most n items for the process called self. Half of them are from its own
+// failure domain and half from others, so that half remain when the own domain is lost.
+// Where either part has too few items, the other part fills up.
 func Pick(self, failureDomain string, items []Item, n int) []Item {
 	ranked := rank(self, items)
 	var own, others []Item
@@ -29,11 +29,12 @@
 			others = append(others, it)
 		}
 	}
-	near := min(len(own), max((n+1)/2, n-len(others)))
-	far := min(len(others), n-near)
-	return append(own[:near:near], others[:far]...)
+	ownCount := min(len(own), max((n+1)/2, n-len(others)))
+	otherCount := min(len(others), n-ownCount)
+	return append(own[:ownCount:ownCount], others[:otherCount]...)
 }
 
+// rank returns the items sorted by their score for self, highest first.
 func rank(self string, items []Item) []Item {
 	type scored struct {
 		item  Item
@@ -59,7 +60,7 @@
 	return out
 }
 
-// Score is the rendezvous weight of a pair.
+// Score returns the rendezvous weight of a pair of names.
 func Score(a, b string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -15,33 +15,33 @@
 	return out
 }
 
-// At the target size every server must be watched by about equally many entries,
-// and each entry must watch servers outside its own failure domain.
+// With 330 entries and 56 servers each server must be picked by about equally many entries,
+// and each entry must pick at least half of its servers outside its own failure domain.
 func TestPickSpreads(t *testing.T) {
 	const entries, servers, n = 330, 56, 6
-	watched := make(map[string]int)
+	picks := make(map[string]int)
 	for e := range entries {
 		domain := fmt.Sprint("d", e%8)
 		picked := Pick(fmt.Sprint("entry-", e), domain, items(servers), n)
 		require.Len(t, picked, n)
-		far := 0
+		otherDomains := 0
 		for _, it := range picked {
-			watched[it.Name]++
+			picks[it.Name]++
 			if it.FailureDomain != domain {
-				far++
+				otherDomains++
 			}
 		}
-		require.GreaterOrEqual(t, far, n/2)
+		require.GreaterOrEqual(t, otherDomains, n/2)
 	}
-	require.Len(t, watched, servers)
+	require.Len(t, picks, servers)
 	mean := entries * n / servers
-	for name, count := range watched {
+	for name, count := range picks {
 		require.InDelta(t, mean, count, float64(mean), name)
 	}
 }
 
-// When one server leaves, an entry that did not watch it keeps its subset, and
-// one that did changes one place.
+// When one server leaves, an entry that had not picked it must keep its subset, and an
+// entry that had picked it must change one item only.
 func TestPickIsStable(t *testing.T) {
 	all := items(100)
 	for e := range 50 {
