--- a/burn/burn.go
+++ b/burn/burn.go
@@ -1,5 +1,6 @@
-// Package burn computes how fast teams use up the error budgets of their
-// service levels. It is pure; a Tracker is for one goroutine at a time.
+// Package burn computes the burn rates of the error budgets of teams' service level
+// objectives. It does no I/O and reads no clock. A Tracker must not be used by several
+// goroutines at the same time.
 package burn
 
 import (
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// Objective names what is promised.
+// Objective is the name of a service level objective.
 type Objective string
 
 // The objectives.
@@ -19,33 +20,35 @@
 	LostAnswers   Objective = "lost_answers"
 )
 
-// Windows are the spans that a report covers.
+// Windows are the time windows of a report.
 var Windows = [...]time.Duration{time.Hour, 6 * time.Hour, 72 * time.Hour}
 
-// slotsPerWindow is the resolution of a window. A window slides by one slot, so
-// a report covers up to a twelfth less than its name says.
+// slotsPerWindow is the number of slots into which a window is divided. A window slides by
+// one slot at a time, so a report covers up to a twelfth less than the length of the
+// window.
 const slotsPerWindow = 12
 
 type counts struct{ good, bad uint64 }
 
-// ring counts events over one window.
+// ring counts events over one sliding window. current is the number of its newest slot,
+// counted from time 0.
 type ring struct {
-	slots [slotsPerWindow]counts
-	last  int64
+	slots   [slotsPerWindow]counts
+	current int64
 }
 
-// at is the slot for now; slots that were passed are emptied.
-func (r *ring) at(now, window time.Duration) *counts {
+// slotAt returns the slot for now and empties the slots that have left the window.
+func (r *ring) slotAt(now, window time.Duration) *counts {
 	n := int64(now / (window / slotsPerWindow))
-	for k := max(r.last+1, n-slotsPerWindow+1); k <= n; k++ {
+	for k := max(r.current+1, n-slotsPerWindow+1); k <= n; k++ {
 		r.slots[k%slotsPerWindow] = counts{}
 	}
-	r.last = max(r.last, n)
-	return &r.slots[r.last%slotsPerWindow]
+	r.current = max(r.current, n)
+	return &r.slots[r.current%slotsPerWindow]
 }
 
 func (r *ring) sum(now, window time.Duration) counts {
-	r.at(now, window)
+	r.slotAt(now, window)
 	var total counts
 	for _, c := range r.slots {
 		total.good += c.good
@@ -54,7 +57,7 @@
 	return total
 }
 
-// series counts one kind of event over every window.
+// series contains one ring for each window.
 type series [len(Windows)]ring
 
 type key struct {
@@ -68,7 +71,7 @@
 	targets map[string]float64
 }
 
-// DefaultTarget is the share of good events promised where a team has none.
+// DefaultTarget is the target share of good events of a team without a target of its own.
 const DefaultTarget = 0.95
 
 // NewTracker returns an empty tracker.
@@ -76,12 +79,12 @@
 	return &Tracker{series: make(map[key]*series), targets: make(map[string]float64)}
 }
 
-// SetTarget sets the share of good events that a team is promised.
+// SetTarget sets the target share of good events of a team.
 func (t *Tracker) SetTarget(team string, target float64) {
 	t.targets[team] = target
 }
 
-// Count records events of a team at now.
+// Count records one event of a team at now.
 func (t *Tracker) Count(now time.Duration, team string, o Objective, good bool) {
 	k := key{team, o}
 	s := t.series[k]
@@ -90,7 +93,7 @@
 		t.series[k] = s
 	}
 	for i, w := range Windows {
-		c := s[i].at(now, w)
+		c := s[i].slotAt(now, w)
 		if good {
 			c.good++
 		} else {
@@ -106,15 +109,15 @@
 	Window    string    `json:"window"`
 	Events    uint64    `json:"events"`
 	Bad       uint64    `json:"bad"`
-	// BurnRate is the share of bad events over the share that is allowed; at 1
-	// the budget lasts exactly the window.
+	// BurnRate is the share of bad events divided by the allowed share. At 1 the budget
+	// lasts exactly for the window.
 	BurnRate float64 `json:"burn_rate"`
-	// BudgetLeft is the part of the window's budget that is left; it is
-	// negative once the budget is overspent.
+	// BudgetLeft is the remaining share of the window's budget. It is negative if the
+	// budget is overspent.
 	BudgetLeft float64 `json:"budget_left"`
 }
 
-// Report lists every team, objective and window, sorted.
+// Report returns one line for each team, objective and window, in this order.
 func (t *Tracker) Report(now time.Duration) []Line {
 	keys := slices.SortedFunc(maps.Keys(t.series), func(a, b key) int {
 		if a.team != b.team {
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// find returns the first line of a window.
 func find(lines []Line, window time.Duration) Line {
 	for _, l := range lines {
 		if l.Window == window.String() {
@@ -16,8 +17,8 @@
 	return Line{}
 }
 
-// One event in ten is bad where one in twenty is allowed: the budget burns twice
-// as fast as it may. Two hours later the hour is clean, the longer windows not.
+// One event in ten is bad where one in twenty is allowed, so the burn rate is 2. Two hours
+// later the window of one hour is empty, and the longer windows still count the events.
 func TestBurnRates(t *testing.T) {
 	tr := NewTracker()
 	tr.SetTarget("t", 0.95)
