--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -162,8 +162,8 @@
 	require.NotNil(t, lease)
 	r.ApplySignals(s, Signals{Limited: true, Limit: 5}, 0, time.Second)
 	require.Nil(t, r.Acquire(q, 2*time.Second))
-	require.True(t, r.TakeTurn(lease, pacing.SharedTime{}, 2*time.Second), "a copy of before")
-	require.False(t, r.TakeTurn(lease, pacing.SharedTime{}, 2*time.Second), "and no second one at once")
+	require.True(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "a copy of before")
+	require.False(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "and no second one at once")
 }
 
 // Guards against a server that said it is leaving being used again because its entry went in an
@@ -207,7 +207,7 @@
 	require.Nil(t, r.Acquire(Query{Service: svc, Copy: true}, 3900*time.Millisecond))
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
-	lease.Done(Good, 4*time.Second)
+	lease.Release(ResultOK, 4*time.Second)
 	r.ApplySignals(s, Signals{Rest: MostRest}, 0, 5*time.Second)
 	again := s
 	again.StartTime = 2
@@ -228,7 +228,7 @@
 			if lease.Server.ID == "a" {
 				n++
 			}
-			lease.Done(Unjudged, time.Second)
+			lease.Release(ResultInconclusive, time.Second)
 		}
 		return n
 	}
@@ -238,7 +238,7 @@
 	require.Zero(t, picked())
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, time.Second)
 	require.NotNil(t, lease, "it wants nothing of the others only")
-	lease.Done(Unjudged, time.Second)
+	lease.Release(ResultInconclusive, time.Second)
 	r.SetRemoteStatuses("vm-3", nil, time.Second)
 	require.Greater(t, picked(), 20)
 }
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -11,20 +11,20 @@
 
 // The results.
 const (
-	// Unjudged says nothing: the caller left, or the deadline passed early.
-	Unjudged Result = iota
-	// Good is a whole answer.
-	Good
-	// Full is a refusal for lack of room.
-	Full
-	// Failed is an error or a spoilt answer.
-	Failed
-	// Lost is a connection that broke without an answer.
-	Lost
+	// ResultInconclusive says nothing: the caller left, or the deadline passed early.
+	ResultInconclusive Result = iota
+	// ResultOK is a whole answer.
+	ResultOK
+	// ResultFull is a refusal for lack of room.
+	ResultFull
+	// ResultFailed is an error or a spoilt answer.
+	ResultFailed
+	// ResultLost is a connection that broke without an answer.
+	ResultLost
 	// Unreachable is a server that could not be connected to.
 	Unreachable
-	// Ended is a server that listens no more.
-	Ended
+	// ResultDown is a server that listens no more.
+	ResultDown
 )
 
 // Reservation counts a request at a server. Done ends it.
@@ -105,8 +105,8 @@
 	}
 }
 
-// Done ends the lease; further calls do nothing.
-func (l *Reservation) Done(result Result, now time.Duration) {
+// Release ends the lease; further calls do nothing.
+func (l *Reservation) Release(result Result, now time.Duration) {
 	l.once.Do(func() { l.reg.done(l, result, now) })
 }
 
@@ -117,19 +117,19 @@
 	s.own = s.own.minus(l.part)
 	l.part = Load{}
 	switch result {
-	case Good:
+	case ResultOK:
 		s.lost = 0
 		s.judge(0, healthGain, now)
-	case Failed:
+	case ResultFailed:
 		s.judge(1, healthGain, now)
-	case Lost:
+	case ResultLost:
 		s.lose(now)
-	case Full:
+	case ResultFull:
 		s.avoidUntil = max(s.avoidUntil, now+fullFor)
 	case Unreachable:
 		s.judge(1, healthGain, now)
 		s.avoidUntil = max(s.avoidUntil, now+lostFor)
-	case Ended:
+	case ResultDown:
 		s.end(now)
 	}
 	if s.gone && s.own.Running == 0 {
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -105,7 +105,7 @@
 func New(domain string, traits func(service string) Traits, leaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
 		domain: domain, traits: traits, leaving: leaving,
-		policy: placement.Direct(), copies: placement.Copies(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
+		policy: placement.Direct(), copies: placement.CopyTarget(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
 		lists: make(map[string][]*server),
 	}
 }
@@ -322,10 +322,10 @@
 	if near == "" {
 		near = r.domain
 	}
-	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MostUsed: q.MostUsed, MostPrompt: q.MostPrompt, Within: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
+	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MostUsed, MaxPromptPending: q.MostPrompt, SameDomainOnly: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
 	divided := cells.Divided(len(views), r.count)
 	if divided {
-		req.Own = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
+		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
 	if q.MostOfAll > 0 && placement.MemoryUtilization(req, views) > q.MostOfAll {
 		return nil
@@ -336,7 +336,7 @@
 	}
 	if q.Turns != nil {
 		// Nobody else takes these servers now.
-		req.Mine, req.Yield, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
+		req.IsOwnTurn, req.Reserved, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
 	}
 	policy := r.policy
 	if q.Copy {
@@ -344,7 +344,7 @@
 	}
 	i := policy.BestOf(draws, req, views, q.Draw)
 	if i < 0 && divided && q.Spill {
-		req.Own = nil
+		req.IsCandidate = nil
 		i = policy.BestOf(draws, req, views, q.Draw)
 	}
 	if i < 0 {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -124,7 +124,7 @@
 func (a *Agent) observe(g *generation, last time.Time) time.Time {
 	now := time.Now()
 	if a.observer != nil && !last.IsZero() {
-		a.observer.Token(g.req.Team, now.Sub(last))
+		a.observer.ObserveToken(g.req.Team, now.Sub(last))
 	}
 	return now
 }
@@ -152,7 +152,7 @@
 // arrived if the engine continues generations. It never starts over behind
 // tokens that a caller may have: that would splice two generations.
 func (a *Agent) recoverStream(ctx context.Context, g *generation, attempt uint32, cause error) (uint32, engine.Stream, error) {
-	deadline := time.Now().Add(a.cfg.EngineGrace)
+	deadline := time.Now().Add(a.cfg.EngineGracePeriod)
 	for backoff := firstBackoff; time.Now().Before(deadline); backoff = min(2*backoff, maxBackoff) {
 		src, err := a.engine.Attach(ctx, g.id, g.buf.NextIndex())
 		if err == nil {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -73,13 +73,13 @@
 	}
 }
 
-var _ relay.Suspects = (*suspects)(nil)
+var _ relay.Quarantine = (*suspects)(nil)
 
 // Any implements relay.Suspects.
 func (s *suspects) Any() bool { return s.any.Load() }
 
-// Held implements relay.Suspects.
-func (s *suspects) Held(id quarantine.ID) (time.Duration, bool) {
+// Quarantined implements relay.Suspects.
+func (s *suspects) Quarantined(id quarantine.ID) (time.Duration, bool) {
 	now, known := s.group.role.now()
 	if !known {
 		return 0, false
@@ -123,15 +123,15 @@
 	return s.book.QuarantinedCount()
 }
 
-// Near implements relay.Suspects.
-func (s *suspects) Near(id quarantine.ID) bool {
+// NearThreshold implements relay.Suspects.
+func (s *suspects) NearThreshold(id quarantine.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.NearThreshold(id)
 }
 
-// Ended implements relay.Suspects.
-func (s *suspects) Ended(server backends.Server, ran []quarantine.ID) {
+// Crashed implements relay.Suspects.
+func (s *suspects) Crashed(server backends.Server, ran []quarantine.ID) {
 	now, known := s.group.role.now()
 	if !known {
 		s.log.WithField("server", server.ID).Warn("end of a server is not counted, the store's clock is not known")
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -58,7 +58,7 @@
 	o, err := r.send(ctx, j, lease, a)
 	if err != nil {
 		if cover != nil {
-			cover.Done(backends.Unjudged, r.Now())
+			cover.Release(backends.ResultInconclusive, r.Now())
 		}
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 // uncover gives the room of the standing copy back.
 func (o *offer) uncover(now time.Duration) {
 	if o.cover != nil {
-		o.cover.Done(backends.Unjudged, now)
+		o.cover.Release(backends.ResultInconclusive, now)
 		o.cover = nil
 	}
 }
@@ -91,9 +91,9 @@
 // missed is what an attempt to go on from a copy says of its server. A refusal says
 // that the server has no such copy, as where it had no room for one; that is no failure.
 func missed(err error) backends.Result {
-	var refused *Refused
+	var refused *NotRunError
 	if errors.As(err, &refused) {
-		return backends.Unjudged
+		return backends.ResultInconclusive
 	}
-	return backends.Failed
+	return backends.ResultFailed
 }
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -139,7 +139,7 @@
 	return l.book.Len() > 0
 }
 
-func (l *ledger) Held(id quarantine.ID) (time.Duration, bool) {
+func (l *ledger) Quarantined(id quarantine.ID) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.looked++
@@ -159,13 +159,13 @@
 	return tried
 }
 
-func (l *ledger) Near(id quarantine.ID) bool {
+func (l *ledger) NearThreshold(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.book.NearThreshold(id)
 }
 
-func (l *ledger) Ended(s backends.Server, ran []quarantine.ID) {
+func (l *ledger) Crashed(s backends.Server, ran []quarantine.ID) {
 	l.mu.Lock()
 	c := l.book.Crashed(cells.Hash(s.ID), l.now(), ran)
 	l.mu.Unlock()
@@ -195,7 +195,7 @@
 // suspicious has a world remember suspects.
 func (w *world) suspicious() *ledger {
 	l := &ledger{now: w.now, relay: w.relay, book: quarantine.NewTracker(quarantine.Default())}
-	w.relay.Suspects = l
+	w.relay.Quarantine = l
 	return l
 }
 
@@ -204,7 +204,7 @@
 func (w *world) harmful(path string) {
 	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
 		if w.up.Gone(ctx, a.Server) {
-			return nil, &Refused{Why: RefusedUnreachable}
+			return nil, &NotRunError{Reason: RefusedUnreachable}
 		}
 		body := newSource()
 		go func() {
@@ -279,7 +279,7 @@
 		r := request("/plan/a")
 		popular := quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)
 		for _, id := range []string{"x1", "x2", "x3"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{popular, quarantine.NewID("team-1", r.Method, r.Host, "/plan/harmful", nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{popular, quarantine.NewID("team-1", r.Method, r.Host, "/plan/harmful", nil)})
 		}
 		time.Sleep(quarantine.Default().TrialAfter)
 		c := w.serve(request("/plan/a"))
@@ -325,7 +325,7 @@
 		answers.write(event(1))
 		begun := time.Now()
 		for _, id := range []string{"x1", "x2", "x3"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", first.Method, first.Host, first.Target, nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", first.Method, first.Host, first.Target, nil)})
 		}
 		synctest.Wait()
 		require.NotNil(t, got[0])
@@ -351,7 +351,7 @@
 		w.harmful("/plan/a")
 		r := request("/plan/a")
 		for _, id := range []string{"x1", "x2"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)})
 		}
 		c := w.serve(r)
 		require.NotEmpty(t, w.up.sent[0].Backup, "there is a copy")
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -171,7 +171,7 @@
 			copied := w.entry(strings.TrimSuffix(sent.Backup, ":1"), modelService)
 			w.relay.Advised(copied, backends.Signals{Limited: true}, 0)
 			lease := w.registry.Acquire(backends.Query{Service: modelService, Tried: []string{sent.Server.ID}}, w.now())
-			lease.Done(backends.Unjudged, w.now())
+			lease.Release(backends.ResultInconclusive, w.now())
 		})
 	})
 }
@@ -216,7 +216,7 @@
 		w.relay.Advised(s, backends.Signals{Limited: true, Limit: 4}, 0)
 		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
 			if a.Server.ID == "full" {
-				return nil, &Refused{Why: RefusedFull}
+				return nil, &NotRunError{Reason: RefusedFull}
 			}
 			return answer(200, "ok"), nil
 		}
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -230,7 +230,7 @@
 	u.mu.Unlock()
 	if cover != nil {
 		// The engine frees it with the run.
-		cover.lease.Done(backends.Unjudged, r.Now())
+		cover.lease.Release(backends.ResultInconclusive, r.Now())
 	}
 	r.mu.Lock()
 	r.unlist(u, server)
@@ -247,7 +247,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
 	r.Upstream.Drop(ctx, c.Copy)
-	c.lease.Done(backends.Unjudged, r.Now())
+	c.lease.Release(backends.ResultInconclusive, r.Now())
 }
 
 // Evacuate moves the runs of a server that is leaving. It returns at once.
@@ -322,7 +322,7 @@
 			lease.Copied()
 			return true
 		}
-		lease.Done(backends.Unjudged, m.relay.Now())
+		lease.Release(backends.ResultInconclusive, m.relay.Now())
 		if !errors.Is(err, ErrNoRoom) {
 			return false
 		}
@@ -345,12 +345,12 @@
 	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
 	q.Near = m.from.FailureDomain
 	first := q
-	first.Turns, first.Within = r.Others.MoveTurns(m.from.FailureDomain), true
+	first.Turns, first.Within = r.Peers.MoveTurns(m.from.FailureDomain), true
 	anyRoom := q
 	anyRoom.MostUsed = 0
 	for _, q := range []backends.Query{first, q, anyRoom} {
 		if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
-			r.Others.Nudge()
+			r.Peers.Nudge()
 			return lease
 		}
 	}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -59,11 +59,11 @@
 			return nil, refusal
 		}
 		if left, held := r.held(j); held {
-			lease.Done(backends.Unjudged, r.Now())
+			lease.Release(backends.ResultInconclusive, r.Now())
 			return nil, j.refuseHeld(left)
 		}
 		if j.reached > 0 && !r.repeat(j.service) {
-			lease.Done(backends.Unjudged, r.Now())
+			lease.Release(backends.ResultInconclusive, r.Now())
 			j.log.WithField("sent", j.sent).Warn("retry budget is used up")
 			return nil, r.refuse(j, ReasonNoRoom)
 		}
@@ -82,12 +82,12 @@
 func (r *Relay) passOver(ctx context.Context, j *job, lease *backends.Reservation, err error) *Refusal {
 	id := lease.Server.ID
 	j.tried = append(j.tried, id)
-	var refused *Refused
+	var refused *NotRunError
 	if errors.As(err, &refused) {
-		r.Observer.Attempt(j.service, string(refused.Why))
-		lease.Done(resultOf(refused.Why), r.Now())
-		r.unreached(j, refused.Why)
-		if refused.Why == RefusedReplaced {
+		r.Observer.Attempt(j.service, string(refused.Reason))
+		lease.Release(resultOf(refused.Reason), r.Now())
+		r.unreached(j, refused.Reason)
+		if refused.Reason == RefusedReplaced {
 			r.Registry.MarkReplaced(lease.Server)
 		}
 		if ctx.Err() != nil || j.left() < leastLeft {
@@ -97,12 +97,12 @@
 	}
 	j.ran++
 	if ctx.Err() != nil {
-		lease.Done(backends.Unjudged, r.Now())
+		lease.Release(backends.ResultInconclusive, r.Now())
 		return r.refuse(j, ReasonDeadline)
 	}
 	r.Observer.Attempt(j.service, "lost")
-	lease.Done(backends.Lost, r.Now())
-	r.Others.Nudge()
+	lease.Release(backends.ResultLost, r.Now())
+	r.Peers.Nudge()
 	r.broke(ctx, j, lease.Server)
 	if !j.mayRepeat() {
 		return r.refuse(j, ReasonLost)
@@ -113,25 +113,25 @@
 // unreached takes back what an attempt counts for that never arrived at a server. Callers
 // would be refused for a budget that protects servers which are not there. Others are told of
 // a server that has ended: each would find out by attempts of its own.
-func (r *Relay) unreached(j *job, why RefusedWhy) {
+func (r *Relay) unreached(j *job, why NotRunReason) {
 	if why == RefusedUnreachable || why == RefusedEnded {
 		j.reached--
 	}
 	if why == RefusedEnded {
-		r.Others.Nudge()
+		r.Peers.Nudge()
 	}
 }
 
-func resultOf(why RefusedWhy) backends.Result {
+func resultOf(why NotRunReason) backends.Result {
 	switch why {
 	case RefusedFull:
-		return backends.Full
+		return backends.ResultFull
 	case RefusedUnreachable:
 		return backends.Unreachable
 	case RefusedEnded:
-		return backends.Ended
+		return backends.ResultDown
 	}
-	return backends.Unjudged
+	return backends.ResultInconclusive
 }
 
 // mayRepeat reports whether the request may run once more.
@@ -195,8 +195,8 @@
 }
 
 // paceOf is at what rate servers take requests like this one.
-func (r *Relay) paceOf(j *job) backends.Pace {
-	return r.Registry.Pace(j.service, j.regions, r.Others.SharedClock(), r.Now())
+func (r *Relay) paceOf(j *job) backends.Availability {
+	return r.Registry.Availability(j.service, j.regions, r.Peers.SharedClock(), r.Now())
 }
 
 // paceWait is how long a request may wait for cold servers from its arrival: half of the time
@@ -207,7 +207,7 @@
 
 // query asks for a server for a request.
 func (r *Relay) query(j *job) backends.Query {
-	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, Clock: r.Others.SharedClock(), Draw: rand.Uint64()}
+	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, Clock: r.Peers.SharedClock(), Draw: rand.Uint64()}
 }
 
 // cordoned refuses a request whose servers are all in cordoned failure domains: waiting does
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -44,32 +44,32 @@
 
 // Deps are the parts a Relay works with.
 type Deps struct {
-	Replica  *routing.Replica
-	Registry *backends.Registry
-	Upstream Upstream
-	Now      clock.Source
-	Log      logrus.FieldLogger
-	Observer Observer
-	Others   Peers
-	Suspects Suspects
+	Replica    *routing.Replica
+	Registry   *backends.Registry
+	Upstream   Upstream
+	Now        clock.Source
+	Log        logrus.FieldLogger
+	Observer   Observer
+	Peers      Peers
+	Quarantine Quarantine
 }
 
-// Suspects remembers under which requests servers have ended, here and at all other
+// Quarantine remembers under which requests servers have ended, here and at all other
 // processes.
-type Suspects interface {
+type Quarantine interface {
 	// Any reports whether anything is known of any request.
 	Any() bool
-	// Held reports whether a request must not be sent to servers, and for how much longer.
-	Held(id quarantine.ID) (left time.Duration, held bool)
+	// Quarantined reports whether a request must not be sent to servers, and for how much longer.
+	Quarantined(id quarantine.ID) (left time.Duration, held bool)
 	// Due reports whether a request that is held is to be tried.
 	Due(id quarantine.ID) bool
 	// Try reports whether a request that is held may be sent to one server all the same, to
 	// see whether it is harmful. It says so once.
 	Try(id quarantine.ID) bool
-	// Near reports whether a request would be held if one more server ended under it.
-	Near(id quarantine.ID) bool
-	// Ended is told of a server that has ended, and of the requests that ran there.
-	Ended(s backends.Server, ran []quarantine.ID)
+	// NearThreshold reports whether a request would be held if one more server ended under it.
+	NearThreshold(id quarantine.ID) bool
+	// Crashed is told of a server that has ended, and of the requests that ran there.
+	Crashed(s backends.Server, ran []quarantine.ID)
 	// Answered is told of a request that a server has answered whole.
 	Answered(id quarantine.ID)
 }
@@ -142,8 +142,8 @@
 		speed:    startSpeed,
 		outputs:  newOutputs(),
 	}
-	if r.Suspects == nil {
-		r.Suspects = noSuspects{}
+	if r.Quarantine == nil {
+		r.Quarantine = noSuspects{}
 	}
 	r.Configure(cfg)
 	return r
@@ -328,7 +328,7 @@
 func (r *Relay) authorize(j *job, cfg *routing.Config, age time.Duration) *Refusal {
 	// A key that was removed since the last confirmation would still be found, so
 	// beyond the bound no key is trusted; another VM may know better.
-	if r.KeysStale(age) || !r.Others.Agreed() {
+	if r.KeysStale(age) || !r.Peers.Agreed() {
 		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 	}
 	team := cfg.Team(j.Key)
@@ -355,7 +355,7 @@
 // Ready reports whether requests with keys can be served.
 func (r *Relay) Ready() bool {
 	cfg, confirmed := r.Replica.Current()
-	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Others.Agreed()
+	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Peers.Agreed()
 }
 
 // defaultWait bounds requests for which neither caller nor route says how long
