--- a/cells/cells.go
+++ b/cells/cells.go
@@ -16,15 +16,15 @@
 // one of them (three in ten), each can still tell all others over 32 links.
 const size = 26
 
-// LeastServers is how many servers of a service a cell must have on average for the service
+// MinServersPerCell is how many servers of a service a cell must have on average for the service
 // to be divided. With fewer, one that fails or leaves is too large a part of them.
-const LeastServers = 16
+const MinServersPerCell = 16
 
 // Count is how many cells there are for a number of processes; one up to 38.
 func Count(processes int) int { return max(1, (processes+size/2)/size) }
 
-// Divided reports whether a service with a number of servers is divided into cells.
-func Divided(servers, count int) bool { return count > 1 && servers >= LeastServers*count }
+// IsDivided reports whether a service with a number of servers is divided into cells.
+func IsDivided(servers, count int) bool { return count > 1 && servers >= MinServersPerCell*count }
 
 // outsideShare divides the links into a cell to give those out of it: 6 beside 32. A cell of
 // 26 has 150 ways out then.
@@ -44,11 +44,11 @@
 // cells. all does not hold the process itself.
 func Links(self subset.Item, all []subset.Item, most int) (links []subset.Item, place Place) {
 	place = Place{Self: self.Name, Count: Count(len(all) + 1)}
-	place.Own = Of(Hash(self.Name), place.Count)
+	place.Own = IndexOf(Hash(self.Name), place.Count)
 	var inside, outside []subset.Item
 	for _, it := range all {
 		place.All = append(place.All, it.Name)
-		if Of(Hash(it.Name), place.Count) == place.Own {
+		if IndexOf(Hash(it.Name), place.Count) == place.Own {
 			inside = append(inside, it)
 			place.Cell = append(place.Cell, it.Name)
 		} else {
@@ -63,10 +63,10 @@
 // Hash is what a name is placed by.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Of is the cell, from 0, of a hash. When the number of cells changes by one, names move to
+// IndexOf is the cell, from 0, of a hash. When the number of cells changes by one, names move to
 // or from one cell only, so that processes that disagree on it for a while agree on most
 // servers (jump consistent hash).
-func Of(hash uint64, count int) int {
+func IndexOf(hash uint64, count int) int {
 	cell, next := int64(-1), int64(0)
 	for next < int64(count) {
 		cell = next
