--- a/backends/load.go
+++ b/backends/load.go
@@ -101,13 +101,13 @@
 // ServerStatus is what is wrong with a server: requests that it has lost in a row, its end, what it says
 // of itself.
 type ServerStatus struct {
-	InARow int
-	// Ended says that it listens no more, Leaving that it has said itself that it will end.
-	Ended, Leaving bool
-	// Resting says that it has asked the process for rest.
-	Resting bool
-	// Limit is what is known of its limit.
-	Limit RateLimitReport
+	ConsecutiveLosses int
+	// Down says that it listens no more, Leaving that it has said itself that it will end.
+	Down, Leaving bool
+	// BackingOff says that it has asked the process for rest.
+	BackingOff bool
+	// RateLimit is what is known of its limit.
+	RateLimit RateLimitReport
 	// StartTime is the life of the server that lost them, see Server.
 	StartTime int64
 }
@@ -119,8 +119,8 @@
 	defer r.mu.Unlock()
 	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := ServerStatus{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), StartTime: s.StartTime}
-		if l.InARow > 0 || l.Ended || l.Leaving || l.Resting || l.Limit.Known {
+		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, BackingOff: now < s.restUntil, RateLimit: s.limit.told(now), StartTime: s.StartTime}
+		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.BackingOff || l.RateLimit.Known {
 			out[id] = l
 		}
 	}
@@ -157,7 +157,7 @@
 		if l.Leaving {
 			left = s.report(left, NoticeTold)
 		}
-		if limitNews := s.limit.hear(l.Limit, now); limitNews || leavingNews {
+		if limitNews := s.limit.hear(l.RateLimit, now); limitNews || leavingNews {
 			news = append(news, StatusChange{Server: s.Server, Limit: limitNews})
 		}
 	}
@@ -178,7 +178,7 @@
 	sum := own
 	for _, losses := range r.losses {
 		if l := losses[s.ID]; l.StartTime == s.StartTime {
-			sum += min(believedLosses, l.InARow)
+			sum += min(believedLosses, l.ConsecutiveLosses)
 		}
 	}
 	if own < ownLosses && sum < tooManyLosses {
@@ -196,7 +196,7 @@
 		return true
 	}
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Ended && l.StartTime == s.StartTime {
+		if l := losses[s.ID]; l.Down && l.StartTime == s.StartTime {
 			return true
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -131,7 +131,7 @@
 			return backends.New(set.FailureDomain, traitsOf(rep, l), func(s backends.Server, n backends.LeaveReason) {
 				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(n)}).Info("server is leaving")
 				if r := l.relay.Load(); r != nil {
-					r.Noticed(s, n)
+					r.HandleLeaving(s, n)
 				}
 			})
 		},
@@ -241,7 +241,7 @@
 	g.wg.Go(func() { gateways.Run(ctx) })
 	g.wg.Go(func() { g.group.join(ctx) })
 	g.wg.Go(func() { g.group.agree(ctx) })
-	g.wg.Go(func() { g.relay.Scout(ctx, g.directory.Away) })
+	g.wg.Go(func() { g.relay.RunProber(ctx, g.directory.Away) })
 	g.wg.Go(func() { g.tend(ctx) })
 	g.wg.Go(func() { g.group.logControl(ctx) })
 	g.wg.Go(func() { g.group.suspects.tend(ctx) })
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -85,7 +85,7 @@
 // placed has the registry know the place of this gateway among the others.
 func (g *group) placed(p cells.Place) {
 	if g.registry.SetPlace(p) {
-		g.log.WithFields(logrus.Fields{"cell": p.Own, "cells": p.Count}).Info("cell of this gateway")
+		g.log.WithFields(logrus.Fields{"cell": p.OwnCell, "cells": p.Count}).Info("cell of this gateway")
 	}
 }
 
@@ -125,7 +125,7 @@
 		if !t.Limit {
 			continue
 		}
-		l := losses[t.ID].Limit
+		l := losses[t.ID].RateLimit
 		g.log.WithFields(logrus.Fields{
 			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
 			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
@@ -137,9 +137,9 @@
 }
 
 func lossOf(server string, l backends.ServerStatus) *peerv1.Loss {
-	out := &peerv1.Loss{Server: server, InARow: uint32(l.InARow), Ended: l.Ended, Leaving: l.Leaving, Resting: l.Resting, Born: l.StartTime}
-	if l.Limit.Known {
-		out.Limit = &peerv1.Limit{Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, AgeMs: l.Limit.Age.Milliseconds()}
+	out := &peerv1.Loss{Server: server, InARow: uint32(l.ConsecutiveLosses), Ended: l.Down, Leaving: l.Leaving, Resting: l.BackingOff, Born: l.StartTime}
+	if l.RateLimit.Known {
+		out.Limit = &peerv1.Limit{Named: l.RateLimit.Named, PerSecond: l.RateLimit.PerSecond, AgeMs: l.RateLimit.Age.Milliseconds()}
 	}
 	return out
 }
@@ -148,9 +148,9 @@
 const mostAge = 24 * time.Hour
 
 func lossFrom(l *peerv1.Loss) backends.ServerStatus {
-	out := backends.ServerStatus{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), StartTime: l.GetBorn()}
+	out := backends.ServerStatus{ConsecutiveLosses: int(l.GetInARow()), Down: l.GetEnded(), Leaving: l.GetLeaving(), BackingOff: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
-		out.Limit = backends.RateLimitReport{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
+		out.RateLimit = backends.RateLimitReport{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
 	return out
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -43,15 +43,15 @@
 
 // startAttempt counts an attempt that is about to be sent. Errors: *Refused.
 func (r *Relay) startAttempt(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*attempt, error) {
-	a.Look = func() error { return r.look(j, lease, a) }
-	if err := a.Look(); err != nil {
+	a.Recheck = func() error { return r.look(j, lease, a) }
+	if err := a.Recheck(); err != nil {
 		return nil, err
 	}
 	if a.From != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
 		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
-	a.Begun, a.Left = r.Now(), j.left()
+	a.Begun, a.Timeout = r.Now(), j.left()
 	a.Priority = -1
 	if j.Generation != nil {
 		a.Priority = j.priority
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), endLookTimeout)
 	defer cancel()
-	return r.Upstream.Gone(ctx, s)
+	return r.Upstream.IsDown(ctx, s)
 }
 
 // endedUnder judges the requests of an inquest whose server has ended.
@@ -170,7 +170,7 @@
 		return
 	}
 	if first {
-		r.Observer.Ended(q.server.Service)
+		r.Observer.ServerCrashed(q.server.Service)
 	}
 	r.Log.WithFields(logrus.Fields{
 		"server": q.server.ID, "born": q.server.StartTime, "service": q.server.Service, "requests": len(ran), "ran": named(ran),
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -118,7 +118,7 @@
 			return backends.Traits{MemoryTokens: 30000}
 		}
 		return w.plain
-	}, func(s backends.Server, n backends.LeaveReason) { w.relay.Noticed(s, n) })
+	}, func(s backends.Server, n backends.LeaveReason) { w.relay.HandleLeaving(s, n) })
 	if cfg.RetryExtra == 0 {
 		cfg.RetryExtra = 100
 	}
@@ -262,7 +262,7 @@
 	return answer, err
 }
 
-func (f *fakeUpstream) Move(ctx context.Context, from backends.Server, id, to string, final bool) (string, error) {
+func (f *fakeUpstream) CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (string, error) {
 	f.mu.Lock()
 	f.moves = append(f.moves, fmt.Sprintf("%s %s>%s %v", id, from.ID, to, final))
 	f.mu.Unlock()
@@ -275,7 +275,7 @@
 	f.closed = append(f.closed, address)
 }
 
-func (f *fakeUpstream) Gone(_ context.Context, s backends.Server) bool {
+func (f *fakeUpstream) IsDown(_ context.Context, s backends.Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gone[s.ID]
@@ -356,4 +356,4 @@
 func (noObserver) Pause(string, time.Duration)                           {}
 func (noObserver) Attempt(string, string)                                {}
 func (noObserver) Migrated(string)                                       {}
-func (noObserver) Ended(string)                                          {}
+func (noObserver) ServerCrashed(string)                                  {}
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -55,8 +55,8 @@
 	Server  backends.Server
 	// Begun is when it was sent.
 	Begun time.Duration
-	// Left is how long the server may take.
-	Left time.Duration
+	// Timeout is how long the server may take.
+	Timeout time.Duration
 	// Team is the name of the key's holder, empty if none.
 	Team string
 	// Priority ranks the request at an engine, -1 for none.
@@ -68,9 +68,9 @@
 	Backup string
 	// From is a copy of the run's memory to go on from, nil for a new run.
 	From *Copy
-	// Look is the last look before the attempt is sent, once there is a connection for it. An
+	// Recheck is the last look before the attempt is sent, once there is a connection for it. An
 	// error ends the attempt unsent. Errors: *Refused.
-	Look func() error
+	Recheck func() error
 }
 
 // Copy is a run's memory at another server.
@@ -139,18 +139,18 @@
 	// Send sends an attempt and waits for the answer's head. The attempt ends
 	// with ctx. Errors: *Refused, or one that leaves the outcome unknown.
 	Send(ctx context.Context, a *Attempt) (*Answer, error)
-	// Move copies the memory of a run to the server at the address to; a later
+	// CopyRun copies the memory of a run to the server at the address to; a later
 	// call copies what is new. A final call stops the run first and closes its
 	// stream without an end. A handle may come with ErrNoRoom: then the run has
 	// stopped and its server keeps the memory.
-	Move(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
+	CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (handle string, err error)
 	// Drop frees a copy that will not be used.
 	Drop(ctx context.Context, c Copy)
 	// CloseIdle closes the idle connections to an address, whose server has ended.
 	CloseIdle(address string)
-	// Gone reports whether nothing listens at a server's address any more. It is false
+	// IsDown reports whether nothing listens at a server's address any more. It is false
 	// where that cannot be told.
-	Gone(ctx context.Context, s backends.Server) bool
+	IsDown(ctx context.Context, s backends.Server) bool
 	// Leaving asks a server whether it is about to end.
 	Leaving(ctx context.Context, s backends.Server) (bool, error)
 }
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -88,8 +88,8 @@
 // Reading reports whether the process reads the store.
 func (r *Role) Reading() bool { return r.reading }
 
-// Hear takes what another process knows.
-func (r *Role) Hear(list []Reader, now time.Duration) {
+// AddReports takes what another process knows.
+func (r *Role) AddReports(list []Reader, now time.Duration) {
 	for _, o := range list {
 		if o.Name == r.self.Name || !fresh(o, now) || o.Answered > now+ahead {
 			continue
@@ -126,24 +126,24 @@
 	return out
 }
 
-// Look is what a decision rests on beside what was heard.
-type Look struct {
+// Inputs is what a decision rests on beside what was heard.
+type Inputs struct {
 	// Now is the store's steady clock, as near as it is known here.
 	Now time.Duration
 	// Reached says that the store answered the last call of this process.
 	Reached bool
-	// Crowd is how many processes are in the same place, this one included: those that it
+	// ProcessCount is how many processes are in the same place, this one included: those that it
 	// knows, by the part of its links that it hears something on. One that hears nobody
 	// is alone.
-	Crowd float64
+	ProcessCount float64
 	// Draw is drawn from [0, 1).
 	Draw float64
 }
 
-// Reads decides whether this process reads the store. One that does goes on until two
+// ShouldRead decides whether this process reads the store. One that does goes on until two
 // better ones do, or until the store fails it. Another begins where there are too few
 // readers, or where it is better than one of them; of many that could, few try at a time.
-func (r *Role) Reads(l Look) bool {
+func (r *Role) ShouldRead(l Inputs) bool {
 	others := r.alive(l.Now)
 	if r.reading && !l.Reached {
 		r.reading = false
@@ -162,12 +162,12 @@
 
 // Turn decides whether this process tries the store although others seem to read it: it
 // hears nothing of what they read.
-func (r *Role) Turn(l Look) bool { return r.reading || r.volunteer(l) }
+func (r *Role) Turn(l Inputs) bool { return r.reading || r.volunteer(l) }
 
-func (r *Role) volunteer(l Look) bool {
+func (r *Role) volunteer(l Inputs) bool {
 	since := min(max(l.Now-r.looked, 0), longestLook)
 	r.looked = l.Now
-	r.reading = l.Crowd <= 1 || l.Draw < volunteersPerSecond*since.Seconds()/l.Crowd
+	r.reading = l.ProcessCount <= 1 || l.Draw < volunteersPerSecond*since.Seconds()/l.ProcessCount
 	return r.reading
 }
 
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -95,7 +95,7 @@
 			f.look(i, r)
 			for _, j := range f.links[i] {
 				if !f.dead[j] && f.rng.IntN(3) == 0 {
-					f.roles[j].Hear(r.Readers(f.now, f.answered[i]), f.now)
+					f.roles[j].AddReports(r.Readers(f.now, f.answered[i]), f.now)
 				}
 			}
 		}
@@ -105,7 +105,7 @@
 func (f *fleet) look(i int, r *Role) {
 	was := r.Reading()
 	reached := !(was && f.unreached[i])
-	reads := r.Reads(Look{Now: f.now, Reached: reached, Crowd: float64(f.alive()), Draw: f.rng.Float64()})
+	reads := r.ShouldRead(Inputs{Now: f.now, Reached: reached, ProcessCount: float64(f.alive()), Draw: f.rng.Float64()})
 	if reads && !was {
 		f.tried[i]++
 	}
@@ -220,13 +220,13 @@
 // A process that no other reaches reads for itself at once.
 func TestLoneProcessReads(t *testing.T) {
 	r := NewRole(reader("a", "z", 10))
-	require.True(t, r.Reads(Look{Now: time.Minute, Reached: true, Crowd: 1, Draw: 0.99}))
+	require.True(t, r.ShouldRead(Inputs{Now: time.Minute, Reached: true, ProcessCount: 1, Draw: 0.99}))
 }
 
 // What is told of a reader from before the store's clock began anew looks newer than
 // anything: it must not be counted on for ever.
 func TestReadersOfAnotherClockAreNotBelieved(t *testing.T) {
 	r := NewRole(reader("a", "z", 10))
-	r.Hear([]Reader{{Name: "b", Answered: time.Hour}, {Name: "c", Answered: time.Hour}}, time.Minute)
+	r.AddReports([]Reader{{Name: "b", Answered: time.Hour}, {Name: "c", Answered: time.Hour}}, time.Minute)
 	require.Empty(t, r.Readers(time.Minute, 0))
 }
