--- a/backends/advice.go
+++ b/backends/advice.go
@@ -16,17 +16,17 @@
 	// processes together.
 	HasRateLimit bool
 	RateLimit    float64
-	// LimitUnreadable reports that it names one that means nothing.
-	LimitUnreadable bool
-	// SaysCold reports that it says how much longer it is cold.
-	SaysCold bool
-	ColdFor  time.Duration
+	// RateLimitInvalid reports that it names one that means nothing.
+	RateLimitInvalid bool
+	// HasColdFor reports that it says how much longer it is cold.
+	HasColdFor bool
+	ColdFor    time.Duration
 	// Leaving reports that it will end soon.
 	Leaving bool
-	// Rest is for how long it wants nothing of this process, 0 if it does not say.
-	Rest time.Duration
-	// Unreadable names the headers whose values mean nothing.
-	Unreadable []string
+	// Backoff is for how long it wants nothing of this process, 0 if it does not say.
+	Backoff time.Duration
+	// InvalidHeaders names the headers whose values mean nothing.
+	InvalidHeaders []string
 }
 
 // News is what Advised has learnt.
@@ -161,21 +161,21 @@
 	switch {
 	case a.HasRateLimit:
 		n.Limited = s.limit.name(a.RateLimit, now, now)
-	case !a.LimitUnreadable:
+	case !a.RateLimitInvalid:
 		n.Lifted = s.limit.lift(sent, now)
 	}
-	if a.SaysCold {
+	if a.HasColdFor {
 		s.coldUntil = now + a.ColdFor
 	}
 	if a.Leaving {
 		n.Leaving = !s.reported
 		left = s.report(nil, NoticeReported)
 	}
-	if a.Rest > 0 {
+	if a.Backoff > 0 {
 		n.Rests = now >= s.restUntil
-		s.restUntil = max(s.restUntil, now+a.Rest)
+		s.restUntil = max(s.restUntil, now+a.Backoff)
 	}
-	if len(a.Unreadable) > 0 && !s.unreadableAdvice {
+	if len(a.InvalidHeaders) > 0 && !s.unreadableAdvice {
 		s.unreadableAdvice, n.Unreadable = true, true
 	}
 	return n, left
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// Offer takes a page that another process has read. One that leaves a gap is not
+// ReceivePage takes a page that another process has read. One that leaves a gap is not
 // taken; the changes between are then fetched, or read from the store.
-func (f *Follower) Offer(s Shared) {
+func (f *Follower) ReceivePage(s Shared) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
@@ -112,10 +112,10 @@
 	f.nudge()
 }
 
-// Heard takes how far another process is. One that this process has all changes of confirms
+// ReceivePosition takes how far another process is. One that this process has all changes of confirms
 // the own copy as it is: no page has to come in for that. From one that is further the
 // difference is fetched.
-func (f *Follower) Heard(p Position) {
+func (f *Follower) ReceivePosition(p Position) {
 	f.mu.Lock()
 	own, synced := f.position(), f.synced
 	if !synced {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -205,19 +205,19 @@
 	if p.GetTable() == operator.Table {
 		g.config.announced(peer)
 	}
-	f.Offer(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
+	f.ReceivePage(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
 // Known implements relay.Others.
 func (g *group) Known() int { return g.links.Known() }
 
-// Taking implements relay.Others.
-func (g *group) Taking() bool {
+// AcceptingRequests implements relay.Others.
+func (g *group) AcceptingRequests() bool {
 	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return !s.GetStopping() })
 }
 
-// Nudge implements relay.Others.
-func (g *group) Nudge() { g.links.Nudge() }
+// Notify implements relay.Others.
+func (g *group) Notify() { g.links.Nudge() }
 
 // stop tells the peers that this gateway is stopping.
 func (g *group) stop() {
--- a/internal/relay/advice.go
+++ b/internal/relay/advice.go
@@ -14,22 +14,22 @@
 	news := r.Registry.ApplySignals(s, a, begun, r.Now())
 	log := r.Log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service})
 	if news.Unreadable {
-		log.WithField("headers", a.Unreadable).Warn("server says something of itself that means nothing")
+		log.WithField("headers", a.InvalidHeaders).Warn("server says something of itself that means nothing")
 	}
 	if news.Leaving {
 		log.Info("server says in an answer that it is leaving")
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	}
 	if news.Rests {
-		log.WithField("for_ms", a.Rest.Milliseconds()).Info("server asks for rest")
-		r.Peers.Nudge()
+		log.WithField("for_ms", a.Backoff.Milliseconds()).Info("server asks for rest")
+		r.Peers.Notify()
 	}
 	switch {
 	case news.Limited:
 		log.WithField("per_second", a.RateLimit).Info("server names a limit")
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	case news.Lifted:
 		log.Info("server names no limit any more")
-		r.Peers.Nudge()
+		r.Peers.Notify()
 	}
 }
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -53,11 +53,11 @@
 	usage  []flow.Usage
 }
 
-func (o *others) Known() int   { return o.known }
-func (o *others) Taking() bool { return o.taking }
-func (o *others) Agreed() bool { return true }
+func (o *others) Known() int              { return o.known }
+func (o *others) AcceptingRequests() bool { return o.taking }
+func (o *others) ConfigCurrent() bool     { return true }
 
-func (o *others) Nudge() {
+func (o *others) Notify() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.nudges++
