--- a/backends/advice.go
+++ b/backends/advice.go
@@ -31,15 +31,15 @@
 
 // News is what Advised has learnt.
 type News struct {
-	// Limited reports that the server names a limit that it did not name before, Lifted that
+	// RateLimitSet reports that the server names a limit that it did not name before, RateLimitRemoved that
 	// it names none any more.
-	Limited, Lifted bool
+	RateLimitSet, RateLimitRemoved bool
 	// Leaving reports the first answer that says that the server is leaving.
 	Leaving bool
-	// Rests reports that the server rests from now on.
-	Rests bool
-	// Unreadable reports the first advice of the server's life that means nothing.
-	Unreadable bool
+	// BackoffStarted reports that the server rests from now on.
+	BackoffStarted bool
+	// FirstInvalid reports the first advice of the server's life that means nothing.
+	FirstInvalid bool
 }
 
 // limit is what is known of the limit that a server names.
@@ -160,9 +160,9 @@
 	}
 	switch {
 	case a.HasRateLimit:
-		n.Limited = s.limit.name(a.RateLimit, now, now)
+		n.RateLimitSet = s.limit.name(a.RateLimit, now, now)
 	case !a.RateLimitInvalid:
-		n.Lifted = s.limit.lift(sent, now)
+		n.RateLimitRemoved = s.limit.lift(sent, now)
 	}
 	if a.HasColdFor {
 		s.coldUntil = now + a.ColdFor
@@ -172,17 +172,17 @@
 		left = s.report(nil, NoticeReported)
 	}
 	if a.Backoff > 0 {
-		n.Rests = now >= s.restUntil
+		n.BackoffStarted = now >= s.restUntil
 		s.restUntil = max(s.restUntil, now+a.Backoff)
 	}
 	if len(a.InvalidHeaders) > 0 && !s.unreadableAdvice {
-		s.unreadableAdvice, n.Unreadable = true, true
+		s.unreadableAdvice, n.FirstInvalid = true, true
 	}
 	return n, left
 }
 
-// Limited counts the servers that name a limit.
-func (r *Registry) Limited() (n int) {
+// CountRateLimited counts the servers that name a limit.
+func (r *Registry) CountRateLimited() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
@@ -216,8 +216,8 @@
 	return n >= restingElsewhere
 }
 
-// Resting counts the servers that have asked this process for rest.
-func (r *Registry) Resting(now time.Duration) (n int) {
+// CountBackingOff counts the servers that have asked this process for rest.
+func (r *Registry) CountBackingOff(now time.Duration) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -141,8 +141,8 @@
 // place has the gateway choose an engine; one that gets none tries again in a while.
 func (f *fleet) place(g *generation, now time.Duration) {
 	g.lease = f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MostUsed: 0.97,
-		MostPrompt: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
+		Service: svc, ExpectedTokens: g.memory, PromptTokens: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
+		MaxPromptPending: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
 	}, now)
 	if g.lease == nil {
 		f.at(now+5*tick, func() { f.place(g, now+5*tick) })
@@ -161,8 +161,8 @@
 // free by what is known.
 func (f *fleet) cover(g *generation, now time.Duration) {
 	l := f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
-		MostUsed: 0.5, MostOfAll: 0.5, Near: g.lease.Server.FailureDomain, Within: true, Draw: f.rng.Uint64(),
+		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
+		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.lease.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
 	}, now)
 	if l == nil {
 		return
@@ -170,7 +170,7 @@
 	f.tell(g.gateway, now)
 	e := f.engine(l.Server.ID)
 	e.used += g.memory
-	f.at(now+time.Second, l.Copied)
+	f.at(now+time.Second, l.FinishCopy)
 	f.at(now+g.lasts, func() {
 		l.Release(ResultInconclusive, now+g.lasts)
 		f.tell(g.gateway, now+g.lasts)
@@ -199,7 +199,7 @@
 		first := begins + time.Duration(promptTokens*int(time.Second)/promptSpeed)
 		e.idleAt = first
 		f.at(first, func() {
-			g.lease.Begun()
+			g.lease.FinishPrompt()
 			f.tell(g.gateway, first)
 		})
 		f.at(first+g.lasts, func() {
--- a/backends/lease.go
+++ b/backends/lease.go
@@ -33,7 +33,7 @@
 	Server Server
 	// Load is what was known of its load before, of Of servers listed.
 	Load
-	Of int
+	ServerCount int
 
 	reg *Registry
 	s   *server
@@ -44,22 +44,22 @@
 
 // lease counts a request at a server; mu is held.
 func (r *Registry) lease(s *server, q Query, of int) *Reservation {
-	l := &Reservation{reg: r, s: s, Server: s.Server, Of: of, Load: r.load(s), part: Load{Running: 1, Tokens: q.Tokens, Prompt: q.Prompt}}
+	l := &Reservation{reg: r, s: s, Server: s.Server, ServerCount: of, Load: r.load(s), part: Load{Running: 1, ExpectedTokens: q.ExpectedTokens, PromptTokens: q.PromptTokens}}
 	if q.Copy {
-		l.part.Copying = q.Tokens
+		l.part.CopyTokens = q.ExpectedTokens
 	}
 	s.own = s.own.plus(l.part)
 	return l
 }
 
-// Begun notes that the server has read the prompt.
-func (l *Reservation) Begun() {
-	l.change(func(part Load) Load { return Load{Prompt: -part.Prompt} })
+// FinishPrompt notes that the server has read the prompt.
+func (l *Reservation) FinishPrompt() {
+	l.change(func(part Load) Load { return Load{PromptTokens: -part.PromptTokens} })
 }
 
-// Copied notes that the copy that the lease was taken for is complete.
-func (l *Reservation) Copied() {
-	l.change(func(part Load) Load { return Load{Copying: -part.Copying} })
+// FinishCopy notes that the copy that the lease was taken for is complete.
+func (l *Reservation) FinishCopy() {
+	l.change(func(part Load) Load { return Load{CopyTokens: -part.CopyTokens} })
 }
 
 // change adds to what the request is to the server's load, unless it is over.
@@ -74,30 +74,30 @@
 	l.s.own = l.s.own.plus(change)
 }
 
-// Expect revises the memory that the request is expected to need.
-func (l *Reservation) Expect(tokens int) {
-	l.change(func(part Load) Load { return Load{Tokens: tokens - part.Tokens} })
+// SetExpectedTokens revises the memory that the request is expected to need.
+func (l *Reservation) SetExpectedTokens(tokens int) {
+	l.change(func(part Load) Load { return Load{ExpectedTokens: tokens - part.ExpectedTokens} })
 }
 
 // overduePrompt stands for a prompt that a server does not begin to answer in time; it
 // is above every bound on prompts.
 const overduePrompt = 1 << 20
 
-// Overdue notes that the server should have read the prompt by now. Something is on
+// MarkPromptOverdue notes that the server should have read the prompt by now. Something is on
 // it that is not known here, such as runs of gateways that have lost power, and what
 // is sent there waits too: it gets no more until it begins.
-func (l *Reservation) Overdue() {
+func (l *Reservation) MarkPromptOverdue() {
 	l.change(func(part Load) Load {
-		if part.Prompt == 0 {
+		if part.PromptTokens == 0 {
 			return Load{}
 		}
-		return Load{Prompt: overduePrompt - part.Prompt}
+		return Load{PromptTokens: overduePrompt - part.PromptTokens}
 	})
 }
 
-// Silent notes that the server has not answered for far longer than it should have;
+// MarkUnresponsive notes that the server has not answered for far longer than it should have;
 // it may answer yet.
-func (l *Reservation) Silent(now time.Duration) {
+func (l *Reservation) MarkUnresponsive(now time.Duration) {
 	l.reg.mu.Lock()
 	defer l.reg.mu.Unlock()
 	if l.part.Running > 0 {
@@ -137,14 +137,14 @@
 	}
 }
 
-// Rejoin takes a lease on a given server even if it is leaving, for a run whose
+// ReserveAt takes a lease on a given server even if it is leaving, for a run whose
 // memory is nowhere else. It returns nil if the server is gone.
-func (r *Registry) Rejoin(at Server, tokens int) *Reservation {
+func (r *Registry) ReserveAt(at Server, tokens int) *Reservation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current(at)
 	if s == nil || s.gone {
 		return nil
 	}
-	return r.lease(s, Query{Tokens: tokens}, 1)
+	return r.lease(s, Query{ExpectedTokens: tokens}, 1)
 }
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -108,13 +108,13 @@
 func TestRemoteLoadsCount(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]Server{entry("a"), entry("b")}, 0, 0)
-	r.SetRemote("other", map[string]Load{"a": {Running: 3, Tokens: 9000, Prompt: 2000}})
+	r.SetRemote("other", map[string]Load{"a": {Running: 3, ExpectedTokens: 9000, PromptTokens: 2000}})
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
 	}
-	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}, MostPrompt: 1000}, 0))
+	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0))
 	r.SetRemote("other", nil)
-	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MostPrompt: 1000}, 0)
+	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0)
 	require.NotNil(t, l)
 	l.Release(ResultOK, 0)
 }
@@ -124,11 +124,11 @@
 func TestLeaseCountsOnce(t *testing.T) {
 	r, _ := newRegistry()
 	r.Reset([]Server{entry("a")}, 0, 0)
-	l := r.Acquire(Query{Service: svc, Tokens: 5000, Prompt: 3000}, 0)
-	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 5000, Prompt: 3000}}, r.Loads())
-	l.Begun()
-	l.Begun()
-	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 5000}}, r.Loads())
+	l := r.Acquire(Query{Service: svc, ExpectedTokens: 5000, PromptTokens: 3000}, 0)
+	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000, PromptTokens: 3000}}, r.Loads())
+	l.FinishPrompt()
+	l.FinishPrompt()
+	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000}}, r.Loads())
 	l.Release(ResultOK, 0)
 	l.Release(ResultOK, 0)
 	require.Empty(t, r.Loads())
@@ -147,7 +147,7 @@
 	r.Reset(list, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Acquire(Query{Service: svc, Tokens: 4000, Prompt: 3000, Draw: 7}, 0).Release(ResultOK, 0)
+		r.Acquire(Query{Service: svc, ExpectedTokens: 4000, PromptTokens: 3000, Draw: 7}, 0).Release(ResultOK, 0)
 	}
 }
 
@@ -161,12 +161,12 @@
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b", "far"}}, 0)
 	defer lease.Release(ResultInconclusive, 0)
 	r.SetRemote("vm-2", map[string]Load{"a": {Running: 3}, "b": {Running: 5}, "far": {Running: 2}})
-	require.Empty(t, r.Movers("vm-1", "zone-1"))
+	require.Empty(t, r.CountRequestsAtLeaving("vm-1", "zone-1"))
 	leaving := entry("a")
 	leaving.Leaving = true
 	r.Put(leaving, 0)
-	require.Equal(t, map[string]int{"vm-1": 1, "vm-2": 3}, r.Movers("vm-1", "zone-1"))
-	require.Empty(t, r.Movers("vm-1", "zone-2"))
+	require.Equal(t, map[string]int{"vm-1": 1, "vm-2": 3}, r.CountRequestsAtLeaving("vm-1", "zone-1"))
+	require.Empty(t, r.CountRequestsAtLeaving("vm-1", "zone-2"))
 }
 
 // A server resets its connections. What two processes have lost there counts here
@@ -240,9 +240,9 @@
 	r, _ := newRegistry()
 	r.Put(entry("a"), 0)
 	l := r.Acquire(Query{Service: svc}, 0)
-	l.Silent(0)
+	l.MarkUnresponsive(0)
 	l.Release(ResultInconclusive, 0)
-	l.Silent(0)
+	l.MarkUnresponsive(0)
 	require.Equal(t, map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, r.Statuses(0), "a lease that is over says nothing more")
 	r.Acquire(Query{Service: svc}, 0).Release(ResultOK, 0)
 	require.Empty(t, r.Statuses(0))
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -23,8 +23,8 @@
 	for range 3 {
 		r.Acquire(Query{Service: svc}, 0).Release(ResultLost, 0)
 	}
-	held := r.Acquire(Query{Service: svc, Tokens: 20000, Prompt: 9000}, 0)
-	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, StartTime: 100}})
+	held := r.Acquire(Query{Service: svc, ExpectedTokens: 20000, PromptTokens: 9000}, 0)
+	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, ExpectedTokens: 20000, PromptTokens: 9000, StartTime: 100}})
 	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2, StartTime: 100}}, 0)
 	r.MarkLeaving(bornAt("a", 100))
 	require.Zero(t, r.Ready(svc))
@@ -32,13 +32,13 @@
 	r.Put(bornAt("a", 200), 0)
 	require.Equal(t, []told{{"a", NoticeReported}, {"a", NoticeRestarted}}, *notices)
 	require.Equal(t, 1, r.Ready(svc))
-	lease := r.Acquire(Query{Service: svc, Tokens: 9000, Prompt: 3000, MostUsed: 0.9, MostPrompt: 100}, 0)
+	lease := r.Acquire(Query{Service: svc, ExpectedTokens: 9000, PromptTokens: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
 	require.Equal(t, Load{}, lease.Load)
 	require.Empty(t, r.Statuses(0))
 	held.Release(ResultLost, 0)
 	require.Empty(t, r.Statuses(0), "a request of the earlier life that ends late says nothing of this one")
-	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 9000, Prompt: 3000, StartTime: 200}}, r.Loads())
+	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 9000, PromptTokens: 3000, StartTime: 200}}, r.Loads())
 }
 
 // Messages of a server's earlier life arrive late: an entry that was written before its
@@ -56,7 +56,7 @@
 	r.Reset([]Server{late}, 0, 0)
 	r.MarkLeaving(old)
 	r.MarkReplaced(old)
-	require.Nil(t, r.Rejoin(old, 100))
+	require.Nil(t, r.ReserveAt(old, 100))
 	require.Equal(t, []told{{"a", NoticeRestarted}}, *notices)
 	require.True(t, r.HasRestarted(old))
 	require.False(t, r.HasRestarted(now))
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -69,12 +69,12 @@
 type Config struct {
 	// Name is for the log.
 	Name string
-	// Wait is how long a call waits for changes. It bounds how old a view can be
+	// PollTimeout is how long a call waits for changes. It bounds how old a view can be
 	// while nothing changes; each call has a price.
-	Wait time.Duration
-	// Gap is the least time between two calls, so that a busy table is read in
+	PollTimeout time.Duration
+	// MinCallInterval is the least time between two calls, so that a busy table is read in
 	// batches.
-	Gap time.Duration
+	MinCallInterval time.Duration
 	// Called is told why each call to the store is made; it may be nil.
 	Called func(Reason)
 	// Restored is told when the store has come back from a copy; it may be nil.
@@ -176,7 +176,7 @@
 			f.failed(ctx, err)
 			continue
 		}
-		wait.For(ctx, f.cfg.Gap-(f.now()-begun))
+		wait.For(ctx, f.cfg.MinCallInterval-(f.now()-begun))
 	}
 }
 
@@ -191,7 +191,7 @@
 		if f.startFromPeer(ctx) {
 			return nil
 		}
-		if !f.sharing.Turn(f.without()) {
+		if !f.sharing.MayCallStore(f.without()) {
 			f.await(ctx)
 			return nil
 		}
@@ -243,7 +243,7 @@
 func (f *Follower) readChanges(ctx context.Context) error {
 	begun := f.now()
 	f.mu.Lock()
-	since, patience := f.revision, f.cfg.Wait
+	since, patience := f.revision, f.cfg.PollTimeout
 	if f.gap() || f.failures > 0 || f.leaned {
 		// What is missing is there already, and after an outage, or after those that read
 		// have ended, the age of the view must not wait for a change.
--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -195,10 +195,10 @@
 			fetch: func() (Page, error) { return old, nil },
 		})
 		time.Sleep(5 * time.Second)
-		require.False(t, f.Filled())
+		require.False(t, f.HasTable())
 		f.SetClock(time.Since(store.start), now())
 		time.Sleep(time.Second)
-		require.True(t, f.Filled())
+		require.True(t, f.HasTable())
 		require.Equal(t, "1", sink.get("a"))
 		require.GreaterOrEqual(t, sink.age(now()), 5*time.Second)
 	})
@@ -234,7 +234,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
-		f, _ := beginWith(t, Config{Name: "t", Wait: testWait, Keep: true}, store, sink, nil)
+		f, _ := beginWith(t, Config{Name: "t", PollTimeout: testWait, Keep: true}, store, sink, nil)
 		time.Sleep(time.Second)
 		store.mu.Lock()
 		store.slow = 500 * time.Millisecond
@@ -247,7 +247,7 @@
 		for _, synced := f.Position(); synced; _, synced = f.Position() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		page, told := f.Since(revision.Revision{})
+		page, told := f.ChangesSince(revision.Revision{})
 		require.True(t, told)
 		require.Len(t, page.Rows, 1)
 		require.EqualValues(t, 1, page.Revision.Version())
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -43,19 +43,19 @@
 	return nil
 }
 
-// Filled reports whether the table has been read. It may be out of date since.
-func (f *Follower) Filled() bool {
+// HasTable reports whether the table has been read. It may be out of date since.
+func (f *Follower) HasTable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.filled
 }
 
-// Away reports whether the table cannot be read, here or by others.
-func (f *Follower) Away() bool {
+// IsUnavailable reports whether the table cannot be read, here or by others.
+func (f *Follower) IsUnavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := f.now() - f.made
-	return f.synced && (age > f.cfg.Wait+silentSlack/2 || f.failures > 0 && age > silentSlack)
+	return f.synced && (age > f.cfg.PollTimeout+silentSlack/2 || f.failures > 0 && age > silentSlack)
 }
 
 // StoreTime is the store's steady clock now, as near as the answers so far tell: a
@@ -74,9 +74,9 @@
 	return f.failures == 0
 }
 
-// Answered is the store's steady clock when it last answered this process: now, while a
+// LastAnswer is the store's steady clock when it last answered this process: now, while a
 // long answer comes in.
-func (f *Follower) Answered() time.Duration {
+func (f *Follower) LastAnswer() time.Duration {
 	now, known := f.StoreTime()
 	if known && f.Reading() {
 		return now
--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -27,7 +27,7 @@
 	begun := time.Now()
 	var known time.Time
 	for !g.agreed.Load() && wait.For(ctx, agreePoll) {
-		if g.config.replica.Version() == 0 || !g.followers[membersTable].Filled() && time.Since(begun) < tablesPatience {
+		if g.config.replica.Version() == 0 || !g.followers[membersTable].HasTable() && time.Since(begun) < tablesPatience {
 			continue
 		}
 		if known.IsZero() {
@@ -66,7 +66,7 @@
 // reports whether any names one.
 func (g *group) namedVersions() (newer []string, heard bool) {
 	own := g.config.replica.Version()
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		heard = heard || s.GetConfigVersion() > 0
 		if s.GetConfigVersion() > own {
 			newer = append(newer, s.GetFrom().GetName())
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -54,14 +54,14 @@
 // table is the name of the table that holds the configuration.
 func (s *configSharing) table() string { return operator.Table }
 
-// Reads implements follow.Sharing.
-func (s *configSharing) Reads(reached bool) bool {
-	return sharing{s.group, operator.Table}.Reads(reached)
+// IsReader implements follow.Sharing.
+func (s *configSharing) IsReader(reached bool) bool {
+	return sharing{s.group, operator.Table}.IsReader(reached)
 }
 
-// Turn implements follow.Sharing.
-func (s *configSharing) Turn(without time.Duration) bool {
-	return sharing{s.group, operator.Table}.Turn(without)
+// MayCallStore implements follow.Sharing.
+func (s *configSharing) MayCallStore(without time.Duration) bool {
+	return sharing{s.group, operator.Table}.MayCallStore(without)
 }
 
 // Share implements follow.Sharing: of changes only their revision is announced.
@@ -74,7 +74,7 @@
 
 // Reading implements follow.Sharing.
 func (s *configSharing) Reading() bool {
-	return slices.ContainsFunc(s.links.Live(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
+	return slices.ContainsFunc(s.links.LiveStates(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
 }
 
 // announced notes a peer that follows the store.
@@ -114,7 +114,7 @@
 	announcers := slices.Clone(s.announcers)
 	s.mu.Unlock()
 	live := make(map[string]bool)
-	for _, p := range s.links.Live() {
+	for _, p := range s.links.LiveStates() {
 		live[p.GetFrom().GetName()] = true
 	}
 	for _, name := range announcers {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -77,7 +77,7 @@
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
 		State: g.state, Receiver: g, Answer: g.answer, Log: log, Forgotten: g.forgotten,
-		Sent: costs.toPeer, MostLinks: mostLinks, Placed: g.placed, Greet: g.suspects.greet,
+		Sent: costs.toPeer, MaxLinks: mostLinks, Placed: g.placed, InitialSuspects: g.suspects.greet,
 	})
 	return g
 }
@@ -99,8 +99,8 @@
 	}
 	for id, l := range g.registry.Loads() {
 		s.Loads = append(s.Loads, &peerv1.Load{
-			Server: id, Running: uint32(l.Running), Tokens: uint64(max(0, l.Tokens)),
-			Prompt: uint64(max(0, l.Prompt)), Copying: uint64(max(0, l.Copying)), Born: l.StartTime,
+			Server: id, Running: uint32(l.Running), Tokens: uint64(max(0, l.ExpectedTokens)),
+			Prompt: uint64(max(0, l.PromptTokens)), Copying: uint64(max(0, l.CopyTokens)), Born: l.StartTime,
 		})
 	}
 	for id, l := range g.registry.Statuses(clock.SinceBoot()) {
@@ -132,7 +132,7 @@
 		}).Info("a peer tells of a server's limit")
 	}
 	if len(news) > 0 {
-		g.links.Nudge()
+		g.links.SendStateNow()
 	}
 }
 
@@ -179,7 +179,7 @@
 	loads := make(map[string]backends.Load, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads[l.GetServer()] = backends.Load{
-			Running: int(l.GetRunning()), Tokens: int(l.GetTokens()), Prompt: int(l.GetPrompt()), Copying: int(l.GetCopying()), StartTime: l.GetBorn(),
+			Running: int(l.GetRunning()), ExpectedTokens: int(l.GetTokens()), PromptTokens: int(l.GetPrompt()), CopyTokens: int(l.GetCopying()), StartTime: l.GetBorn(),
 		}
 	}
 	g.registry.SetRemote(peer, loads)
@@ -208,21 +208,21 @@
 	f.ReceivePage(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
-// Known implements relay.Others.
-func (g *group) Known() int { return g.links.Known() }
+// Count implements relay.Others.
+func (g *group) Count() int { return g.links.Known() }
 
 // AcceptingRequests implements relay.Others.
 func (g *group) AcceptingRequests() bool {
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return !s.GetStopping() })
+	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return !s.GetStopping() })
 }
 
 // Notify implements relay.Others.
-func (g *group) Notify() { g.links.Nudge() }
+func (g *group) Notify() { g.links.SendStateNow() }
 
 // stop tells the peers that this gateway is stopping.
 func (g *group) stop() {
 	g.stopping.Store(true)
-	g.links.Nudge()
+	g.links.SendStateNow()
 }
 
 // sharing lets the gateways read a table for each other. It implements
@@ -250,10 +250,10 @@
 	for _, r := range p.Rows {
 		size += len(r.Value) + rowOverhead
 	}
-	if holdsUp(size*g.links.Links(), g.linkMbps) {
+	if holdsUp(size*g.links.LinkCount(), g.linkMbps) {
 		return true
 	}
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return holdsUp(size, s.GetLinkMbps()) })
+	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return holdsUp(size, s.GetLinkMbps()) })
 }
 
 // holdsUp reports whether bytes take a link of some Mbit/s for too long.
@@ -274,5 +274,5 @@
 		p.Rows = nil
 	}
 	page.Rows = rowsOf(p.Rows)
-	s.links.Spread(page)
+	s.links.BroadcastPage(page)
 }
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -38,7 +38,7 @@
 func (t *tableAnswers) answer(f *follow.Follower, since revision.Revision) (*peerv1.Change, [][]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	page, ok := f.Since(since)
+	page, ok := f.ChangesSince(since)
 	if !ok {
 		return nil, nil, errNoTable
 	}
@@ -131,9 +131,9 @@
 // as those that this gateway has linked to may not tell it anything yet.
 func (g *group) ahead(table string, starts bool) (out []string) {
 	f := g.followers[table]
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		for _, p := range s.GetPositions() {
-			if p.GetTable() == table && f.Lacks(positionOf(p)) {
+			if p.GetTable() == table && f.IsBehind(positionOf(p)) {
 				out = append(out, s.GetFrom().GetName())
 			}
 		}
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -6,14 +6,14 @@
 func (r *Relay) first(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).First()
+	r.budget(service).RecordFirstTry()
 }
 
 // repeat reports whether one more arrival is allowed.
 func (r *Relay) repeat(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget(service).Take()
+	return r.budget(service).TryTake()
 }
 
 // spend counts an arrival that must not be refused: a run that has stopped at its
@@ -40,7 +40,7 @@
 		r.budgets[service] = b
 	}
 	b.Ratio = cfg.RetryRatio
-	parts := r.Peers.Known()
+	parts := r.Peers.Count()
 	if parts == 0 {
 		parts = partsUnknown
 	}
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -42,10 +42,10 @@
 		return nil
 	}
 	q := r.query(j)
-	q.Tokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
-	q.MostUsed, q.MostOfAll = coverRoom, coverOfAll
+	q.ExpectedTokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
+	q.MaxMemoryUse, q.MaxServiceMemoryUse = coverRoom, coverOfAll
 	q.Copy, q.CopySpeed = true, e.CopySpeed()
-	q.Near, q.Within = s.FailureDomain, true
+	q.PreferredDomain, q.SameDomainOnly = s.FailureDomain, true
 	return r.Registry.Acquire(q, r.Now())
 }
 
@@ -53,7 +53,7 @@
 func (r *Relay) sendCovered(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, error) {
 	cover := r.cover(j, lease.Server)
 	if cover != nil {
-		a.Backup = cover.Server.Address
+		a.StandbyAddress = cover.Server.Address
 	}
 	o, err := r.send(ctx, j, lease, a)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	if cover != nil {
 		// The prompt's memory is on its way by the time that the answer begins.
-		cover.Copied()
+		cover.FinishCopy()
 		o.cover = cover
 	}
 	return o, nil
@@ -77,7 +77,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.cover = &copied{Copy: Copy{Source: o.cover.Server.Address, Handle: u.job.ID}, lease: o.cover}
+	u.cover = &copied{KVCopy: KVCopy{Source: o.cover.Server.Address, Handle: u.job.ID}, lease: o.cover}
 }
 
 // uncover gives the room of the standing copy back.
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -193,10 +193,10 @@
 // errHeld is why a request on its way is cut that must not be sent to servers any more.
 var errHeld = errors.New("servers end under the request")
 
-// Quarantined is told of a request that must not be sent to servers from now on. Attempts
+// CancelQuarantined is told of a request that must not be sent to servers from now on. Attempts
 // that no server has begun to answer are given up at once: they would end the servers that
 // they are at. One that is being answered shows by its end whether the verdict is right.
-func (r *Relay) Quarantined(id quarantine.ID) {
+func (r *Relay) CancelQuarantined(id quarantine.ID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for j := range r.jobs {
@@ -209,7 +209,7 @@
 // convicted reports whether a request is held. Where nothing is known of any, its content
 // is not looked at.
 func (r *Relay) convicted(j *job) (left time.Duration, held bool) {
-	if !r.Quarantine.Any() {
+	if !r.Quarantine.HasRecords() {
 		return 0, false
 	}
 	return r.Quarantine.Quarantined(j.id())
@@ -220,7 +220,7 @@
 // has shown nothing.
 func (r *Relay) barred(j *job) (left time.Duration, barred bool) {
 	left, held := r.convicted(j)
-	return left, held && !(j.sent == 0 && r.Quarantine.Due(j.id()))
+	return left, held && !(j.sent == 0 && r.Quarantine.TrialDue(j.id()))
 }
 
 // held reports whether a request must not be sent to a server next; only its own goroutine
@@ -230,7 +230,7 @@
 		return 0, false
 	}
 	left, held = r.convicted(j)
-	if held && j.sent == 0 && r.Quarantine.Try(j.id()) {
+	if held && j.sent == 0 && r.Quarantine.StartTrial(j.id()) {
 		j.trial = true
 		return 0, false
 	}
@@ -241,7 +241,7 @@
 // servers do not end under it. An answer that was put together from several servers says
 // nothing of the kind, as those before the last may have ended.
 func (r *Relay) answered(j *job) {
-	if r.Quarantine.Any() && !j.broken && j.After == "" {
+	if r.Quarantine.HasRecords() && !j.broken && j.LastEventID == "" {
 		r.Quarantine.Answered(j.id())
 	}
 }
@@ -259,10 +259,10 @@
 // noSuspects knows of none.
 type noSuspects struct{}
 
-func (noSuspects) Any() bool                                       { return false }
+func (noSuspects) HasRecords() bool                                { return false }
 func (noSuspects) Quarantined(quarantine.ID) (time.Duration, bool) { return 0, false }
-func (noSuspects) Due(quarantine.ID) bool                          { return false }
-func (noSuspects) Try(quarantine.ID) bool                          { return false }
+func (noSuspects) TrialDue(quarantine.ID) bool                     { return false }
+func (noSuspects) StartTrial(quarantine.ID) bool                   { return false }
 func (noSuspects) NearThreshold(quarantine.ID) bool                { return false }
 func (noSuspects) Crashed(backends.Server, []quarantine.ID)        {}
 func (noSuspects) Answered(quarantine.ID)                          {}
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -53,7 +53,7 @@
 	usage  []flow.Usage
 }
 
-func (o *others) Known() int              { return o.known }
+func (o *others) Count() int              { return o.known }
 func (o *others) AcceptingRequests() bool { return o.taking }
 func (o *others) ConfigCurrent() bool     { return true }
 
@@ -69,7 +69,7 @@
 	return o.nudges
 }
 
-func (o *others) Queued(_ string, q flow.Contender) {
+func (o *others) ReportQueue(_ string, q flow.Contender) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.queued = q.Waiting
@@ -91,7 +91,7 @@
 
 func (o *others) SharedClock() pacing.SharedTime { return pacing.SharedTime{} }
 
-func (o *others) MoveTurns(string) *flow.Turns { return o.Turns("", 0) }
+func (o *others) MigrationTurns(string) *flow.Turns { return o.Turns("", 0) }
 
 func (o *others) set(turns *flow.Turns) {
 	o.mu.Lock()
@@ -212,7 +212,7 @@
 
 func (c *caller) Refuse(f Refusal) { c.refusal = &f }
 
-func (c *caller) Begin(a *Answer) error {
+func (c *caller) Begin(a *Response) error {
 	c.status = a.Status
 	return nil
 }
@@ -244,11 +244,11 @@
 	closed  []string
 	leaving map[string]bool
 	gone    map[string]bool
-	send    func(ctx context.Context, a *Attempt) (*Answer, error)
+	send    func(ctx context.Context, a *Attempt) (*Response, error)
 	move    func(ctx context.Context, from backends.Server, id, to string, final bool) (string, error)
 }
 
-func (f *fakeUpstream) Send(ctx context.Context, a *Attempt) (*Answer, error) {
+func (f *fakeUpstream) Send(ctx context.Context, a *Attempt) (*Response, error) {
 	f.mu.Lock()
 	f.sent = append(f.sent, a)
 	f.mu.Unlock()
@@ -291,9 +291,9 @@
 	f.gone[id] = true
 }
 
-func (f *fakeUpstream) Drop(context.Context, Copy) {}
+func (f *fakeUpstream) DropCopy(context.Context, KVCopy) {}
 
-func (f *fakeUpstream) Leaving(_ context.Context, s backends.Server) (bool, error) {
+func (f *fakeUpstream) IsLeaving(_ context.Context, s backends.Server) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaving[s.ID], nil
@@ -315,8 +315,8 @@
 	return ids
 }
 
-func answer(status int, body string) *Answer {
-	return &Answer{Status: status, Length: int64(len(body)), Sealed: true, Body: io.NopCloser(strings.NewReader(body))}
+func answer(status int, body string) *Response {
+	return &Response{Status: status, Length: int64(len(body)), Signed: true, Body: io.NopCloser(strings.NewReader(body))}
 }
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: t\n\n", n) }
@@ -340,8 +340,8 @@
 	return &source{r, w}
 }
 
-func (s *source) answer() *Answer {
-	return &Answer{Status: 200, Length: -1, Events: true, Sealed: true, Body: s.PipeReader}
+func (s *source) answer() *Response {
+	return &Response{Status: 200, Length: -1, IsStream: true, Signed: true, Body: s.PipeReader}
 }
 
 // write passes bytes to the reader; a reader that has gone is no matter.
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -130,7 +130,7 @@
 	l.unplaced += change
 	l.crowded = r.Now()
 	rank, first := l.queue.HeadRank(r.Now())
-	r.Peers.Queued(service, flow.Contender{Waiting: l.unplaced, Rank: rank, WaitingAtRank: first})
+	r.Peers.ReportQueue(service, flow.Contender{Waiting: l.unplaced, Rank: rank, WaitingAtRank: first})
 }
 
 // toldTeams is how many teams' usage is told to others. The surges that matter are of
@@ -209,7 +209,7 @@
 		if refusal := r.cordoned(j); refusal != nil {
 			return nil, refusal
 		}
-		if ready, _ := r.Registry.Standing(j.service, j.regions); ready == 0 && r.Now()-j.arrived > j.patience() {
+		if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 && r.Now()-j.arrived > j.patience() {
 			return nil, r.refuse(j, ReasonNoServer)
 		}
 		if l.refuses(w, r.Now()) {
@@ -257,8 +257,8 @@
 func (r *Relay) engineQuery(j *job, rank int) backends.Query {
 	speed := r.readSpeed()
 	q := r.query(j)
-	q.Tokens, q.Prompt, q.PromptSpeed = j.memory(0), j.prompt(), speed
-	q.MostUsed, q.MostPrompt = mostUsed, int(speed*promptWait.Seconds())
+	q.ExpectedTokens, q.PromptTokens, q.PromptSpeed = j.memory(0), j.prompt(), speed
+	q.MaxMemoryUse, q.MaxPromptPending = mostUsed, int(speed*promptWait.Seconds())
 	q.Turns = r.Peers.Turns(j.service, rank)
 	return q
 }
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -29,9 +29,9 @@
 	w.replica.Confirm(w.now())
 	for i := range servers {
 		s := w.server(fmt.Sprint("s", i), deskService)
-		w.relay.Advised(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
 	}
-	w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+	w.up.send = func(context.Context, *Attempt) (*Response, error) {
 		time.Sleep(20 * time.Millisecond)
 		return answer(200, "ok"), nil
 	}
@@ -152,8 +152,8 @@
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
 		s := w.server("b", deskService)
-		w.relay.Advised(s, backends.Signals{HasRateLimit: true}, 0)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(500, "failed"), nil }
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true}, 0)
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(500, "failed"), nil }
 		for range 3 {
 			begun := time.Now()
 			require.Equal(t, 500, w.serve(request("/safe/x")).status)
@@ -168,8 +168,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.breakBesideACopy(func(sent *Attempt) {
-			copied := w.entry(strings.TrimSuffix(sent.Backup, ":1"), modelService)
-			w.relay.Advised(copied, backends.Signals{HasRateLimit: true}, 0)
+			copied := w.entry(strings.TrimSuffix(sent.StandbyAddress, ":1"), modelService)
+			w.relay.HandleSignals(copied, backends.Signals{HasRateLimit: true}, 0)
 			lease := w.registry.Acquire(backends.Query{Service: modelService, Tried: []string{sent.Server.ID}}, w.now())
 			lease.Release(backends.ResultInconclusive, w.now())
 		})
@@ -182,10 +182,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		a, b := w.server("a", deskService), w.server("b", deskService)
-		w.relay.Advised(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
-		w.relay.Advised(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
+		w.relay.HandleSignals(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
+		w.relay.HandleSignals(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
 		lost := false
-		w.up.send = func(_ context.Context, at *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, at *Attempt) (*Response, error) {
 			if at.Request.Path == "/safe/x" && !lost {
 				lost = true
 				return nil, io.ErrUnexpectedEOF
@@ -213,10 +213,10 @@
 		w := newWorld(t, Config{})
 		w.server("full", deskService)
 		s := w.server("limited", deskService)
-		w.relay.Advised(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "full" {
-				return nil, &NotRunError{Reason: RefusedFull}
+				return nil, &NotRunError{Reason: NotRunFull}
 			}
 			return answer(200, "ok"), nil
 		}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -39,7 +39,7 @@
 // offer is a server's answer, and the lease that counts the request there.
 type offer struct {
 	lease  *backends.Reservation
-	answer *Answer
+	answer *Response
 	// cut breaks the answer off.
 	cut context.CancelFunc
 	// cover counts the run's standing copy, nil without one.
@@ -67,7 +67,7 @@
 			j.log.WithField("sent", j.sent).Warn("retry budget is used up")
 			return nil, r.refuse(j, ReasonNoRoom)
 		}
-		o, used, err := r.sendRaced(ctx, j, lease, &Attempt{After: after})
+		o, used, err := r.sendRaced(ctx, j, lease, &Attempt{LastEventID: after})
 		if err == nil {
 			return o, nil
 		}
@@ -87,7 +87,7 @@
 		r.Observer.Attempt(j.service, string(refused.Reason))
 		lease.Release(resultOf(refused.Reason), r.Now())
 		r.unreached(j, refused.Reason)
-		if refused.Reason == RefusedReplaced {
+		if refused.Reason == NotRunReplaced {
 			r.Registry.MarkReplaced(lease.Server)
 		}
 		if ctx.Err() != nil || j.left() < leastLeft {
@@ -114,7 +114,7 @@
 // would be refused for a budget that protects servers which are not there. Others are told of
 // a server that has ended: each would find out by attempts of its own.
 func (r *Relay) unreached(j *job, why NotRunReason) {
-	if why == RefusedUnreachable || why == NotRunDown {
+	if why == NotRunUnreachable || why == NotRunDown {
 		j.reached--
 	}
 	if why == NotRunDown {
@@ -124,9 +124,9 @@
 
 func resultOf(why NotRunReason) backends.Result {
 	switch why {
-	case RefusedFull:
+	case NotRunFull:
 		return backends.ResultFull
-	case RefusedUnreachable:
+	case NotRunUnreachable:
 		return backends.ResultUnreachable
 	case NotRunDown:
 		return backends.ResultDown
@@ -155,7 +155,7 @@
 	for {
 		if r.mayAsk(j, l, w) {
 			q := r.query(j)
-			q.Tokens, q.Prompt, q.Spill = j.memory(0), j.prompt(), true
+			q.ExpectedTokens, q.PromptTokens, q.Spill = j.memory(0), j.prompt(), true
 			if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
 				return lease, nil
 			}
@@ -188,7 +188,7 @@
 
 // refuseUnplaced refuses a request that found no server in the time that it may wait.
 func (r *Relay) refuseUnplaced(j *job) *Refusal {
-	if ready, _ := r.Registry.Standing(j.service, j.regions); ready == 0 {
+	if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 {
 		return r.refuse(j, ReasonNoServer)
 	}
 	return r.refuse(j, ReasonNoRoom)
@@ -213,7 +213,7 @@
 // cordoned refuses a request whose servers are all in cordoned failure domains: waiting does
 // not help it. It returns nil otherwise.
 func (r *Relay) cordoned(j *job) *Refusal {
-	ready, cordoned := r.Registry.Standing(j.service, j.regions)
+	ready, cordoned := r.Registry.CountReadyWithin(j.service, j.regions)
 	if ready > 0 || cordoned == 0 {
 		return nil
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -57,15 +57,15 @@
 // Quarantine remembers under which requests servers have ended, here and at all other
 // processes.
 type Quarantine interface {
-	// Any reports whether anything is known of any request.
-	Any() bool
+	// HasRecords reports whether anything is known of any request.
+	HasRecords() bool
 	// Quarantined reports whether a request must not be sent to servers, and for how much longer.
 	Quarantined(id quarantine.ID) (left time.Duration, held bool)
-	// Due reports whether a request that is held is to be tried.
-	Due(id quarantine.ID) bool
-	// Try reports whether a request that is held may be sent to one server all the same, to
+	// TrialDue reports whether a request that is held is to be tried.
+	TrialDue(id quarantine.ID) bool
+	// StartTrial reports whether a request that is held may be sent to one server all the same, to
 	// see whether it is harmful. It says so once.
-	Try(id quarantine.ID) bool
+	StartTrial(id quarantine.ID) bool
 	// NearThreshold reports whether a request would be held if one more server ended under it.
 	NearThreshold(id quarantine.ID) bool
 	// Crashed is told of a server that has ended, and of the requests that ran there.
@@ -76,8 +76,8 @@
 
 // Peers tells of the other processes that serve callers.
 type Peers interface {
-	// Known counts the processes, this one included; 0 if not known.
-	Known() int
+	// Count counts the processes, this one included; 0 if not known.
+	Count() int
 	// ConfigCurrent reports whether they know no newer configuration than the one that this process
 	// started with.
 	ConfigCurrent() bool
@@ -86,8 +86,8 @@
 	// Notify has them told at once of what has changed here: a generation, or a copy of
 	// one, was put on an engine, or a server fails.
 	Notify()
-	// Queued tells them what waits here for a service; the name is left out.
-	Queued(service string, q flow.Contender)
+	// ReportQueue tells them what waits here for a service; the name is left out.
+	ReportQueue(service string, q flow.Contender)
 	// Used tells them what the teams that use a service most have used here, and
 	// Usage is what they tell.
 	Used(service string, top []flow.Usage)
@@ -95,9 +95,9 @@
 	// Turns is whose turn it is at the servers of a service for a request of some
 	// rank, nil while no other process has one waiting that is as urgent.
 	Turns(service string, rank int) *flow.Turns
-	// MoveTurns is whose turn it is to copy runs off the servers that leave a failure
+	// MigrationTurns is whose turn it is to copy runs off the servers that leave a failure
 	// domain, nil while only this process has such runs.
-	MoveTurns(domain string) *flow.Turns
+	MigrationTurns(domain string) *flow.Turns
 	// SharedClock is a clock that all processes go by.
 	SharedClock() pacing.SharedTime
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -28,7 +28,7 @@
 
 // stream answers a request whose answer is a series of events.
 func (r *Relay) stream(ctx context.Context, j *job, out Responder) string {
-	o, refusal := r.place(ctx, j, j.After)
+	o, refusal := r.place(ctx, j, j.LastEventID)
 	for refusal == nil && !o.streams() {
 		w, err := readWhole(o.answer)
 		if err != nil {
@@ -46,19 +46,19 @@
 		}
 		o.answer.Body.Close()
 		r.Observer.Attempt(j.service, "server error")
-		o, refusal = r.place(ctx, j, j.After)
+		o, refusal = r.place(ctx, j, j.LastEventID)
 	}
 	if refusal != nil {
 		return r.giveUp(ctx, j, *refusal, out)
 	}
-	s := &session{Relay: r, job: j, out: out, seq: sequenceAfter(j.After)}
+	s := &session{Relay: r, job: j, out: out, seq: sequenceAfter(j.LastEventID)}
 	return s.relay(ctx, o)
 }
 
 // streams reports whether the answer is a stream of the server's own.
 func (o *offer) streams() bool {
 	a := o.answer
-	return a.Status == http.StatusOK && a.Events && a.Sealed && !a.Encoded
+	return a.Status == http.StatusOK && a.IsStream && a.Signed && !a.Encoded
 }
 
 func (s *session) relay(ctx context.Context, o *offer) string {
@@ -101,7 +101,7 @@
 }
 
 // pump passes events on until the answer ends; nil is a clean end.
-func (s *session) pump(first *Answer, o *offer) error {
+func (s *session) pump(first *Response, o *offer) error {
 	events := newEventReader(o.answer.Body)
 	for {
 		event, err := events.next()
@@ -135,7 +135,7 @@
 		}
 		s.run.delivered(s.job.progress, s.seq.after(), s.last)
 		if s.job.Generation != nil && s.job.progress.events%reviseEvery == 0 {
-			o.lease.Expect(s.run.memory())
+			o.lease.SetExpectedTokens(s.run.memory())
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // learn notes the length of a generation that ended by itself. One that its
 // caller resumed was not seen from its beginning.
 func (s *session) learn() {
-	if j := s.job; j.Generation != nil && j.After == "" {
+	if j := s.job; j.Generation != nil && j.LastEventID == "" {
 		s.outputs.observe(j.route.Name, j.progress.events*j.perEvent(), j.said())
 	}
 }
@@ -158,7 +158,7 @@
 	}
 }
 
-func (s *session) end(first *Answer) string {
+func (s *session) end(first *Response) string {
 	if !s.begun && s.out.Begin(first) != nil {
 		return OutcomeCallerGone
 	}
@@ -232,7 +232,7 @@
 	copies := s.run.takeCopies(ctx)
 	for i, c := range copies {
 		s.spend(s.job.service)
-		next, err := s.send(ctx, s.job, c.lease, &Attempt{After: s.seq.after(), From: &c.Copy})
+		next, err := s.send(ctx, s.job, c.lease, &Attempt{LastEventID: s.seq.after(), ResumeFrom: &c.KVCopy})
 		if err == nil && next.streams() {
 			s.adopt(next, o)
 			for _, unused := range copies[i+1:] {
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -13,8 +13,8 @@
 	retries := 0
 	const tries = 1000
 	for range tries {
-		b.First()
-		for b.Take() {
+		b.RecordFirstTry()
+		for b.TryTake() {
 			retries++
 		}
 	}
