--- a/placement/direct_test.go
+++ b/placement/direct_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server's notice leaves under two seconds for its runs. Copies within the
-// failure domain take half the time, so they go there unless it is nearly full.
+// A leaving server's runs must be copied within less than two seconds. A copy within the
+// failure domain takes half the time, so the target must be there unless it is nearly full.
 func TestCopiesStayInTheFailureDomain(t *testing.T) {
 	servers := []Server{
 		{Name: "far", FailureDomain: "z2", MemoryTotal: 100, MemoryForecast: 10},
@@ -20,9 +20,9 @@
 	require.Equal(t, 0, CopyTarget().BestOf(2, r, servers, 1))
 }
 
-// Every request must not go to the first of equal servers: each entry starts
-// with the same view and would fill the same one.
-func TestBestSpreadsOverEqualServers(t *testing.T) {
+// Requests must be spread over equal servers. All processes start with the same view and
+// would otherwise all fill the first one.
+func TestBestOfSpreadsOverEqualServers(t *testing.T) {
 	servers := []Server{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	seen := make(map[int]int)
 	for random := range uint64(600) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// A server whose answers are failures loses against one that is half full, and a
-// server that refused a moment ago against one that fails now and then.
+// A server with a high failure rate must rank behind a half full one, and a server that
+// refused a moment ago behind a failing one.
 func TestFailingAndFullServersComeLast(t *testing.T) {
 	busy := Server{Name: "busy", Slots: 10, Running: 4}
 	failing := Server{Name: "failing", Slots: 10, FailureRate: 0.6}
@@ -44,9 +44,9 @@
 	require.Equal(t, 0, Direct().BestOf(2, &Request{}, []Server{failing, full}, 0))
 }
 
-// Urgent requests wait at other processes. A less urgent one leaves as many servers
-// with room to them, and takes one only where it is its turn.
-func TestServersAreLeftToOthers(t *testing.T) {
+// More urgent requests wait at other processes. A less urgent request must leave them as
+// many servers with free capacity, and may use only servers that are its process's turn.
+func TestServersAreReservedForMoreUrgentRequests(t *testing.T) {
 	servers := []Server{{Name: "a", MemoryTotal: 100}, {Name: "b", MemoryTotal: 100}, {Name: "full", MemoryTotal: 100, MemoryForecast: 95, Running: 3}}
 	r := &Request{Tokens: 10, MaxMemoryUse: 1, IsOwnTurn: func(server string) bool { return server == "b" }}
 	require.Equal(t, 1, Direct().BestOf(3, r, servers, 1))
@@ -56,9 +56,9 @@
 	require.Equal(t, -1, Direct().BestOf(3, r, servers, 1))
 }
 
-// All gateways copy runs off the servers that leave, and one server has just joined
-// empty. Six copies on its link take longer than the notice; a run that is sent to a
-// fuller server instead is there in time.
+// All gateways copy runs away from leaving servers, and one server has just joined empty.
+// Six copies over its link take longer than the leaving servers stay. A run that is copied
+// to a server with less free memory instead arrives in time.
 func TestCopiesAvoidABusyLink(t *testing.T) {
 	servers := []Server{
 		{Name: "empty", FailureDomain: "z2", MemoryTotal: 20000, MemoryForecast: 18000 / 2, CopyPending: 18000},
--- a/placement/filters.go
+++ b/placement/filters.go
@@ -5,22 +5,22 @@
 // Reachable drops servers without a session.
 func Reachable(_ *Request, s *Server) bool { return s.Connected }
 
-// NotLeaving drops servers that say, or are said, to leave.
+// NotLeaving drops servers that are leaving, by their own report or by another signal.
 func NotLeaving(_ *Request, s *Server) bool { return !s.Leaving }
 
-// NotEnded drops servers that do not listen.
-func NotEnded(_ *Request, s *Server) bool { return !s.Down }
+// NotDown drops servers that refuse connections.
+func NotDown(_ *Request, s *Server) bool { return !s.Down }
 
 // NotCordoned drops servers of cordoned failure domains.
 func NotCordoned(_ *Request, s *Server) bool { return !s.Cordoned }
 
-// InRegions drops servers outside the regions that the request must stay in.
+// InRegions drops servers outside the regions in which the request may run.
 func InRegions(r *Request, s *Server) bool { return r.Regions.Allow(s.Region) }
 
-// NotResting drops servers that want nothing of this process for now.
-func NotResting(_ *Request, s *Server) bool { return !s.BackingOff }
+// NotBackingOff drops servers that have asked this process to send nothing for some time.
+func NotBackingOff(_ *Request, s *Server) bool { return !s.BackingOff }
 
-// NotPaced drops cold servers that take no more of this process for now.
+// NotPaced drops cold servers whose send rate for this process is used up for now.
 func NotPaced(_ *Request, s *Server) bool { return !s.Paced }
 
 // ServesModel drops servers that have not loaded the model or the adapter.
@@ -31,18 +31,18 @@
 	return r.Adapter == "" || slices.Contains(s.Adapters, r.Adapter)
 }
 
-// NotTried drops servers that have refused the request before.
+// NotTried drops servers that have already refused the request.
 func NotTried(r *Request, s *Server) bool {
 	return !slices.Contains(r.Tried, s.Name)
 }
 
-// InDomain drops servers of other failure domains if the request asks for that.
+// InDomain drops servers of other failure domains if the request is restricted to its own.
 func InDomain(r *Request, s *Server) bool {
 	return !r.SameDomainOnly || s.FailureDomain == r.FailureDomain
 }
 
-// WithinBounds drops servers that are too busy for the request. A server that has
-// nothing to do takes whatever comes.
+// WithinBounds drops servers whose pending prompts or memory use would exceed the bounds
+// of the request. An idle server always passes.
 func WithinBounds(r *Request, s *Server) bool {
 	if s.Running == 0 {
 		return true
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,9 +1,10 @@
-// Package placement chooses the backend server that an entry asks first. A
-// choice passes three steps: filters drop servers that can't take the request,
-// scorers rank the rest, a picker takes one of the best. The view of the load
-// is partial and lags, so a wrong choice is cheap: the agent refuses.
+// Package placement chooses the backend server for a request. A choice has three steps:
+// filters drop the servers that cannot take the request, scorers rate the remaining ones,
+// and a picker selects one with a high score. An entry's view of the load is incomplete
+// and out of date, but a wrong choice costs little, because the agent then refuses the
+// request.
 //
-// The package is pure; all functions are safe for concurrent use.
+// The package does no I/O and keeps no state; all functions are safe for concurrent use.
 package placement
 
 import (
@@ -13,69 +14,72 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// Server is what an entry knows of one backend server.
+// Server is what this process knows about one backend server.
 type Server struct {
 	Name          string
 	FailureDomain string
-	// Region holds the failure domain, empty if unknown.
+	// Region contains the failure domain, empty if unknown.
 	Region   string
 	Models   []string
 	Adapters []string
 	Leaving  bool
-	// Cordoned marks a server of a failure domain that gets nothing.
+	// Cordoned marks a server of a failure domain whose servers get nothing new.
 	Cordoned  bool
 	Connected bool
-	// Age is the time since the load was reported.
+	// Age is the time since the last load report.
 	Age time.Duration
-	// Running, Queued and the memory figures are as last reported.
+	// Running, Queued, MemoryForecast and MemoryTotal are from the last load report.
 	Running, Queued             int
 	MemoryForecast, MemoryTotal uint64
-	// Sent is the number of requests this entry has sent since that report.
+	// Sent is the number of requests that this process has sent since that report.
 	Sent int
-	// PromptPending is the prompt tokens that are read before a new request's.
+	// PromptPending is the number of prompt tokens that the server reads before the prompt
+	// of a new request.
 	PromptPending int
-	// CopyPending is the tokens of memory that are being copied to the server.
+	// CopyPending is the number of memory tokens that are being copied to the server.
 	CopyPending int
-	// Slots is how many requests the server runs at once, 0 if unknown.
+	// Slots is the number of requests that the server runs at once, 0 if unknown.
 	Slots int
-	// FailureRate is the share of recent answers that were failures.
+	// FailureRate is the share of failures among its recent responses.
 	FailureRate float64
-	// Avoid marks a server that refused or could not be reached a moment ago.
+	// Avoid marks a server that refused a request or was unreachable a moment ago.
 	Avoid bool
-	// Down marks a server that does not listen, BackingOff one that wants nothing of this process
-	// for now.
+	// Down marks a server that refuses connections. BackingOff marks a server that has
+	// asked this process to send nothing for some time.
 	Down, BackingOff bool
-	// Cold marks a server that is still slow after its start, Paced one that takes no
-	// more of this process for now.
+	// Cold marks a server that is still slow after its start. Paced marks a cold server
+	// whose send rate for this process is used up for now.
 	Cold, Paced bool
 }
 
-// Request is what a choice is made for.
+// Request describes the request for which a server is chosen.
 type Request struct {
 	Team          string
 	Model         string
 	Adapter       string
 	FailureDomain string
-	// Tried are the servers that have refused the request.
+	// Tried are the servers that have already refused the request.
 	Tried []string
-	// Regions are where the request may run.
+	// Regions are the regions in which the request may run.
 	Regions routing.Regions
-	// Tokens is the memory that the request is expected to need.
+	// Tokens is the memory that the request is expected to need, in tokens.
 	Tokens int
-	// PromptSpeed is the prompt tokens a second that servers read.
+	// PromptSpeed is the number of prompt tokens per second that a server reads.
 	PromptSpeed float64
-	// MaxMemoryUse bounds the part of memory in use with the request, MostPrompt the
-	// prompt tokens to be read before it; 0 is no bound.
+	// MaxMemoryUse bounds the share of a server's memory in use including this request.
+	// MaxPromptPending bounds the prompt tokens that are read before this request. 0 is no
+	// bound.
 	MaxMemoryUse     float64
 	MaxPromptPending int
-	// CopySpeed is the tokens of memory a second that a server's link takes.
+	// CopySpeed is the number of memory tokens per second that a server's link transfers.
 	CopySpeed float64
 	// SameDomainOnly drops servers of other failure domains.
 	SameDomainOnly bool
-	// IsCandidate bounds the choice to some servers, by their index; nil for all.
+	// IsCandidate restricts the choice to some servers, by their index; nil allows all.
 	IsCandidate func(i int) bool
-	// IsOwnTurn tells whose turn it is at a server, nil where there are no turns. Yield is
-	// the number of servers that are left to others.
+	// IsOwnTurn reports whether this process may use a server in the current period (see
+	// flow.Turns); nil allows all. Reserved is the number of servers that are left to more
+	// urgent requests elsewhere.
 	IsOwnTurn func(server string) bool
 	Reserved  int
 }
@@ -83,7 +87,7 @@
 // Filter reports whether a server can take a request.
 type Filter func(r *Request, s *Server) bool
 
-// Scorer rates a server for a request; the scale is 0 to 1.
+// Scorer rates a server for a request. A full score is 1; some scorers go below 0.
 type Scorer struct {
 	Weight float64
 	Score  func(r *Request, s *Server) float64
@@ -95,7 +99,7 @@
 	Scorers []Scorer
 }
 
-// Default is the policy of the entry.
+// Default returns the policy of the entry.
 func Default() Policy {
 	return Policy{
 		Filters: []Filter{Reachable, NotLeaving, ServesModel, NotTried},
@@ -106,12 +110,12 @@
 	}
 }
 
-// Direct is the policy where requests go to servers without an agent in between,
-// and the load is what this process knows of. A failing server must lose against
-// every other, a server that refused a moment ago against all but failing ones.
+// Direct returns the policy for requests that go to servers without an agent in between,
+// and the load is what this process knows of. The weights rank a failing server behind
+// healthy ones, and a server that refused a moment ago behind both.
 func Direct() Policy {
 	return Policy{
-		Filters: []Filter{NotLeaving, NotEnded, NotResting, NotCordoned, InRegions, NotTried, InDomain, WithinBounds, NotPaced},
+		Filters: []Filter{NotLeaving, NotDown, NotBackingOff, NotCordoned, InRegions, NotTried, InDomain, WithinBounds, NotPaced},
 		Scorers: []Scorer{
 			{Weight: 1.0, Score: Room},
 			{Weight: 1.0, Score: PromptRead},
@@ -123,38 +127,38 @@
 	}
 }
 
-// CopyTarget is the policy for the target of a copy of a run's memory. A copy across
-// failure domains takes twice as long, and a server that leaves gives little
-// time: another domain is taken only where the own one has no room. CopyTarget to one
-// server go one after the other, so one that others copy to already loses against a
-// fuller one.
+// CopyTarget returns the policy for the target of a copy of a run's memory. A copy across
+// failure domains takes twice as long, and a leaving server leaves little time, so another
+// domain is chosen only if the own one has no free capacity. Copies to one server go one
+// after the other, so a server that is already receiving copies ranks behind a server with
+// less free memory.
 func CopyTarget() Policy {
 	p := Direct()
 	p.Scorers = append(p.Scorers, Scorer{Weight: 0.6, Score: SameDomain}, Scorer{Weight: 1.5, Score: CopyWait})
 	return p
 }
 
-// BestOf draws servers and returns the index of the one with the highest score, or
-// -1. With draws as many as servers it is the best of all: right for a view that is
-// up to date. Where others choose at the same moment by the same view, they would
-// all choose the same one; fewer draws spread them.
+// BestOf draws some eligible servers at random and returns the index of the one with the
+// highest score, or -1 if none is eligible. With as many draws as servers it is the best
+// of all, which suits an up-to-date view. Processes that choose at the same moment by the
+// same view would then all choose the same server; fewer draws spread them.
 func (p Policy) BestOf(draws int, r *Request, servers []Server, random uint64) int {
-	var buf [onStack]int
-	able, mine := p.able(r, servers, buf[:0])
-	if able <= r.Reserved || len(mine) == 0 {
+	var buf [stackServers]int
+	eligible, inTurn := p.eligible(r, servers, buf[:0])
+	if eligible <= r.Reserved || len(inTurn) == 0 {
 		return -1
 	}
 	rng := rand.New(rand.NewPCG(random, random))
-	draws = min(draws, len(mine))
-	start := rng.IntN(len(mine))
+	draws = min(draws, len(inTurn))
+	start := rng.IntN(len(inTurn))
 	best, top := -1, 0.0
-	for k := range mine {
-		// Each of those left is drawn with equal chance.
-		if rng.IntN(len(mine)-k) >= draws {
+	for k := range inTurn {
+		// Each remaining server is drawn with equal probability.
+		if rng.IntN(len(inTurn)-k) >= draws {
 			continue
 		}
 		draws--
-		i := mine[(start+k)%len(mine)]
+		i := inTurn[(start+k)%len(inTurn)]
 		if score := p.score(r, &servers[i]); best < 0 || score > top {
 			best, top = i, score
 		}
@@ -162,49 +166,50 @@
 	return best
 }
 
-// onStack is the number of servers that a choice is made among without allocating.
-const onStack = 128
+// stackServers is the number of servers up to which a choice does not allocate.
+const stackServers = 128
 
-// able returns how many servers can take the request, and, behind those in mine, at
-// which of them it is this process's turn.
-func (p Policy) able(r *Request, servers []Server, mine []int) (int, []int) {
+// eligible returns the number of servers that can take the request. It appends to indices
+// the index of each of them that is this process's turn.
+func (p Policy) eligible(r *Request, servers []Server, indices []int) (int, []int) {
 	n := 0
 	for i := range servers {
 		if r.IsCandidate != nil && !r.IsCandidate(i) || !p.passes(r, &servers[i]) {
 			continue
 		}
 		n++
-		if inTurn(r, &servers[i]) {
-			mine = append(mine, i)
+		if isOwnTurn(r, &servers[i]) {
+			indices = append(indices, i)
 		}
 	}
-	return n, mine
+	return n, indices
 }
 
-func inTurn(r *Request, s *Server) bool { return r.IsOwnTurn == nil || r.IsOwnTurn(s.Name) }
+func isOwnTurn(r *Request, s *Server) bool { return r.IsOwnTurn == nil || r.IsOwnTurn(s.Name) }
 
-// Pick returns the index in servers of the one to ask, or -1. Of two servers
-// drawn by random it takes the better one: with a view that lags, always taking
-// the best sends every entry to the same server at once.
+// Pick returns the index of the server to ask, or -1 if none is eligible. It draws two
+// servers by random and returns the one with the higher score. Always taking the best
+// would make all entries choose the same server at once, because their views are out of
+// date.
 func (p Policy) Pick(r *Request, servers []Server, random uint64) int {
-	fit := make([]int, 0, len(servers))
+	eligible := make([]int, 0, len(servers))
 	for i := range servers {
 		if p.passes(r, &servers[i]) {
-			fit = append(fit, i)
+			eligible = append(eligible, i)
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return -1
 	}
-	first := int(uint32(random)) % len(fit)
-	second := int(uint32(random>>32)) % len(fit)
+	first := int(uint32(random)) % len(eligible)
+	second := int(uint32(random>>32)) % len(eligible)
 	if second == first {
-		second = (first + 1) % len(fit)
+		second = (first + 1) % len(eligible)
 	}
-	if p.score(r, &servers[fit[second]]) > p.score(r, &servers[fit[first]]) {
+	if p.score(r, &servers[eligible[second]]) > p.score(r, &servers[eligible[first]]) {
 		first = second
 	}
-	return fit[first]
+	return eligible[first]
 }
 
 func (p Policy) passes(r *Request, s *Server) bool {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestFilters(t *testing.T) {
-	good := Server{Name: "a", Models: []string{"m"}, Adapters: []string{"x"}, Connected: true}
+	eligible := Server{Name: "a", Models: []string{"m"}, Adapters: []string{"x"}, Connected: true}
 	r := &Request{Model: "m", Adapter: "x"}
-	require.Equal(t, 0, Default().Pick(r, []Server{good}, 1))
+	require.Equal(t, 0, Default().Pick(r, []Server{eligible}, 1))
 	for name, change := range map[string]func(*Server, *Request){
 		"leaving":       func(s *Server, _ *Request) { s.Leaving = true },
 		"not connected": func(s *Server, _ *Request) { s.Connected = false },
@@ -17,14 +17,14 @@
 		"no adapter":    func(s *Server, _ *Request) { s.Adapters = nil },
 		"tried":         func(s *Server, r *Request) { r.Tried = []string{s.Name} },
 	} {
-		s, req := good, *r
+		s, req := eligible, *r
 		change(&s, &req)
 		require.Equal(t, -1, Default().Pick(&req, []Server{s}, 1), name)
 	}
 }
 
-// Of two servers drawn, the one with more room must be taken, whichever was drawn
-// first; requests sent since the last report count as load.
+// Of the two drawn servers the one with more free memory must be picked, in either order.
+// Requests sent since the last report must count as load.
 func TestPickTakesTheBetterOfTwo(t *testing.T) {
 	servers := []Server{
 		{Name: "full", Models: []string{"m"}, Connected: true, MemoryForecast: 90, MemoryTotal: 100},
--- a/placement/scorers.go
+++ b/placement/scorers.go
@@ -1,14 +1,15 @@
 package placement
 
-// sentCost is the memory, as a share of capacity, that one request sent since
-// the last report is taken to need. It keeps an entry from sending a burst to
-// the server that looked best one heartbeat ago.
+// sentCost is the memory, as a share of capacity, that each request sent since the last
+// load report is assumed to need. It prevents an entry from sending a burst to the server
+// that had the highest score at its last heartbeat.
 const sentCost = 0.02
 
-// queueCost is the same for a queued request.
+// queueCost is the memory, as a share of capacity, that each queued request is assumed to
+// need.
 const queueCost = 0.03
 
-// Headroom prefers servers whose forecast memory leaves room.
+// Headroom prefers servers with a large share of free memory by forecast.
 func Headroom(_ *Request, s *Server) float64 {
 	if s.MemoryTotal == 0 {
 		return 0.5
@@ -18,7 +19,7 @@
 	return max(0, min(1, free))
 }
 
-// SameDomain prefers servers in the entry's failure domain.
+// SameDomain prefers servers in the failure domain of the request.
 func SameDomain(r *Request, s *Server) float64 {
 	if s.FailureDomain == r.FailureDomain {
 		return 1
@@ -26,8 +27,8 @@
 	return 0
 }
 
-// Room prefers servers with free memory and free slots, whichever is scarcer,
-// once they have the request.
+// Room prefers servers that will have free memory and free slots with the request added;
+// the scarcer of the two counts.
 func Room(r *Request, s *Server) float64 {
 	used := 0.0
 	if s.MemoryTotal > 0 {
@@ -39,10 +40,10 @@
 	return 1 - used
 }
 
-// Healthy prefers servers whose answers are not failures.
+// Healthy prefers servers with a low failure rate.
 func Healthy(_ *Request, s *Server) float64 { return 1 - s.FailureRate }
 
-// NotAvoided prefers servers that did not refuse a moment ago.
+// NotAvoided prefers servers that are not marked to be avoided.
 func NotAvoided(_ *Request, s *Server) float64 {
 	if s.Avoid {
 		return 0
@@ -50,7 +51,7 @@
 	return 1
 }
 
-// Warm prefers servers that have been up for a while.
+// Warm prefers servers that are not cold.
 func Warm(_ *Request, s *Server) float64 {
 	if s.Cold {
 		return 0
@@ -58,8 +59,8 @@
 	return 1
 }
 
-// PromptRead prefers servers with few prompts to read first: the first token waits
-// for all of them, and loses a point for every second.
+// PromptRead prefers servers with few pending prompt tokens, because the first token waits
+// until all of them are read. The score falls by 1 for each second of that wait.
 func PromptRead(r *Request, s *Server) float64 {
 	if r.PromptSpeed <= 0 {
 		return 0
@@ -67,8 +68,8 @@
 	return 1 - float64(s.PromptPending)/r.PromptSpeed
 }
 
-// CopyWait prefers servers whose link is free; it loses a point for every second that
-// a copy would wait there.
+// CopyWait prefers servers whose link is free. The score falls by 1 for each second that a
+// copy would wait.
 func CopyWait(r *Request, s *Server) float64 {
 	if r.CopySpeed <= 0 {
 		return 0
@@ -76,9 +77,9 @@
 	return -float64(s.CopyPending) / r.CopySpeed
 }
 
-// MemoryUtilization is the part of their memory that the servers which stay have in use
-// together, 0 where none has a known memory. Of servers that are not the request's own what
-// is known is too little to count.
+// MemoryUtilization returns the share of memory in use over all servers that are neither
+// leaving nor cordoned, 0 if no memory size is known. It ignores servers that are not
+// candidates of the request, because too little is known about their load.
 func MemoryUtilization(r *Request, servers []Server) float64 {
 	used, total := 0.0, 0.0
 	for i := range servers {
