--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -161,7 +161,7 @@
 // free by what is known.
 func (f *fleet) cover(g *generation, now time.Duration) {
 	l := f.regs[g.gateway].Acquire(Query{
-		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
+		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, ForCopy: true, CopySpeed: 18_000,
 		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.lease.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
 	}, now)
 	if l == nil {
@@ -239,7 +239,7 @@
 	})
 	inCells := divided.play()
 	partial := newFleet(func(self subset.Item, all []subset.Item) ([]subset.Item, cells.Place) {
-		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, Count: 1}
+		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, CellCount: 1}
 	})
 	drawn := partial.play()
 	t.Logf("late: %.3f in cells, %.3f with links drawn from all", inCells, drawn)
@@ -259,7 +259,7 @@
 		all = append(all, s)
 	}
 	r.Reset(all, 0, 0)
-	r.SetPlace(cells.Place{OwnCell: 0, Count: count})
+	r.SetPlace(cells.Place{OwnCell: 0, CellCount: count})
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
 	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
 	require.NotNil(t, l)
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -296,17 +296,17 @@
 	SameDomainOnly  bool
 	// Regions are where the request may run.
 	Regions routing.Regions
-	// Clock is what cold servers are shared out by.
-	Clock pacing.SharedTime
+	// SharedTime is what cold servers are shared out by.
+	SharedTime pacing.SharedTime
 	// Turns bounds the choice to servers where it is this process's turn, nil for
 	// all.
 	Turns *flow.Turns
 	// Spill lets servers of other cells be taken where the own one has none with room.
 	// What is sent there by others is not known.
 	Spill bool
-	// Copy asks for a server to copy a run's memory to; CopySpeed is the tokens of
+	// ForCopy asks for a server to copy a run's memory to; CopySpeed is the tokens of
 	// memory a second that a server's link takes.
-	Copy      bool
+	ForCopy   bool
 	CopySpeed float64
 	// Draw is random.
 	Draw uint64
@@ -339,7 +339,7 @@
 		req.IsOwnTurn, req.Reserved, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
 	}
 	policy := r.policy
-	if q.Copy {
+	if q.ForCopy {
 		policy = r.copies
 	}
 	i := policy.BestOf(draws, req, views, q.Draw)
@@ -352,7 +352,7 @@
 	}
 	s := list[i]
 	if l := s.bound(r.traits(q.Service), now); l.Rate > 0 {
-		s.pacer.Sent(r.share(len(list)), l, q.Clock, now)
+		s.pacer.Sent(r.share(len(list)), l, q.SharedTime, now)
 	}
 	return r.lease(s, q, len(list))
 }
@@ -360,11 +360,11 @@
 // SetPlace says which of how many cells this process is in, and which others send to the same
 // servers. It reports whether the cell is news.
 func (r *Registry) SetPlace(p cells.Place) bool {
-	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.All)
+	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := r.cell != p.OwnCell || r.count != p.Count
-	r.cell, r.count = p.OwnCell, p.Count
+	news := r.cell != p.OwnCell || r.count != p.CellCount
+	r.cell, r.count = p.OwnCell, p.CellCount
 	r.inCell, r.inAll = inCell, inAll
 	return news
 }
@@ -388,7 +388,7 @@
 	for _, s := range list {
 		load := r.load(s)
 		// A copy of a run leads to requests that cannot wait for their turn.
-		paced := q.Copy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.Clock, now)
+		paced := q.ForCopy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.SharedTime, now)
 		r.scratch = append(r.scratch, placement.Server{
 			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.regions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
 			Running: load.Running, Slots: s.Slots,
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -57,10 +57,10 @@
 
 // reads decides for a follower of a table; see readers.Role.Reads.
 func (r *readerRole) reads(now time.Duration, reached bool) bool {
-	look := readers.Inputs{Now: now, Reached: reached, ProcessCount: r.group.crowd(), Random: rand.Float64()}
+	look := readers.Inputs{Now: now, StoreReached: reached, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
+	was := r.role.IsReading()
 	reads := r.role.ShouldRead(look)
 	r.changed(was, reads, look.ProcessCount)
 	return reads
@@ -71,7 +71,7 @@
 	if without > 0 && without < joinPatience && !r.joined.Load() {
 		return false
 	}
-	look := readers.Inputs{Now: now, Reached: true, ProcessCount: r.group.crowd(), Random: rand.Float64()}
+	look := readers.Inputs{Now: now, StoreReached: true, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	switch {
 	case without > 0 && r.first.Load():
 		look.ProcessCount = 1
@@ -80,7 +80,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
+	was := r.role.IsReading()
 	turn := r.role.MayTryStore(look)
 	r.changed(was, turn, look.ProcessCount)
 	return turn
@@ -94,7 +94,7 @@
 	for _, m := range all {
 		list = append(list, readers.Reader{Name: m.Name, FailureDomain: m.FailureDomain, LinkMbps: m.LinkMbps})
 	}
-	first := slices.ContainsFunc(readers.First(list, firstReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
+	first := slices.ContainsFunc(readers.InitialReaders(list, firstReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
 	r.first.Store(first)
 }
 
@@ -115,7 +115,7 @@
 		return
 	}
 	r.mu.Lock()
-	reading := r.role.Reading()
+	reading := r.role.IsReading()
 	r.mu.Unlock()
 	if reading && r.told.CompareAndSwap(false, true) {
 		r.spread()
--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -128,14 +128,14 @@
 // ServerCrashed implements relay.Observer.
 func (r *Recorder) ServerCrashed(service string) { r.ended.WithLabelValues(service).Inc() }
 
-// Pause implements relay.Observer.
-func (r *Recorder) Pause(team string, d time.Duration) {
+// EventPause implements relay.Observer.
+func (r *Recorder) EventPause(team string, d time.Duration) {
 	r.pause.Observe(d.Seconds())
 	r.count(team, burn.StallTime, d <= stallAfter)
 }
 
-// Attempt implements relay.Observer.
-func (r *Recorder) Attempt(service, result string) {
+// AttemptFailed implements relay.Observer.
+func (r *Recorder) AttemptFailed(service, result string) {
 	r.attempts.WithLabelValues(service, result).Inc()
 }
 
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -81,7 +81,7 @@
 	return o.turns
 }
 
-func (o *others) Used(string, []flow.Usage) {}
+func (o *others) ReportUsage(string, []flow.Usage) {}
 
 func (o *others) Usage(string) []flow.Usage {
 	o.mu.Lock()
@@ -185,9 +185,9 @@
 }
 
 func request(path string) *Request {
-	r := &Request{ID: "r1", Host: "h", Path: path, Method: "POST", Target: path, Key: teamKey, Wait: time.Second}
+	r := &Request{ID: "r1", Host: "h", Path: path, Method: "POST", Target: path, APIKey: teamKey, Timeout: time.Second}
 	if strings.HasPrefix(path, "/plan/") || strings.HasPrefix(path, "/check/") {
-		r.Wait = 30 * time.Second
+		r.Timeout = 30 * time.Second
 		r.Generation = &Generation{PromptTokens: 3000, MaxOutput: 2000, Hint: 900}
 	}
 	return r
@@ -353,7 +353,7 @@
 
 func (noObserver) Finished(string, string, routing.Kind, string)         {}
 func (noObserver) FirstByte(string, string, routing.Kind, time.Duration) {}
-func (noObserver) Pause(string, time.Duration)                           {}
-func (noObserver) Attempt(string, string)                                {}
+func (noObserver) EventPause(string, time.Duration)                      {}
+func (noObserver) AttemptFailed(string, string)                          {}
 func (noObserver) Migrated(string)                                       {}
 func (noObserver) ServerCrashed(string)                                  {}
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -147,7 +147,7 @@
 	l.shares.Charge(j.team, amount, now)
 	top := l.shares.Top(toldTeams, now)
 	l.mu.Unlock()
-	r.Peers.Used(j.service, top)
+	r.Peers.ReportUsage(j.service, top)
 }
 
 // level is how far a request's team is above an equal share.
@@ -227,10 +227,10 @@
 // resting refuses a request whose engines all rest for longer than it can wait, nil otherwise.
 func (r *Relay) resting(j *job, w *flow.Waiter) *Refusal {
 	p := r.paceOf(j)
-	if !p.Later() || p.Bounded || r.Now()+p.Rest <= w.DispatchDeadline {
+	if !p.MustWait() || p.Bounded || r.Now()+p.BackoffWait <= w.DispatchDeadline {
 		return nil
 	}
-	return r.refuseInLine(j, p, p.Rest)
+	return r.refuseInLine(j, p, p.BackoffWait)
 }
 
 // spillAfter is how long a request waits for an engine of its own gateway's cell before it
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -84,7 +84,7 @@
 	j.tried = append(j.tried, id)
 	var refused *NotRunError
 	if errors.As(err, &refused) {
-		r.Observer.Attempt(j.service, string(refused.Reason))
+		r.Observer.AttemptFailed(j.service, string(refused.Reason))
 		lease.Release(resultOf(refused.Reason), r.Now())
 		r.unreached(j, refused.Reason)
 		if refused.Reason == NotRunReplaced {
@@ -100,7 +100,7 @@
 		lease.Release(backends.ResultInconclusive, r.Now())
 		return r.refuse(j, ReasonDeadline)
 	}
-	r.Observer.Attempt(j.service, "lost")
+	r.Observer.AttemptFailed(j.service, "lost")
 	lease.Release(backends.ResultLost, r.Now())
 	r.Peers.Notify()
 	r.broke(ctx, j, lease.Server)
@@ -164,7 +164,7 @@
 			return nil, refusal
 		}
 		poll, until := roomPoll, j.arrived+j.patience()
-		if pace := r.paceOf(j); pace.Bounded || pace.Resting {
+		if pace := r.paceOf(j); pace.Bounded || pace.HasBackingOff {
 			if j.hasAnswer {
 				return nil, r.refuse(j, ReasonNoRoom)
 			}
@@ -207,7 +207,7 @@
 
 // query asks for a server for a request.
 func (r *Relay) query(j *job) backends.Query {
-	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, Clock: r.Peers.SharedClock(), Draw: rand.Uint64()}
+	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, SharedTime: r.Peers.SharedClock(), Draw: rand.Uint64()}
 }
 
 // cordoned refuses a request whose servers are all in cordoned failure domains: waiting does
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,8 +35,8 @@
 type Observer interface {
 	Finished(team, service string, kind routing.Kind, outcome string)
 	FirstByte(team, service string, kind routing.Kind, d time.Duration)
-	Pause(team string, d time.Duration)
-	Attempt(service, result string)
+	EventPause(team string, d time.Duration)
+	AttemptFailed(service, result string)
 	Migrated(result string)
 	// ServerCrashed is told of a server that has ended under requests.
 	ServerCrashed(service string)
@@ -88,9 +88,9 @@
 	Notify()
 	// ReportQueue tells them what waits here for a service; the name is left out.
 	ReportQueue(service string, q flow.Contender)
-	// Used tells them what the teams that use a service most have used here, and
+	// ReportUsage tells them what the teams that use a service most have used here, and
 	// Usage is what they tell.
-	Used(service string, top []flow.Usage)
+	ReportUsage(service string, top []flow.Usage)
 	Usage(service string) []flow.Usage
 	// Turns is whose turn it is at the servers of a service for a request of some
 	// rank, nil while no other process has one waiting that is as urgent.
@@ -313,7 +313,7 @@
 	if left, barred := r.barred(j); barred {
 		return nil, &Refusal{Reason: ReasonHarmful, RetryAfter: left, Content: j.id().String()}
 	}
-	j.deadline = time.Now().Add(allowed(req.Wait, route.Timeout))
+	j.deadline = time.Now().Add(allowed(req.Timeout, route.Timeout))
 	if r.outlasts(j) {
 		return nil, &Refusal{Reason: ReasonStopping, RetryAfter: r.moveOn()}
 	}
@@ -331,9 +331,9 @@
 	if r.KeysStale(age) || !r.Peers.ConfigCurrent() {
 		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 	}
-	team := cfg.Team(j.Key)
+	team := cfg.Team(j.APIKey)
 	if team == nil {
-		if j.Key != "" && r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
+		if j.APIKey != "" && r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
 			return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
 		return &Refusal{Reason: ReasonKey}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -45,7 +45,7 @@
 			return r.giveUp(ctx, j, *r.refuse(j, ReasonSpoilt), out)
 		}
 		o.answer.Body.Close()
-		r.Observer.Attempt(j.service, "server error")
+		r.Observer.AttemptFailed(j.service, "server error")
 		o, refusal = r.place(ctx, j, j.LastEventID)
 	}
 	if refusal != nil {
@@ -58,7 +58,7 @@
 // streams reports whether the answer is a stream of the server's own.
 func (o *offer) streams() bool {
 	a := o.answer
-	return a.Status == http.StatusOK && a.IsStream && a.Signed && !a.Encoded
+	return a.Status == http.StatusOK && a.IsStream && a.Signed && !a.Recoded
 }
 
 func (s *session) relay(ctx context.Context, o *offer) string {
@@ -151,7 +151,7 @@
 // notePause takes note of the time between two events.
 func (s *session) notePause(d time.Duration) {
 	s.job.progress.longest = max(s.job.progress.longest, d)
-	s.Observer.Pause(s.job.team, d)
+	s.Observer.EventPause(s.job.team, d)
 	s.paused(d)
 	if most := s.job.route.MaxPause; most > 0 && d > most {
 		s.job.log.WithFields(logrus.Fields{"server": s.run.host(), "after": s.seq.last, "pause_ms": d.Milliseconds()}).Info("stream stalled")
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -60,9 +60,9 @@
 	return live[:Count]
 }
 
-// First picks n of many processes that read the store first when all start: those that would
+// InitialReaders picks n of many processes that read the store first when all start: those that would
 // be chosen, and those that would be chosen without them, and so on.
-func First(all []Reader, n int) (out []Reader) {
+func InitialReaders(all []Reader, n int) (out []Reader) {
 	rest := slices.Clone(all)
 	for len(out) < n && len(rest) > 0 {
 		for _, c := range Choose(rest) {
@@ -85,8 +85,8 @@
 // NewRole returns the role of a process that does not read yet.
 func NewRole(self Reader) *Role { return &Role{self: self, others: make(map[string]Reader)} }
 
-// Reading reports whether the process reads the store.
-func (r *Role) Reading() bool { return r.reading }
+// IsReading reports whether the process reads the store.
+func (r *Role) IsReading() bool { return r.reading }
 
 // AddReports takes what another process knows.
 func (r *Role) AddReports(list []Reader, now time.Duration) {
@@ -130,8 +130,8 @@
 type Inputs struct {
 	// Now is the store's steady clock, as near as it is known here.
 	Now time.Duration
-	// Reached says that the store answered the last call of this process.
-	Reached bool
+	// StoreReached says that the store answered the last call of this process.
+	StoreReached bool
 	// ProcessCount is how many processes are in the same place, this one included: those that it
 	// knows, by the part of its links that it hears something on. One that hears nobody
 	// is alone.
@@ -145,7 +145,7 @@
 // readers, or where it is better than one of them; of many that could, few try at a time.
 func (r *Role) ShouldRead(l Inputs) bool {
 	others := r.alive(l.Now)
-	if r.reading && !l.Reached {
+	if r.reading && !l.StoreReached {
 		r.reading = false
 	}
 	if r.reading {
