--- a/cells/cells.go
+++ b/cells/cells.go
@@ -1,9 +1,10 @@
-// Package cells divides many processes and the servers that they send to into cells, so
-// that all who send to a server hear each other. It is pure.
+// Package cells divides processes and the servers that they send to into cells, so that all
+// processes that send to a server report their load to each other. It does no I/O and keeps
+// no state.
 //
-// A process tells a bounded number of others what it has sent where. Beyond that number each
-// sees a part of the load only, and sends to engines that look idle to it. Within a cell the
-// view is whole.
+// A process reports its load on the servers to a bounded number of other processes. With
+// more processes than that, each would see only a part of the load and would send to
+// engines that seem idle. Within a cell every process sees the whole load.
 package cells
 
 import (
@@ -12,37 +13,43 @@
 	"kingcupplank.example/kingcup/subset"
 )
 
-// size is how many processes a cell has on average: with as much again as chance adds to
-// one of them (three in ten), each can still tell all others over 32 links.
-const size = 26
+// meanSize is the mean number of processes in a cell. Hashing can make a cell three tenths
+// larger than the mean; 32 links still reach all other processes of such a cell.
+const meanSize = 26
 
-// MinServersPerCell is how many servers of a service a cell must have on average for the service
-// to be divided. With fewer, one that fails or leaves is too large a part of them.
+// MinServersPerCell is the smallest mean number of a service's servers per cell with which
+// the service is divided. With fewer servers, one that fails or leaves would be too large a
+// part of its cell.
 const MinServersPerCell = 16
 
-// Count is how many cells there are for a number of processes; one up to 38.
-func Count(processes int) int { return max(1, (processes+size/2)/size) }
+// Count returns the number of cells for a number of processes: one for up to 38 processes,
+// then about one per meanSize processes.
+func Count(processes int) int { return max(1, (processes+meanSize/2)/meanSize) }
 
-// IsDivided reports whether a service with a number of servers is divided into cells.
+// IsDivided reports whether a service is divided into cells. servers is the number of its
+// servers, count the number of cells.
 func IsDivided(servers, count int) bool { return count > 1 && servers >= MinServersPerCell*count }
 
-// outsideShare divides the links into a cell to give those out of it: 6 beside 32. A cell of
-// 26 has 150 ways out then.
-const outsideShare = 5
+// insideToOutside is the ratio of the maximum of links inside a cell to the maximum of links
+// to other cells: 6 links to other cells for 32 inside. A cell of 26 processes then has
+// about 150 links to other cells.
+const insideToOutside = 5
 
-// Place is where a process stands among the others.
+// Place is the position of a process among all processes.
 type Place struct {
-	// Self is its name, Own its cell of Count.
+	// Self is the name of the process, OwnCell the index of its cell, CellCount the number of
+	// cells.
 	Self               string
 	OwnCell, CellCount int
-	// CellPeers names the others of its cell, AllPeers all others.
+	// CellPeers are the names of the other processes of its cell, AllPeers the names of all other
+	// processes.
 	CellPeers, AllPeers []string
 }
 
-// Links picks the processes that one tells of its load, by the same rule everywhere: those of
-// its own cell, at most so many, and some of the others, by which tables are known in all
-// cells. all does not hold the process itself.
-func Links(self subset.Item, all []subset.Item, most int) (links []subset.Item, place Place) {
+// Links picks the processes to which a process reports its load. All processes use the same
+// rule: at most maxInside processes of the own cell, and a few of other cells, so that table
+// changes reach all cells. all must not contain the process itself.
+func Links(self subset.Item, all []subset.Item, maxInside int) (links []subset.Item, place Place) {
 	place = Place{Self: self.Name, CellCount: Count(len(all) + 1)}
 	place.OwnCell = IndexOf(Hash(self.Name), place.CellCount)
 	var inside, outside []subset.Item
@@ -55,17 +62,17 @@
 			outside = append(outside, it)
 		}
 	}
-	links = subset.Pick(self.Name, self.FailureDomain, inside, most)
-	links = append(links, subset.Pick(self.Name, self.FailureDomain, outside, max(1, most/outsideShare))...)
+	links = subset.Pick(self.Name, self.FailureDomain, inside, maxInside)
+	links = append(links, subset.Pick(self.Name, self.FailureDomain, outside, max(1, maxInside/insideToOutside))...)
 	return links, place
 }
 
-// Hash is what a name is placed by.
+// Hash returns the hash of a name, from which IndexOf computes its cell.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// IndexOf is the cell, from 0, of a hash. When the number of cells changes by one, names move to
-// or from one cell only, so that processes that disagree on it for a while agree on most
-// servers (jump consistent hash).
+// IndexOf returns the index of the cell of a hash, counted from 0. It is a jump consistent
+// hash: when the number of cells changes by one, names move only into or out of one cell.
+// Processes that count different numbers of cells for a while still agree on most servers.
 func IndexOf(hash uint64, count int) int {
 	cell, next := int64(-1), int64(0)
 	for next < int64(count) {
--- a/cells/cells_test.go
+++ b/cells/cells_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Up to the size at which a gateway hears nearly all others nothing is divided, and beyond
-// it a cell stays small enough to be heard whole.
-func TestCellsAreHeardWhole(t *testing.T) {
+// Up to 38 processes there must be one cell. With more processes, nearly all cells must stay
+// small enough for each process to report to all others of its cell.
+func TestLinksReachWholeCells(t *testing.T) {
 	const links = 32
 	for _, n := range []int{1, 6, 31, 38} {
 		require.Equal(t, 1, Count(n))
@@ -20,18 +20,18 @@
 		for i := range n {
 			sizes[IndexOf(Hash(fmt.Sprintf("vm-%d", i)), count)]++
 		}
-		heard := 0
+		reached := 0
 		for _, s := range sizes {
 			require.Positive(t, s)
-			heard += min(s, links+1)
+			reached += min(s, links+1)
 		}
-		require.GreaterOrEqual(t, heard, n*95/100, "%d processes: %v", n, sizes)
+		require.GreaterOrEqual(t, reached, n*95/100, "%d processes: %v", n, sizes)
 	}
 }
 
-// Gateways learn of new ones one after the other, so for a while they count other cells.
-// Most servers must be in the same cell for both.
-func TestOneCellMoreMovesFewServers(t *testing.T) {
+// Gateways learn about new gateways at different times, so for a while they count different
+// numbers of cells. Most servers must be in the same cell for both numbers.
+func TestOneMoreCellMovesFewServers(t *testing.T) {
 	const servers = 1000
 	for count := 2; count < 16; count++ {
 		moved := 0
@@ -45,8 +45,8 @@
 	}
 }
 
-// A service of a dozen servers is not divided: three of them would be all that a gateway
-// has.
+// A service of a dozen servers must not be divided into four cells: a gateway would have
+// only three of them.
 func TestSmallServicesAreNotDivided(t *testing.T) {
 	require.False(t, IsDivided(12, 4))
 	require.False(t, IsDivided(1000, 1))
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,30 +1,30 @@
-// Package retry bounds how much work retries may add. It is pure; values are
-// for one goroutine at a time.
+// Package retry bounds the load that retries add. It does no I/O and reads no clock. A
+// Budget must not be used by several goroutines at the same time.
 package retry
 
 import "time"
 
-// Budget allows retries in proportion to first tries, so that a failing
-// backend server is not met with a multiple of the load.
+// Budget is a token bucket that allows retries in proportion to first tries, so that
+// retries do not multiply the load of a failing backend server.
 type Budget struct {
-	// Ratio is the retries earned by a first try.
+	// Ratio is the number of retries that each first try adds to the budget.
 	Ratio float64
-	// Max is the most that can be saved up.
-	Max    float64
-	tokens float64
-	begun  bool
+	// Max is the upper bound of the budget. The budget is full at the first try.
+	Max     float64
+	tokens  float64
+	started bool
 }
 
-// RecordFirstTry notes a first try.
+// RecordFirstTry records a first try, which adds Ratio to the budget.
 func (b *Budget) RecordFirstTry() {
-	if !b.begun {
-		b.begun = true
+	if !b.started {
+		b.started = true
 		b.tokens = b.Max
 	}
 	b.tokens = min(b.Max, b.tokens+b.Ratio)
 }
 
-// TryTake reports whether a retry is allowed, and uses it up.
+// TryTake reports whether a retry is allowed, and takes an allowed one from the budget.
 func (b *Budget) TryTake() bool {
 	if b.tokens < 1 {
 		return false
@@ -33,17 +33,17 @@
 	return true
 }
 
-// Spend uses up a retry that is made in any case; later ones wait until it has
-// been earned.
+// Spend takes a retry from the budget even if the budget is used up. No later retry is
+// allowed until first tries have made up for it.
 func (b *Budget) Spend() { b.tokens-- }
 
-// Backoff is an exponential wait with jitter.
+// Backoff computes exponentially growing delays with jitter.
 type Backoff struct {
 	Base, Max time.Duration
 }
 
-// Delay returns the wait before try n (from 0); random is in [0, 1) and spreads
-// the waits over their upper half.
+// Delay returns the delay before retry n, counted from 0: Base doubled n times, at most
+// Max. random in [0, 1) spreads the delay over the upper half of that range.
 func (b Backoff) Delay(n int, random float64) time.Duration {
 	const maxShift = 20
 	d := min(b.Max, b.Base<<min(n, maxShift))
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// When everything fails, retries must stay in proportion to first tries.
+// When every try fails, the number of retries must stay in proportion to first tries.
 func TestBudgetBoundsRetries(t *testing.T) {
 	b := Budget{Ratio: 0.2, Max: 10}
 	retries := 0
@@ -22,7 +22,7 @@
 	require.GreaterOrEqual(t, retries, tries/5)
 }
 
-func TestBackoffGrowsToItsBound(t *testing.T) {
+func TestBackoffGrowsToMax(t *testing.T) {
 	b := Backoff{Base: 100 * time.Millisecond, Max: time.Second}
 	require.Equal(t, 50*time.Millisecond, b.Delay(0, 0))
 	require.Equal(t, 200*time.Millisecond, b.Delay(1, 1))
