--- a/readers/readers.go
+++ b/readers/readers.go
@@ -1,6 +1,7 @@
-// Package readers decides which of many processes read the platform's store for all: two at
-// a time, found without agreement, by what they tell each other of those that do. It is
-// pure.
+// Package readers decides which processes read the platform's store on behalf of all. Two
+// processes read at a time. They are chosen without a consensus protocol, from the
+// processes' reports to each other about the current readers. The package does no I/O and
+// reads no clock.
 package readers
 
 import (
@@ -9,59 +10,64 @@
 	"time"
 )
 
-// Count is how many processes read the store for all: one may freeze or lose its way to the
-// store, and the others' view goes on without a gap.
+// Count is the number of processes that read the store for all. If one of them freezes or
+// loses its connection to the store, the other processes' views still stay up to date.
 const Count = 2
 
 const (
-	// AnswerTimeout is the age of a reader's last answer from which it is not counted on: its calls
-	// wait for a second, and what it says of itself reaches all others within 0.4 s over
-	// two or three links.
+	// AnswerTimeout is the age of a reader's last answer from the store from which other
+	// processes no longer rely on this reader. A reader's calls wait for 1 s, and its reports
+	// reach all other processes within 0.4 s over two or three links.
 	AnswerTimeout = 1800 * time.Millisecond
-	// volunteersPerSecond bounds how many processes in all try the store when there are
-	// too few readers. The first one tries after 50 ms on average, and what it hears
-	// reaches the others before many have tried too; each for itself would call.
+	// volunteersPerSecond bounds the rate at which all processes together try the store
+	// while there are too few readers. The first one tries after 50 ms on average, and its
+	// success is known to the others before many of them have tried. Without the bound every
+	// process would call the store.
 	volunteersPerSecond = 20
-	// longestLook bounds the time between two looks that counts for a chance: a process
-	// that was suspended is one of many that begin to look.
-	longestLook = 200 * time.Millisecond
-	// ahead is how much newer than the own idea of the store's clock an answer may look.
-	// One from before the store's clock began anew would be believed for ever.
-	ahead = time.Second
+	// maxCheckInterval bounds the time since the last check that counts for the probability
+	// to volunteer. A process that was suspended is usually one of many that resume at the
+	// same time.
+	maxCheckInterval = 200 * time.Millisecond
+	// maxClockSkew is how far the time of an answer may be ahead of the local estimate of the
+	// store's clock. Without the bound, an answer from before a restart of the store's clock
+	// would count as fresh forever.
+	maxClockSkew = time.Second
 )
 
-// Reader is a process that reads the store, or may.
+// Reader is a process that reads the store or is a candidate for it.
 type Reader struct {
 	Name, FailureDomain string
 	// LinkMbps is its bandwidth in Mbit/s, 0 if it is not known.
 	LinkMbps float64
-	// AnsweredAt is the store's steady clock when the store last answered it.
+	// AnsweredAt is the store's steady clock at the store's last answer to this process.
 	AnsweredAt time.Duration
 }
 
-// Choose picks those that read the store for all, by the same rule everywhere.
+// Choose picks the readers out of the candidates. All processes use the same rule.
 //
-// Wide links go first: a row that takes 28 ms over 200 Mbit/s takes 0.56 s over 10, and
-// stands there before what callers send. The second reader is of another failure domain
-// if there is one: the loss of one domain then leaves no gap in anybody's view.
-func Choose(live []Reader) []Reader {
-	live = slices.Clone(live)
-	slices.SortFunc(live, func(a, b Reader) int {
+// Candidates with the highest bandwidth come first: a row that takes 28 ms over 200 Mbit/s
+// takes 0.56 s over 10 Mbit/s and delays callers' bytes on that link. The second reader is
+// from another failure domain if a candidate with the same bandwidth exists there. The loss
+// of one domain then interrupts no process's view.
+func Choose(candidates []Reader) []Reader {
+	candidates = slices.Clone(candidates)
+	slices.SortFunc(candidates, func(a, b Reader) int {
 		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.Name, b.Name))
 	})
-	if len(live) <= Count {
-		return live
+	if len(candidates) <= Count {
+		return candidates
 	}
-	for i := 1; i < len(live) && live[i].LinkMbps == live[1].LinkMbps; i++ {
-		if live[i].FailureDomain != live[0].FailureDomain {
-			return []Reader{live[0], live[i]}
+	for i := 1; i < len(candidates) && candidates[i].LinkMbps == candidates[1].LinkMbps; i++ {
+		if candidates[i].FailureDomain != candidates[0].FailureDomain {
+			return []Reader{candidates[0], candidates[i]}
 		}
 	}
-	return live[:Count]
+	return candidates[:Count]
 }
 
-// InitialReaders picks n of many processes that read the store first when all start: those that would
-// be chosen, and those that would be chosen without them, and so on.
+// InitialReaders picks the n processes that read the store first when all processes start at the
+// same time. It picks the readers by Choose, then the readers among the remaining
+// processes, and so on.
 func InitialReaders(all []Reader, n int) (out []Reader) {
 	rest := slices.Clone(all)
 	for len(out) < n && len(rest) > 0 {
@@ -73,25 +79,26 @@
 	return out
 }
 
-// Role is what one process knows of those that read the store, and whether it is one of
-// them. Times are of the store's steady clock. It is not safe for concurrent use.
+// Role records which other processes read the store, and whether this process does. All
+// times are of the store's steady clock. It is not safe for concurrent use.
 type Role struct {
-	self    Reader
-	others  map[string]Reader
-	reading bool
-	looked  time.Duration
+	self      Reader
+	others    map[string]Reader
+	reading   bool
+	checkedAt time.Duration
 }
 
-// NewRole returns the role of a process that does not read yet.
+// NewRole returns the role of a process that does not read the store yet.
 func NewRole(self Reader) *Role { return &Role{self: self, others: make(map[string]Reader)} }
 
-// IsReading reports whether the process reads the store.
+// IsReading reports whether this process reads the store.
 func (r *Role) IsReading() bool { return r.reading }
 
-// AddReports takes what another process knows.
+// AddReports adds the readers that another process has reported. Stale reports are ignored,
+// and of several reports about one reader the newest counts.
 func (r *Role) AddReports(list []Reader, now time.Duration) {
 	for _, o := range list {
-		if o.Name == r.self.Name || !fresh(o, now) || o.AnsweredAt > now+ahead {
+		if o.Name == r.self.Name || !isFresh(o, now) || o.AnsweredAt > now+maxClockSkew {
 			continue
 		}
 		if known, ok := r.others[o.Name]; !ok || o.AnsweredAt > known.AnsweredAt {
@@ -100,24 +107,25 @@
 	}
 }
 
-func fresh(o Reader, now time.Duration) bool { return now-o.AnsweredAt < AnswerTimeout }
+func isFresh(o Reader, now time.Duration) bool { return now-o.AnsweredAt < AnswerTimeout }
 
-// Readers lists those that read the store, as far as it is known here: what is told to
-// others. answered is when the store last answered this process.
+// Readers returns the readers of the store that are known to this process, itself included.
+// This is the list that it reports to other processes. answered is the time of the store's
+// last answer to this process.
 func (r *Role) Readers(now, answered time.Duration) []Reader {
-	list := r.alive(now)
+	list := r.freshOthers(now)
 	self := r.self
 	self.AnsweredAt = answered
-	if r.reading && fresh(self, now) {
+	if r.reading && isFresh(self, now) {
 		list = append(list, self)
 	}
 	return Choose(list)
 }
 
-// alive lists the others that can be counted on, and forgets the rest.
-func (r *Role) alive(now time.Duration) (out []Reader) {
+// freshOthers returns the other readers with a fresh answer and deletes the stale ones.
+func (r *Role) freshOthers(now time.Duration) (out []Reader) {
 	for name, o := range r.others {
-		if !fresh(o, now) {
+		if !isFresh(o, now) {
 			delete(r.others, name)
 			continue
 		}
@@ -126,66 +134,71 @@
 	return out
 }
 
-// Inputs is what a decision rests on beside what was heard.
+// Inputs are the inputs of a decision in addition to the reports of other processes.
 type Inputs struct {
-	// Now is the store's steady clock, as near as it is known here.
+	// Now is the local estimate of the store's steady clock.
 	Now time.Duration
-	// StoreReached says that the store answered the last call of this process.
+	// StoreReached is set if the store answered the last call of this process.
 	StoreReached bool
-	// ProcessCount is how many processes are in the same place, this one included: those that it
-	// knows, by the part of its links that it hears something on. One that hears nobody
-	// is alone.
+	// ProcessCount is the estimated number of processes in the same situation: this one, plus
+	// the other known processes times the share of this process's links on which it receives
+	// anything. It is 1 for a process that receives nothing.
 	ProcessCount float64
-	// Random is drawn from [0, 1).
+	// Random is a random number in [0, 1).
 	Random float64
 }
 
-// ShouldRead decides whether this process reads the store. One that does goes on until two
-// better ones do, or until the store fails it. Another begins where there are too few
-// readers, or where it is better than one of them; of many that could, few try at a time.
-func (r *Role) ShouldRead(l Inputs) bool {
-	others := r.alive(l.Now)
-	if r.reading && !l.StoreReached {
+// ShouldRead decides whether this process reads the store. A reader continues until two
+// better ones read, or until the store does not answer it. Another process starts if there
+// are too few readers or if it would be better than one of them. If many processes could
+// start, only a few of them try at a time.
+func (r *Role) ShouldRead(in Inputs) bool {
+	others := r.freshOthers(in.Now)
+	if r.reading && !in.StoreReached {
 		r.reading = false
 	}
 	if r.reading {
-		r.reading = r.chosen(others)
-		r.looked = l.Now
+		r.reading = r.isChosen(others)
+		r.checkedAt = in.Now
 		return r.reading
 	}
-	if !r.needed(others) {
-		r.looked = l.Now
+	if !r.isNeeded(others) {
+		r.checkedAt = in.Now
 		return false
 	}
-	return r.volunteer(l)
+	return r.volunteer(in)
 }
 
-// MayTryStore decides whether this process tries the store although others seem to read it: it
-// hears nothing of what they read.
-func (r *Role) MayTryStore(l Inputs) bool { return r.reading || r.volunteer(l) }
-
-func (r *Role) volunteer(l Inputs) bool {
-	since := min(max(l.Now-r.looked, 0), longestLook)
-	r.looked = l.Now
-	r.reading = l.ProcessCount <= 1 || l.Random < volunteersPerSecond*since.Seconds()/l.ProcessCount
+// MayTryStore decides whether this process tries the store although other processes are
+// reported to read it. It is for a process that receives none of their pages, or has been
+// without a table for some time.
+func (r *Role) MayTryStore(in Inputs) bool { return r.reading || r.volunteer(in) }
+
+// volunteer makes this process a reader with a probability that bounds the rate of all
+// processes together to volunteersPerSecond.
+func (r *Role) volunteer(in Inputs) bool {
+	since := min(max(in.Now-r.checkedAt, 0), maxCheckInterval)
+	r.checkedAt = in.Now
+	r.reading = in.ProcessCount <= 1 || in.Random < volunteersPerSecond*since.Seconds()/in.ProcessCount
 	return r.reading
 }
 
-func (r *Role) chosen(others []Reader) bool {
+func (r *Role) isChosen(others []Reader) bool {
 	return slices.ContainsFunc(Choose(append(others, r.self)), func(c Reader) bool { return c.Name == r.self.Name })
 }
 
-// needed reports whether this process would make the readers better: more of them, a wider
-// link, or another failure domain. A name that comes earlier is no reason to change places.
-func (r *Role) needed(others []Reader) bool {
+// isNeeded reports whether the readers would be better with this process: if there are too
+// few, if its bandwidth is higher, or if it adds a second failure domain. A name that sorts
+// earlier is no reason to replace a reader.
+func (r *Role) isNeeded(others []Reader) bool {
 	if len(others) < Count {
 		return true
 	}
-	now := Choose(others)
-	last := now[len(now)-1]
+	current := Choose(others)
+	last := current[len(current)-1]
 	if r.self.LinkMbps > last.LinkMbps {
 		return true
 	}
-	oneDomain := !slices.ContainsFunc(now, func(o Reader) bool { return o.FailureDomain != now[0].FailureDomain })
-	return oneDomain && r.self.LinkMbps == last.LinkMbps && r.self.FailureDomain != last.FailureDomain
+	inOneDomain := !slices.ContainsFunc(current, func(o Reader) bool { return o.FailureDomain != current[0].FailureDomain })
+	return inOneDomain && r.self.LinkMbps == last.LinkMbps && r.self.FailureDomain != last.FailureDomain
 }
