--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -75,12 +75,12 @@
 	// MinCallInterval is the least time between two calls, so that a busy table is read in
 	// batches.
 	MinCallInterval time.Duration
-	// Called is told why each call to the store is made; it may be nil.
-	Called func(Reason)
-	// Restored is told when the store has come back from a copy; it may be nil.
-	Restored func()
-	// Keep has the rows kept, for Follower.Since.
-	Keep bool
+	// OnCall is told why each call to the store is made; it may be nil.
+	OnCall func(Reason)
+	// OnRestored is told when the store has come back from a copy; it may be nil.
+	OnRestored func()
+	// KeepRows has the rows kept, for Follower.Since.
+	KeepRows bool
 }
 
 // Reason is why a process calls the store.
@@ -158,7 +158,7 @@
 		cfg: cfg, feed: feed, sink: sink, sharing: sharing, now: now,
 		log: log.WithField("table", cfg.Name), offered: make(chan struct{}, 1),
 	}
-	if cfg.Keep {
+	if cfg.KeepRows {
 		f.kept = &rows{}
 	}
 	return f
@@ -206,8 +206,8 @@
 	f.tried = f.now()
 	reason := f.reason()
 	f.mu.Unlock()
-	if f.cfg.Called != nil {
-		f.cfg.Called(reason)
+	if f.cfg.OnCall != nil {
+		f.cfg.OnCall(reason)
 	}
 	if !synced {
 		return f.readWhole(ctx)
@@ -264,7 +264,7 @@
 	f.take(page, begun)
 	f.applying.Unlock()
 	if f.sharing != nil {
-		f.sharing.Share(Shared{Page: page, Since: since})
+		f.sharing.Share(SharedPage{Page: page, Since: since})
 	}
 	return nil
 }
@@ -314,8 +314,8 @@
 	f.mu.Unlock()
 	if restored {
 		page.Outage = max(page.Outage, restoredOutage)
-		if f.cfg.Restored != nil {
-			f.cfg.Restored()
+		if f.cfg.OnRestored != nil {
+			f.cfg.OnRestored()
 		}
 		f.log.WithFields(logrus.Fields{"era": page.Revision.Era(), "before": was.Version(), "after": page.Revision.Version(), "rows": len(page.Rows)}).Warn("store has come back from a copy")
 	}
--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
-		f, now := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(Shared) {}})
+		f, now := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		calls := store.called()
 		for range 600 {
@@ -171,7 +171,7 @@
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
 		f, now := begin(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return false }, shared: func(Shared) {},
+			reads: func(bool) bool { return false }, shared: func(SharedPage) {},
 			fetch: func() (Page, error) { return Page{}, errAway },
 		})
 		time.Sleep(10 * time.Millisecond)
@@ -191,7 +191,7 @@
 		store.setAway(true)
 		old := Page{Whole: true, Revision: revision.At(0, 7), Clock: time.Second, Rows: []Row{{Key: "a", Value: []byte("1"), Revision: revision.At(0, 7)}}}
 		f, now := begin(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return false }, shared: func(Shared) {},
+			reads: func(bool) bool { return false }, shared: func(SharedPage) {},
 			fetch: func() (Page, error) { return old, nil },
 		})
 		time.Sleep(5 * time.Second)
@@ -211,7 +211,7 @@
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
 		begin(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return true }, shared: func(Shared) {},
+			reads: func(bool) bool { return true }, shared: func(SharedPage) {},
 			fetch: func() (Page, error) {
 				return Page{Revision: revision.At(0, 2), Changed: revision.At(0, 2), Clock: time.Since(store.start), Rows: []Row{{Key: "a", Value: []byte("2"), Revision: revision.At(0, 2)}}}, nil
 			},
@@ -234,7 +234,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newTable()
 		store.put("a", "1")
-		f, _ := beginWith(t, Config{Name: "t", PollTimeout: testWait, Keep: true}, store, sink, nil)
+		f, _ := beginWith(t, Config{Name: "t", PollTimeout: testWait, KeepRows: true}, store, sink, nil)
 		time.Sleep(time.Second)
 		store.mu.Lock()
 		store.slow = 500 * time.Millisecond
@@ -251,7 +251,7 @@
 		require.True(t, told)
 		require.Len(t, page.Rows, 1)
 		require.EqualValues(t, 1, page.Revision.Version())
-		last, known := f.Last()
+		last, known := f.LastPosition()
 		require.True(t, known)
 		require.Equal(t, page.Revision, last.Revision)
 		require.GreaterOrEqual(t, time.Since(store.start)-last.Clock, 500*time.Millisecond, "no newer than it is")
@@ -277,7 +277,7 @@
 // at all.
 func TestStoreThatComesBackOlderIsCountedOnce(t *testing.T) {
 	restored := 0
-	f := New(Config{Name: "t", Restored: func() { restored++ }}, nil, newTable(), nil, func() time.Duration { return time.Minute }, quiet())
+	f := New(Config{Name: "t", OnRestored: func() { restored++ }}, nil, newTable(), nil, func() time.Duration { return time.Minute }, quiet())
 	f.Seed(Page{Revision: revision.At(0, 9), Clock: time.Second}, time.Minute)
 	require.Zero(t, restored)
 	f.Seed(Page{Revision: revision.At(1, 4), Clock: 2 * time.Second}, time.Minute)
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -67,8 +67,8 @@
 	return f.now() - f.offset, f.offsetKnown
 }
 
-// Reached reports whether the store answered this process last.
-func (f *Follower) Reached() bool {
+// StoreReached reports whether the store answered this process last.
+func (f *Follower) StoreReached() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failures == 0
@@ -78,7 +78,7 @@
 // long answer comes in.
 func (f *Follower) LastAnswer() time.Duration {
 	now, known := f.StoreTime()
-	if known && f.Reading() {
+	if known && f.IsReading() {
 		return now
 	}
 	f.mu.Lock()
@@ -93,9 +93,9 @@
 	return f.position(), f.synced
 }
 
-// Last is how far the sink is, also while its table is read anew; false before the first. What
+// LastPosition is how far the sink is, also while its table is read anew; false before the first. What
 // it says of time stays true: the copy gets no newer meanwhile.
-func (f *Follower) Last() (Position, bool) {
+func (f *Follower) LastPosition() (Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.position(), f.filled
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -65,15 +65,15 @@
 }
 
 // Share implements follow.Sharing: of changes only their revision is announced.
-func (s *configSharing) Share(p follow.Shared) {
+func (s *configSharing) Share(p follow.SharedPage) {
 	if len(p.Rows) > 0 {
 		p.Since, p.Rows = p.Revision, nil
 	}
 	sharing{s.group, operator.Table}.Share(p)
 }
 
-// Reading implements follow.Sharing.
-func (s *configSharing) Reading() bool {
+// IsPeerReading implements follow.Sharing.
+func (s *configSharing) IsPeerReading() bool {
 	return slices.ContainsFunc(s.links.LiveStates(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
 }
 
@@ -197,7 +197,7 @@
 // answer implements peers.Deps.Answer.
 func (s *configSharing) answer(ask *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
 	// The position comes first: the version read behind it is complete up to there.
-	position, ok := s.followers[operator.Table].Last()
+	position, ok := s.followers[operator.Table].LastPosition()
 	if !ok {
 		return nil, nil, errNoTable
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -151,7 +151,7 @@
 
 func relayConfig(set *settings.Settings) relay.Config {
 	return relay.Config{
-		RevokeBound: set.Bounds.Revoke, ApplyBound: set.Bounds.ApplyConfig,
+		RevokeTimeout: set.Bounds.Revoke, ApplyTimeout: set.Bounds.ApplyConfig,
 		RetryRatio: set.Bounds.RetryRatio, RetryExtra: set.Bounds.RetryExtra,
 	}
 }
@@ -252,9 +252,9 @@
 func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, shared follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
 		Name: table, PollTimeout: wait, MinCallInterval: gap,
-		Called:   func(r follow.Reason) { g.group.costs.called(table, string(r)) },
-		Restored: func() { g.group.costs.restored(table) },
-		Keep:     g.group.answers[table] != nil,
+		OnCall:     func(r follow.Reason) { g.group.costs.called(table, string(r)) },
+		OnRestored: func() { g.group.costs.restored(table) },
+		KeepRows:   g.group.answers[table] != nil,
 	}
 	f := follow.New(cfg, g.store.Table(table), sink, shared, clock.SinceBoot, g.log)
 	g.group.followers[table] = f
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -16,8 +16,8 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// Field is a header line that passes through unchanged.
-type Field struct{ Name, Value string }
+// HeaderField is a header line that passes through unchanged.
+type HeaderField struct{ Name, Value string }
 
 // Generation is what a caller says of a request to a model engine.
 type Generation struct {
@@ -38,7 +38,7 @@
 	// Target is the request target as the caller wrote it.
 	Target string
 	// Header is what passes through to the server.
-	Header []Field
+	Header []HeaderField
 	Body   []byte
 	// Timeout is how long the caller waits for the answer, 0 if it did not say.
 	Timeout time.Duration
@@ -83,7 +83,7 @@
 // Response is a server's answer, head first.
 type Response struct {
 	Status int
-	Header []Field
+	Header []HeaderField
 	// Length is the body's, -1 if the answer does not say.
 	Length int64
 	// IsStream marks a stream.
@@ -130,8 +130,8 @@
 	ErrNoRun = errors.New("no such run")
 	// ErrCopyInProgress says that the run is being copied by another call.
 	ErrCopyInProgress = errors.New("run is being copied")
-	// ErrNoRoom says that the target of a copy has no room or is unreachable.
-	ErrNoRoom = errors.New("no room for the copy")
+	// ErrNoCapacity says that the target of a copy has no room or is unreachable.
+	ErrNoCapacity = errors.New("no room for the copy")
 )
 
 // Upstream reaches backend servers. Implementations are safe for concurrent use.
@@ -174,7 +174,7 @@
 const (
 	ReasonNoConfig  Reason = "no configuration yet"
 	ReasonNoRoute   Reason = "no such route"
-	ReasonKey       Reason = "no or unknown key"
+	ReasonBadKey    Reason = "no or unknown key"
 	ReasonStale     Reason = "configuration not confirmed"
 	ReasonNoServer  Reason = "no server takes requests"
 	ReasonNoRoom    Reason = "servers have no room"
