--- a/internal/follow/era.go
+++ b/internal/follow/era.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Restorer is a Sink that takes a table of a later era in its own way: what the copy shows
-// is older than what the sink has, until it has been written again.
+// Restorer is a Sink with a method of its own for a table of a later era. The store has been
+// restored from a copy, so until rows have been written again the table is older than the
+// sink's.
 type Restorer interface {
 	Restored(rows []Row, outage time.Duration)
 }
 
-// restoredOutage is the outage that a table of a later era stands under at least: rows of
-// owners that live are missing in it until they have written them again.
-const restoredOutage = 2 * time.Second
+// minRestoredOutage is the smallest outage that is reported with a table of a later era.
+// Rows of running owners are missing in it until the owners have written them again.
+const minRestoredOutage = 2 * time.Second
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,6 @@
-// Package follow keeps a copy of a table by a feed of its changes: a snapshot
-// first, changes from there, and a new snapshot when the feed has a gap.
+// Package follow maintains a local copy of a table from a feed of its changes. It reads a
+// snapshot first, then the changes since, and a new snapshot if the feed no longer has the
+// changes that it needs.
 package follow
 
 import (
@@ -17,10 +18,10 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// ErrHistoryLost says that a feed no longer has the changes asked for.
+// ErrHistoryLost says that a feed no longer has the requested changes.
 var ErrHistoryLost = errors.New("history of the feed is lost")
 
-// Row is a row as read, or as dropped.
+// Row is a row of the table, or with Deleted set the deletion of a row.
 type Row struct {
 	Key      string
 	Value    []byte
@@ -31,80 +32,82 @@
 // Page is an answer of a feed.
 type Page struct {
 	Rows []Row
-	// Revision is where the feed goes on.
+	// Revision is the revision from which the next request continues.
 	Revision revision.Revision
 	// Clock is the store's steady clock when it made the answer.
 	Clock time.Duration
-	// Outage is how long the store was away until shortly before the answer, 0 if
-	// it was not. Rows may have lapsed meanwhile although their owners live.
+	// Outage is how long the store was unavailable until shortly before the answer, 0 if it
+	// was available. Rows may have expired in that time although their owners are running.
 	Outage time.Duration
-	// Whole says that Rows are the whole table.
+	// Whole is set if Rows are the whole table.
 	Whole bool
-	// Changed is the revision after which the table has not changed, 0 if it is not known.
+	// Changed is a revision after which the table has not changed, 0 if none is known.
 	Changed revision.Revision
 }
 
 // Feed reads one table.
 type Feed interface {
-	// Snapshot returns all rows. patience bounds the time without progress: a long
-	// table is read in parts.
-	Snapshot(ctx context.Context, patience time.Duration) (Page, error)
-	// Changes waits until rows have changed since a revision, or for wait. long is called
-	// once a long answer has begun to come in. Errors: ErrHistoryLost, or the store's.
-	Changes(ctx context.Context, since revision.Revision, wait time.Duration, long func()) (Page, error)
+	// Snapshot returns all rows. A long table is read in parts, and partTimeout bounds the time
+	// without progress.
+	Snapshot(ctx context.Context, partTimeout time.Duration) (Page, error)
+	// Changes waits until rows have changed since a revision, at most for timeout. It calls
+	// onLongAnswer when the first part of a long answer has arrived. Errors: ErrHistoryLost,
+	// or those of the store.
+	Changes(ctx context.Context, since revision.Revision, timeout time.Duration, onLongAnswer func()) (Page, error)
 }
 
-// Sink takes what a feed brings. Its methods are called one at a time.
+// Sink receives the rows of a followed table. Its methods are called one at a time.
 type Sink interface {
-	// Reset replaces everything. outage is how long the store was away before, 0
-	// if it was not.
+	// Reset replaces all rows. outage is how long the store was unavailable before, 0 if it
+	// was available.
 	Reset(rows []Row, outage time.Duration)
-	// Apply takes changes, in order.
+	// Apply applies changes in order.
 	Apply(rows []Row, outage time.Duration)
-	// Confirm says that all changes up to the time at are in.
+	// Confirm says that the sink has all changes up to the local time at.
 	Confirm(at time.Duration)
 }
 
-// Config tunes a follower.
+// Config contains the settings of a follower.
 type Config struct {
-	// Name is for the log.
+	// Name is the table's name in the log.
 	Name string
-	// PollTimeout is how long a call waits for changes. It bounds how old a view can be
-	// while nothing changes; each call has a price.
+	// PollTimeout is how long a call to the store waits for changes. It bounds the age of the
+	// local copy while nothing changes. A longer timeout needs fewer calls, and each call
+	// has a price.
 	PollTimeout time.Duration
-	// MinCallInterval is the least time between two calls, so that a busy table is read in
-	// batches.
+	// MinCallInterval is the shortest time between the starts of two calls, so that the
+	// changes of a busy table are read in batches.
 	MinCallInterval time.Duration
-	// OnCall is told why each call to the store is made; it may be nil.
+	// OnCall is called with the reason of each call to the store; it may be nil.
 	OnCall func(Reason)
-	// OnRestored is told when the store has come back from a copy; it may be nil.
+	// OnRestored is called when the store has been restored from a copy; it may be nil.
 	OnRestored func()
-	// KeepRows has the rows kept, for Follower.Since.
+	// KeepRows makes the follower keep the rows for Follower.ChangesSince.
 	KeepRows bool
 }
 
-// Reason is why a process calls the store.
+// Reason is the reason for a call to the store.
 type Reason string
 
 // The reasons.
 const (
-	// ReasonStart is a table that is read as a whole.
+	// ReasonStart means that the whole table is read.
 	ReasonStart Reason = "whole table"
-	// ReasonReader is a process that reads for others.
+	// ReasonReader means that this process reads the store for others.
 	ReasonReader Reason = "reads for others"
-	// ReasonSilent is a process that hears too little of others to live on them.
+	// ReasonSilent means that the other processes' reports are too old to rely on.
 	ReasonSilent Reason = "hears nothing"
-	// ReasonMissed is a page that others passed on and that did not come in here.
+	// ReasonMissed means that a page which others passed on did not arrive here.
 	ReasonMissed Reason = "missed a page"
-	// ReasonRetry is a call after one that failed.
+	// ReasonRetry means that the previous call failed.
 	ReasonRetry Reason = "retry"
 )
 
-// backoff spreads calls to a store that is away: VMs that all lost it at the same
-// moment would otherwise return as one burst.
-var backoff = retry.Backoff{Base: 100 * time.Millisecond, Max: 500 * time.Millisecond}
+// storeBackoff spreads the calls to an unavailable store. VMs that all lost it at the same
+// moment would otherwise all call it again in one burst.
+var storeBackoff = retry.Backoff{Base: 100 * time.Millisecond, Max: 500 * time.Millisecond}
 
-// Follower copies a table into a sink.
+// Follower keeps a sink up to date with a table. It is safe for concurrent use.
 type Follower struct {
 	cfg     Config
 	feed    Feed
@@ -112,157 +115,162 @@
 	sharing Sharing
 	now     clock.Source
 	log     logrus.FieldLogger
-	// offered wakes a follower that waits for others.
-	offered chan struct{}
-	// reading says that a long answer is coming in.
+	// wake ends the wait of a follower that relies on its peers.
+	wake chan struct{}
+	// reading is set while a long answer is arriving.
 	reading atomic.Bool
 
-	// applying serializes the calls to sink. Lock order: applying, mu. A sink may take
-	// long over a large row, and what mu guards is asked for by requests.
-	applying sync.Mutex
+	// applyMu serializes the calls to sink. Lock order: applyMu, mu. A sink may need long
+	// for a large row, while requests need the fields that mu guards.
+	applyMu sync.Mutex
 
-	// kept are the rows, where they are kept; applying guards them.
-	kept *rows
+	// keptRows are the rows of the table if Config.KeepRows is set, else nil. applyMu guards
+	// them.
+	keptRows *rows
 
 	mu sync.Mutex
-	// revision and changed are the follower's position, with stamp.
+	// revision, changed and storeClock are the follower's position.
 	revision, changed revision.Revision
-	synced            bool
-	// filled is set by the first whole table and stays.
-	filled bool
-	// leaned says that others have read the table for this process since its last call.
-	leaned bool
-	// begun is when the process began to be without a table, 0 while it has one.
-	begun time.Duration
-	// answeredAt is the store's steady clock when it last answered this process.
+	// synced is set while the changes since revision can be applied. It is false before the
+	// first snapshot and while the table is read again after its history was lost.
+	synced bool
+	// hasTable is set with the first whole table and stays set.
+	hasTable bool
+	// reliedOnPeers is set if peers have read the table for this process since its last call.
+	reliedOnPeers bool
+	// withoutSince is the time since which this process has no synced table. It is 0 while
+	// there is one, and before the first call of timeWithoutTable.
+	withoutSince time.Duration
+	// answeredAt is the store's steady clock at its last answer to this process.
 	answeredAt time.Duration
-	// gapTo is the revision up to which pages were missed.
-	gapTo revision.Revision
-	// behind says that another process has a newer table.
+	// missedUpTo is the revision up to which pages of peers were missed.
+	missedUpTo revision.Revision
+	// behind is set if a peer has a newer table.
 	behind bool
-	// heard is when the last page came in, made when the store made it, stamp the same
-	// by the store's clock, and tried when a call was last made.
-	heard, made, stamp, tried time.Duration
-	failures                  int
-	// outage is how long the store was away before it returned at returned.
-	outage, returned time.Duration
-	// offset is the least that the local clock was ahead of the store's when an
-	// answer came in; the answer that was fastest on its way sets it.
-	offset      time.Duration
-	offsetKnown bool
+	// confirmedAt is the time of the last page or position. madeAt is the local time at
+	// which the store made the newest one, storeClock the store's clock at that moment.
+	// calledAt is the time of the last call to the store.
+	confirmedAt, madeAt, storeClock, calledAt time.Duration
+	failures                                  int
+	// outage is the length of the store's last outage, which ended at outageEnd.
+	outage, outageEnd time.Duration
+	// clockOffset is the smallest observed difference between the local clock at the arrival
+	// of an answer and the store's clock in it; the answer with the lowest latency sets it.
+	clockOffset      time.Duration
+	clockOffsetKnown bool
 }
 
-// New returns a follower; Run starts it. A nil sharing reads alone.
+// New returns a follower; Run starts it. With a nil sharing it only reads from the store.
 func New(cfg Config, feed Feed, sink Sink, sharing Sharing, now clock.Source, log logrus.FieldLogger) *Follower {
 	f := &Follower{
 		cfg: cfg, feed: feed, sink: sink, sharing: sharing, now: now,
-		log: log.WithField("table", cfg.Name), offered: make(chan struct{}, 1),
+		log: log.WithField("table", cfg.Name), wake: make(chan struct{}, 1),
 	}
 	if cfg.KeepRows {
-		f.kept = &rows{}
+		f.keptRows = &rows{}
 	}
 	return f
 }
 
-// Run follows until ctx ends.
+// Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if f.leans() {
-			f.await(ctx)
+		if f.reliesOnPeers() {
+			f.awaitPeers(ctx)
 			continue
 		}
-		begun := f.now()
+		begin := f.now()
 		if err := f.step(ctx); err != nil && ctx.Err() == nil {
-			f.failed(ctx, err)
+			f.handleFailure(ctx, err)
 			continue
 		}
-		wait.For(ctx, f.cfg.MinCallInterval-(f.now()-begun))
+		wait.For(ctx, f.cfg.MinCallInterval-(f.now()-begin))
 	}
 }
 
-// step brings the sink forward once: by another process for what was missed, else by a
-// call to the store.
+// step updates the sink once: from a peer if the whole table or missed changes are needed
+// and a peer has them, else by a call to the store.
 func (f *Follower) step(ctx context.Context) error {
 	f.mu.Lock()
-	synced, gap, behind := f.synced, f.gap(), f.behind
+	synced, hasGap, behind := f.synced, f.hasGap(), f.behind
 	f.behind = false
 	f.mu.Unlock()
 	if !synced && f.sharing != nil {
 		if f.startFromPeer(ctx) {
 			return nil
 		}
-		if !f.sharing.MayCallStore(f.without()) {
-			f.await(ctx)
+		if !f.sharing.MayCallStore(f.timeWithoutTable()) {
+			f.awaitPeers(ctx)
 			return nil
 		}
 	}
-	if synced && (gap || behind) && f.sharing != nil {
-		// What another process only seems to have is no reason to call the store.
-		if f.fetch(ctx) || !gap {
+	if synced && (hasGap || behind) && f.sharing != nil {
+		// A peer's claim to have newer changes is no reason to call the store.
+		if f.fetch(ctx) || !hasGap {
 			return nil
 		}
 	}
 	f.mu.Lock()
-	f.tried = f.now()
+	f.calledAt = f.now()
 	reason := f.reason()
 	f.mu.Unlock()
 	if f.cfg.OnCall != nil {
 		f.cfg.OnCall(reason)
 	}
 	if !synced {
-		return f.readWhole(ctx)
+		return f.readSnapshot(ctx)
 	}
 	return f.readChanges(ctx)
 }
 
-// reason is why the store is about to be called; mu is held.
+// reason returns the reason for the next call to the store; mu is held.
 func (f *Follower) reason() Reason {
 	switch {
 	case f.failures > 0:
 		return ReasonRetry
 	case !f.synced:
 		return ReasonStart
-	case f.gap():
+	case f.hasGap():
 		return ReasonMissed
-	case f.sharing != nil && f.silent():
+	case f.sharing != nil && f.isSilent():
 		return ReasonSilent
 	}
 	return ReasonReader
 }
 
-func (f *Follower) readWhole(ctx context.Context) error {
-	begun := f.now()
-	page, err := f.feed.Snapshot(ctx, f.snapshotPatience())
+func (f *Follower) readSnapshot(ctx context.Context) error {
+	begin := f.now()
+	page, err := f.feed.Snapshot(ctx, f.snapshotTimeout())
 	if err != nil {
 		return err
 	}
-	f.reset(page, begun)
+	f.reset(page, begin)
 	return nil
 }
 
 func (f *Follower) readChanges(ctx context.Context) error {
-	begun := f.now()
+	begin := f.now()
 	f.mu.Lock()
-	since, patience := f.revision, f.cfg.PollTimeout
-	if f.gap() || f.failures > 0 || f.leaned {
-		// What is missing is there already, and after an outage, or after those that read
-		// have ended, the age of the view must not wait for a change.
-		patience = 0
+	since, timeout := f.revision, f.cfg.PollTimeout
+	if f.hasGap() || f.failures > 0 || f.reliedOnPeers {
+		// Missed changes are already in the store. After an outage, or after the readers have
+		// stopped, the copy must be confirmed without waiting for a change.
+		timeout = 0
 	}
-	f.leaned = false
+	f.reliedOnPeers = false
 	f.mu.Unlock()
 	defer f.reading.Store(false)
-	page, err := f.feed.Changes(ctx, since, patience, func() { f.reading.Store(true) })
+	page, err := f.feed.Changes(ctx, since, timeout, func() { f.reading.Store(true) })
 	if err != nil {
 		return err
 	}
-	f.applying.Lock()
+	f.applyMu.Lock()
 	f.mu.Lock()
-	page.Outage = f.answered()
+	page.Outage = f.recordAnswer()
 	f.answeredAt = page.Clock
 	f.mu.Unlock()
-	f.take(page, begun)
-	f.applying.Unlock()
+	f.applyPage(page, begin)
+	f.applyMu.Unlock()
 	if f.sharing != nil {
 		f.sharing.Share(SharedPage{Page: page, Since: since})
 	}
@@ -270,62 +278,64 @@
 }
 
 const (
-	// snapshotPatience is how long the first try to read a table waits for each part
-	// of it. A connection that fell silent must not hold up the start.
-	snapshotPatience = 800 * time.Millisecond
-	// snapshotDoublings is how often it is doubled after failures. When hundreds of
-	// VMs start at once and read long tables, the store's link is busy for seconds;
-	// tries that are all given up too early would keep it so.
-	snapshotDoublings = 3
+	// minSnapshotTimeout is how long the first try to read a table waits for each part. A
+	// connection without traffic must not delay the start.
+	minSnapshotTimeout = 800 * time.Millisecond
+	// maxSnapshotDoublings is how often the timeout is doubled after failures. When hundreds
+	// of VMs start at once and read long tables, the store's link is busy for seconds. Tries
+	// that all time out too early would keep it busy.
+	maxSnapshotDoublings = 3
 )
 
-func (f *Follower) snapshotPatience() time.Duration {
+func (f *Follower) snapshotTimeout() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return snapshotPatience << min(f.failures, snapshotDoublings)
+	return minSnapshotTimeout << min(f.failures, maxSnapshotDoublings)
 }
 
-func (f *Follower) reset(page Page, begun time.Duration) {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+// reset replaces the table by a snapshot from the store, unless the copy is newer. begin is
+// the time at which the call began.
+func (f *Follower) reset(page Page, begin time.Duration) {
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	f.mu.Lock()
 	older := f.synced && page.Revision.Before(f.revision)
 	if !older {
-		page.Outage = f.answered()
+		page.Outage = f.recordAnswer()
 		f.answeredAt = page.Clock
 	}
 	f.mu.Unlock()
 	if older {
 		return
 	}
-	f.replace(page, begun)
+	f.replace(page, begin)
 }
 
-// Seed takes a whole table that was read beside the feed, by a call that began at begun.
-func (f *Follower) Seed(page Page, begun time.Duration) {
-	f.reset(page, begun)
-	f.nudge()
+// Seed sets the whole table from a call that was made outside the feed and began at begin.
+func (f *Follower) Seed(page Page, begin time.Duration) {
+	f.reset(page, begin)
+	f.wakeUp()
 }
 
-// replace puts a whole table in place of what is known; applying is held.
-func (f *Follower) replace(page Page, begun time.Duration) {
+// replace replaces the copy by a whole table; applyMu is held.
+func (f *Follower) replace(page Page, begin time.Duration) {
 	f.mu.Lock()
-	was, restored := f.revision, f.filled && page.Revision.Era() > f.revision.Era()
+	previous, restored := f.revision, f.hasTable && page.Revision.Era() > f.revision.Era()
 	f.mu.Unlock()
 	if restored {
-		page.Outage = max(page.Outage, restoredOutage)
+		page.Outage = max(page.Outage, minRestoredOutage)
 		if f.cfg.OnRestored != nil {
 			f.cfg.OnRestored()
 		}
-		f.log.WithFields(logrus.Fields{"era": page.Revision.Era(), "before": was.Version(), "after": page.Revision.Version(), "rows": len(page.Rows)}).Warn("store has come back from a copy")
+		f.log.WithFields(logrus.Fields{"era": page.Revision.Era(), "before": previous.Version(), "after": page.Revision.Version(), "rows": len(page.Rows)}).Warn("store has been restored from a copy")
 	}
 	if r, ok := f.sink.(Restorer); ok && restored {
 		r.Restored(page.Rows, page.Outage)
 	} else {
 		f.sink.Reset(page.Rows, page.Outage)
 	}
-	if f.kept != nil {
-		f.kept.reset(page.Rows, page.Revision)
+	if f.keptRows != nil {
+		f.keptRows.reset(page.Rows, page.Revision)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -333,23 +343,24 @@
 	if f.changed.IsZero() {
 		f.changed = page.Revision
 	}
-	f.synced, f.filled, f.begun = true, true, 0
-	f.standUnder(page.Outage)
-	f.confirm(page.Clock, begun)
+	f.synced, f.hasTable, f.withoutSince = true, true, 0
+	f.recordOutage(page.Outage)
+	f.confirm(page.Clock, begin)
 }
 
-// confirm notes a page; applying and mu are held.
-func (f *Follower) confirm(stamp, begun time.Duration) {
-	f.heard = f.now()
-	if made := f.madeAt(stamp, begun); made >= f.made {
-		f.made, f.stamp = made, stamp
+// confirm records that the copy was up to date when the store's clock was storeClock.
+// applyMu and mu are held.
+func (f *Follower) confirm(storeClock, begin time.Duration) {
+	f.confirmedAt = f.now()
+	if madeAt := f.localTime(storeClock, begin); madeAt >= f.madeAt {
+		f.madeAt, f.storeClock = madeAt, storeClock
 	}
-	f.sink.Confirm(f.made)
+	f.sink.Confirm(f.madeAt)
 }
 
-// take applies a page; rows that another page has brought already are passed over.
-// applying is held.
-func (f *Follower) take(page Page, begun time.Duration) {
+// applyPage applies a page of changes and skips rows that the copy already has. applyMu is
+// held.
+func (f *Follower) applyPage(page Page, begin time.Duration) {
 	f.mu.Lock()
 	known := f.revision
 	f.mu.Unlock()
@@ -361,8 +372,8 @@
 	}
 	if len(fresh) > 0 {
 		f.sink.Apply(fresh, page.Outage)
-		if f.kept != nil {
-			f.kept.apply(fresh)
+		if f.keptRows != nil {
+			f.keptRows.apply(fresh)
 		}
 	}
 	f.mu.Lock()
@@ -372,54 +383,54 @@
 		f.changed = revision.Later(f.changed, row.Revision)
 	}
 	f.revision = revision.Later(f.revision, page.Revision)
-	f.standUnder(page.Outage)
-	f.confirm(page.Clock, begun)
+	f.recordOutage(page.Outage)
+	f.confirm(page.Clock, begin)
 }
 
-// returnGrace is how long after the store's return what it says of lapsed rows is
-// still a matter of the outage.
-const returnGrace = 2 * time.Second
+// outageGracePeriod is the time after an outage of the store in which expired rows are still
+// attributed to the outage.
+const outageGracePeriod = 2 * time.Second
 
-// answered notes that the store has answered this process, and returns the outage
-// that the answer stands under.
-func (f *Follower) answered() time.Duration {
+// recordAnswer records that the store has answered this process. It returns the outage that
+// applies to the answer, 0 if there is none. mu is held.
+func (f *Follower) recordAnswer() time.Duration {
 	now := f.now()
 	if f.failures > 0 {
-		f.log.WithField("failures", f.failures).Info("store is back")
+		f.log.WithField("failures", f.failures).Info("store is available again")
 		f.failures = 0
-		f.outage, f.returned = now-f.heard, now
+		f.outage, f.outageEnd = now-f.confirmedAt, now
 	}
-	return f.outageNow()
+	return f.recentOutage()
 }
 
-// outageNow is the outage that what is known stands under; mu is held.
-func (f *Follower) outageNow() time.Duration {
-	if f.outage > 0 && f.now()-f.returned < returnGrace {
+// recentOutage returns the length of an outage within outageGracePeriod, else 0; mu is held.
+func (f *Follower) recentOutage() time.Duration {
+	if f.outage > 0 && f.now()-f.outageEnd < outageGracePeriod {
 		return f.outage
 	}
 	return 0
 }
 
-// standUnder notes an outage that another process has told of; mu is held.
-func (f *Follower) standUnder(outage time.Duration) {
-	if outage > 0 && f.outageNow() == 0 {
-		f.outage, f.returned = outage, f.now()
+// recordOutage records an outage that a page reports; mu is held.
+func (f *Follower) recordOutage(outage time.Duration) {
+	if outage > 0 && f.recentOutage() == 0 {
+		f.outage, f.outageEnd = outage, f.now()
 	}
 }
 
-// madeAt is the local time at which the store made an answer. A call waits at the
-// store for up to Config.Wait, and an answer may be held up on its way, so neither
-// the call's begin nor its end tells how old the answer is.
-func (f *Follower) madeAt(stamp, begun time.Duration) time.Duration {
-	ahead := f.heard - stamp
-	if !f.offsetKnown || ahead < f.offset {
-		f.offset, f.offsetKnown = ahead, true
+// localTime returns the local time at which the store made an answer. A call waits at the
+// store for up to Config.PollTimeout, and an answer may be delayed in the network, so
+// neither the begin nor the end of the call shows the age of the answer. mu is held.
+func (f *Follower) localTime(storeClock, begin time.Duration) time.Duration {
+	ahead := f.confirmedAt - storeClock
+	if !f.clockOffsetKnown || ahead < f.clockOffset {
+		f.clockOffset, f.clockOffsetKnown = ahead, true
 	}
-	if made := stamp + f.offset; made >= begun {
-		return min(made, f.heard)
+	if made := storeClock + f.clockOffset; made >= begin {
+		return min(made, f.confirmedAt)
 	}
-	// An answer made before its call was held up on its way to this process, or
-	// the store's clock began anew.
-	f.offset = ahead
-	return begun
+	// The answer seems to be older than its call: it was delayed on its way to this process,
+	// or the store's clock has restarted.
+	f.clockOffset = ahead
+	return begin
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -16,9 +16,9 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-var errAway = errors.New("store away")
+var errUnavailable = errors.New("store unavailable")
 
-// fakeStore is a table whose history a test writes.
+// fakeStore is a feed whose table a test writes.
 type fakeStore struct {
 	start time.Time
 
@@ -26,12 +26,13 @@
 	rows     map[string]Row
 	log      []Row
 	revision uint64
-	oldest   uint64
-	away     bool
-	calls    int
-	changed  chan struct{}
-	// slow is how long a snapshot takes.
-	slow time.Duration
+	// oldest is the revision from which the history is available.
+	oldest      uint64
+	unavailable bool
+	calls       int
+	changed     chan struct{}
+	// snapshotTime is how long a snapshot takes.
+	snapshotTime time.Duration
 }
 
 func newFakeStore() *fakeStore {
@@ -56,20 +57,20 @@
 	s.changed = make(chan struct{})
 }
 
-// compact forgets the history.
+// compact removes the history.
 func (s *fakeStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.oldest = s.revision
 }
 
-func (s *fakeStore) setAway(away bool) {
+func (s *fakeStore) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
-func (s *fakeStore) called() int {
+func (s *fakeStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -79,19 +80,19 @@
 	return Page{Revision: revision.At(0, s.revision), Clock: time.Since(s.start)}
 }
 
-func (s *fakeStore) Snapshot(ctx context.Context, patience time.Duration) (Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (s *fakeStore) Snapshot(ctx context.Context, partTimeout time.Duration) (Page, error) {
+	ctx, cancel := context.WithTimeout(ctx, partTimeout)
 	defer cancel()
 	select {
-	case <-time.After(s.slow):
+	case <-time.After(s.snapshotTime):
 	case <-ctx.Done():
 		return Page{}, ctx.Err()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	if s.away {
-		return Page{}, errAway
+	if s.unavailable {
+		return Page{}, errUnavailable
 	}
 	p := s.page()
 	for _, r := range s.rows {
@@ -100,12 +101,12 @@
 	return p, nil
 }
 
-func (s *fakeStore) Changes(ctx context.Context, since revision.Revision, wait time.Duration, _ func()) (Page, error) {
+func (s *fakeStore) Changes(ctx context.Context, since revision.Revision, timeout time.Duration, _ func()) (Page, error) {
 	s.mu.Lock()
 	s.calls++
-	if s.away {
+	if s.unavailable {
 		s.mu.Unlock()
-		return Page{}, errAway
+		return Page{}, errUnavailable
 	}
 	if since.Version() < s.oldest {
 		s.mu.Unlock()
@@ -116,7 +117,7 @@
 	if none {
 		select {
 		case <-changed:
-		case <-time.After(wait):
+		case <-time.After(timeout):
 		case <-ctx.Done():
 			return Page{}, ctx.Err()
 		}
@@ -132,8 +133,9 @@
 	return p, nil
 }
 
-// table is a sink that records.
-type table struct {
+// recordingSink is a sink that records its calls. outages contains the reported outage for
+// each deleted key.
+type recordingSink struct {
 	mu        sync.Mutex
 	rows      map[string]string
 	resets    int
@@ -141,11 +143,11 @@
 	confirmed time.Duration
 }
 
-func newTable() *table {
-	return &table{rows: make(map[string]string), outages: make(map[string]time.Duration)}
+func newRecordingSink() *recordingSink {
+	return &recordingSink{rows: make(map[string]string), outages: make(map[string]time.Duration)}
 }
 
-func (t *table) Reset(rows []Row, outage time.Duration) {
+func (t *recordingSink) Reset(rows []Row, outage time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.resets++
@@ -155,7 +157,7 @@
 	}
 }
 
-func (t *table) Apply(rows []Row, outage time.Duration) {
+func (t *recordingSink) Apply(rows []Row, outage time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range rows {
@@ -168,35 +170,36 @@
 	}
 }
 
-func (t *table) Confirm(at time.Duration) {
+func (t *recordingSink) Confirm(at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.confirmed = at
 }
 
-func (t *table) get(key string) string {
+func (t *recordingSink) get(key string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rows[key]
 }
 
-func (t *table) age(now time.Duration) time.Duration {
+func (t *recordingSink) age(now time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now - t.confirmed
 }
 
-func (t *table) outage(key string) time.Duration {
+func (t *recordingSink) outage(key string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.outages[key]
 }
 
+// fixedSharing is a Sharing with fixed answers.
 type fixedSharing struct {
 	reads   func(reached bool) bool
 	shared  func(SharedPage)
 	reading bool
-	// fetch is nil where no peer serves the table.
+	// fetch is nil if no peer serves the table.
 	fetch func() (Page, error)
 }
 
@@ -222,14 +225,14 @@
 
 const testWait = 1500 * time.Millisecond
 
-// begin runs a follower in a bubble.
-func begin(t *testing.T, feed Feed, sink Sink, sharing Sharing) (f *Follower, now func() time.Duration) {
-	return beginWith(t, Config{Name: "t", PollTimeout: testWait}, feed, sink, sharing)
+// startFollower runs a follower in a synctest bubble.
+func startFollower(t *testing.T, feed Feed, sink Sink, sharing Sharing) (f *Follower, now func() time.Duration) {
+	return startFollowerWith(t, Config{Name: "t", PollTimeout: testWait}, feed, sink, sharing)
 }
 
-func beginWith(t *testing.T, cfg Config, feed Feed, sink Sink, sharing Sharing) (f *Follower, now func() time.Duration) {
-	start := time.Now()
-	now = func() time.Duration { return time.Since(start) + time.Minute }
+func startFollowerWith(t *testing.T, cfg Config, feed Feed, sink Sink, sharing Sharing) (f *Follower, now func() time.Duration) {
+	begin := time.Now()
+	now = func() time.Duration { return time.Since(begin) + time.Minute }
 	f = New(cfg, feed, sink, sharing, now, quiet())
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
@@ -237,22 +240,22 @@
 	return f, now
 }
 
-// The store drops its history while a follower is behind: rows that were dropped
-// in the gap must not stay, so the table is read anew.
-func TestGapInTheHistoryReadsTheTableAnew(t *testing.T) {
+// The store removes its history while a follower is behind. Rows that were deleted in the
+// gap must not remain, so the whole table must be read again.
+func TestLostHistoryMakesFollowerReadWholeTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
 		store.put("b", "1")
-		begin(t, store, sink, nil)
+		startFollower(t, store, sink, nil)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, "1", sink.get("b"))
-		store.setAway(true)
+		store.setUnavailable(true)
 		time.Sleep(2 * time.Second)
 		store.remove("b")
 		store.put("a", "2")
 		store.compact()
-		store.setAway(false)
+		store.setUnavailable(false)
 		time.Sleep(time.Second)
 		require.Equal(t, "2", sink.get("a"))
 		require.Empty(t, sink.get("b"))
@@ -260,39 +263,40 @@
 	})
 }
 
-// The store is away. The age of the view must grow all the while, so that keys
-// are not trusted; after its return the view is fresh again within a second.
-func TestAgeGrowsWhileTheStoreIsAway(t *testing.T) {
+// During an outage of the store the age of the copy must grow, so that API keys are no
+// longer accepted. Within a second after the outage the copy must be up to date again.
+func TestAgeGrowsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
-		_, now := begin(t, store, sink, nil)
+		store, sink := newFakeStore(), newRecordingSink()
+		_, now := startFollower(t, store, sink, nil)
 		time.Sleep(5 * time.Second)
 		require.LessOrEqual(t, sink.age(now()), testWait)
-		store.setAway(true)
+		store.setUnavailable(true)
 		time.Sleep(5 * time.Second)
 		require.Greater(t, sink.age(now()), 3*time.Second)
-		store.setAway(false)
+		store.setUnavailable(false)
 		time.Sleep(time.Second)
 		require.LessOrEqual(t, sink.age(now()), time.Second)
 	})
 }
 
-// A row vanishes in a quiet moment, another shortly after the store was away. Only
-// the second may have lapsed while its owner lives; the first is gone at once.
-func TestOnlyOutagesExcuseLapsedRows(t *testing.T) {
+// One row is deleted while the store is available, another one shortly after an outage. Only
+// the second one may have expired while its owner is running, so only its deletion must be
+// reported with an outage.
+func TestOnlyDeletionsAfterOutageReportOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
 		store.put("b", "1")
-		begin(t, store, sink, nil)
+		startFollower(t, store, sink, nil)
 		time.Sleep(testWait + testWait/2)
 		store.remove("a")
 		time.Sleep(10 * time.Millisecond)
 		require.Zero(t, sink.outage("a"))
-		store.setAway(true)
-		// A call that waits at the store when the outage begins is still answered.
+		store.setUnavailable(true)
+		// A call that is already waiting at the store when the outage begins is answered.
 		time.Sleep(testWait + 3*time.Second)
-		store.setAway(false)
+		store.setUnavailable(false)
 		time.Sleep(time.Second)
 		store.remove("b")
 		time.Sleep(10 * time.Millisecond)
@@ -300,49 +304,48 @@
 	})
 }
 
-// Two processes follow a table and one reads for both. The other makes no calls of
-// its own and has each change as soon; when the reader falls silent, it reads by
-// itself within the time in which keys are still trusted.
-func TestOneReadsForTheOther(t *testing.T) {
+// Two processes follow a table and one of them reads the store for both. The other one must
+// receive each change without calls of its own. When the reader's pages stop, it must call
+// the store itself before API keys are no longer accepted.
+func TestProcessRelyingOnReaderCallsStoreWhenReaderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, far := newFakeStore(), newFakeStore()
-		reader, other := newTable(), newTable()
-		var silent atomic.Bool
+		readerStore, otherStore := newFakeStore(), newFakeStore()
+		reader, other := newRecordingSink(), newRecordingSink()
+		var stopped atomic.Bool
 		var peer atomic.Pointer[Follower]
-		begin(t, store, reader, fixedSharing{
+		startFollower(t, readerStore, reader, fixedSharing{
 			reads: func(bool) bool { return true },
 			shared: func(s SharedPage) {
-				if f := peer.Load(); f != nil && !silent.Load() {
+				if f := peer.Load(); f != nil && !stopped.Load() {
 					f.ReceivePage(s)
 				}
 			},
 		})
 		synctest.Wait()
-		f, now := begin(t, far, other, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, now := startFollower(t, otherStore, other, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		peer.Store(f)
 		time.Sleep(10 * time.Millisecond)
-		require.Equal(t, 1, far.called())
-		store.put("a", "1")
+		require.Equal(t, 1, otherStore.callCount())
+		readerStore.put("a", "1")
 		time.Sleep(10 * time.Millisecond)
 		require.Equal(t, "1", other.get("a"))
 		time.Sleep(10 * time.Second)
-		require.Equal(t, 1, far.called())
+		require.Equal(t, 1, otherStore.callCount())
 		require.LessOrEqual(t, other.age(now()), testWait+100*time.Millisecond)
 
-		silent.Store(true)
-		time.Sleep(testWait + 2*silentSlack)
-		require.Greater(t, far.called(), 1)
+		stopped.Store(true)
+		time.Sleep(testWait + 2*silenceMargin)
+		require.Greater(t, otherStore.callCount(), 1)
 	})
 }
 
-// A page from a peer is lost. The next one does not join on to what is known; its
-// rows must wait until the gap has been read, or a change would be missed for
-// good.
-func TestMissedPageIsReadFromTheStore(t *testing.T) {
+// A page from a peer is lost, so the next page leaves a gap. Its rows must not be applied
+// before the gap has been read, or a change would be missed permanently.
+func TestMissedPageIsReadFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, _ := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, _ := startFollower(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		store.put("a", "2")
 		store.put("b", "1")
@@ -353,51 +356,52 @@
 	})
 }
 
-// Pages overtake each other on two links. An older one must not bring back what a
-// newer one has changed.
+// Pages arrive out of order over two links. An older page must not undo the changes of a
+// newer one.
 func TestOlderPageChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, _ := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, _ := startFollower(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
-		row := func(v string, version uint64) Page {
+		pageWith := func(v string, version uint64) Page {
 			rev := revision.At(0, version)
 			return Page{Revision: rev, Clock: time.Since(store.start), Rows: []Row{{Key: "a", Value: []byte(v), Revision: rev}}}
 		}
-		f.ReceivePage(SharedPage{Since: revision.At(0, 1), Page: row("3", 3)})
-		f.ReceivePage(SharedPage{Since: revision.At(0, 1), Page: row("2", 2)})
+		f.ReceivePage(SharedPage{Since: revision.At(0, 1), Page: pageWith("3", 3)})
+		f.ReceivePage(SharedPage{Since: revision.At(0, 1), Page: pageWith("2", 2)})
 		require.Equal(t, "3", sink.get("a"))
 	})
 }
 
-// All VMs start at once, and the store needs seconds for each table. Tries that
-// are given up too early keep its link busy without end; they must become longer.
-func TestSlowSnapshotIsWaitedFor(t *testing.T) {
+// All VMs start at once, and the store needs seconds for each table. Tries that time out too
+// early would keep its link busy permanently, so the timeout must grow.
+func TestSnapshotTimeoutGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
-		store.slow = 3 * time.Second
+		store, sink := newFakeStore(), newRecordingSink()
+		store.snapshotTime = 3 * time.Second
 		store.put("a", "1")
-		begin(t, store, sink, nil)
+		startFollower(t, store, sink, nil)
 		time.Sleep(8 * time.Second)
 		require.Equal(t, "1", sink.get("a"))
 	})
 }
 
-// A page was missed, and a peer can bring what it held: the store, whose answer may be a
-// large row, must not be asked for it as well. When the peer cannot, the store is.
-func TestMissedPageIsFetchedFromAPeer(t *testing.T) {
-	for _, serves := range []bool{true, false} {
+// A page was missed and a peer can supply its changes. The store must not be called for them
+// as well, because its answer may be a large row. If the peer cannot supply them, the store
+// must be called.
+func TestMissedPageIsFetchedFromPeer(t *testing.T) {
+	for _, peerHasPage := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			store, sink := newFakeStore(), newTable()
+			store, sink := newFakeStore(), newRecordingSink()
 			store.put("a", "1")
 			fetched := 0
-			f, now := begin(t, store, sink, fixedSharing{
+			f, now := startFollower(t, store, sink, fixedSharing{
 				reads: func(bool) bool { return false }, shared: func(SharedPage) {},
 				fetch: func() (Page, error) {
 					fetched++
-					if !serves {
-						return Page{}, errAway
+					if !peerHasPage {
+						return Page{}, errUnavailable
 					}
 					sink.Apply([]Row{{Key: "a", Value: []byte("2")}}, 0)
 					return Page{Revision: revision.At(0, 2), Clock: time.Since(store.start)}, nil
@@ -405,12 +409,12 @@
 			})
 			time.Sleep(10 * time.Millisecond)
 			store.put("a", "2")
-			before := store.called()
+			before := store.callCount()
 			f.ReceivePage(SharedPage{Since: revision.At(0, 2), Page: Page{Revision: revision.At(0, 2), Clock: time.Since(store.start)}})
 			time.Sleep(10 * time.Millisecond)
 			require.Equal(t, "2", sink.get("a"))
 			require.Equal(t, 1, fetched)
-			require.Equal(t, !serves, store.called() > before)
+			require.Equal(t, !peerHasPage, store.callCount() > before)
 			require.Less(t, sink.age(now()), 50*time.Millisecond)
 			position, _ := f.Position()
 			require.EqualValues(t, 2, position.Revision.Version())
@@ -418,47 +422,47 @@
 	}
 }
 
-// Another process says that it has a newer table, and cannot be asked: the process that
-// lives on others goes on doing so, and does not call the store for it.
-func TestBeingBehindIsNoReasonToReadTheStore(t *testing.T) {
+// A peer reports that it has a newer table, but cannot serve it. The process must continue
+// to rely on its peers and must not call the store.
+func TestBeingBehindAPeerCausesNoStoreCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		f, _ := begin(t, store, newTable(), fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, _ := startFollower(t, store, newRecordingSink(), fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
-		before := store.called()
+		before := store.callCount()
 		for range 5 {
 			f.ReceivePosition(Position{Changed: revision.At(0, 99), Revision: revision.At(0, 99)})
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.Equal(t, before, store.called())
+		require.Equal(t, before, store.callCount())
 	})
 }
 
-// The peer that reads the store for this one takes in a long row for 2 s and announces
-// nothing meanwhile. Reading the row here as well would fill a thin link with it. Only
-// when that lasts too long the store is asked.
-func TestLongAnswerAtAPeerIsWaitedFor(t *testing.T) {
+// The peer that reads the store for this process needs 2 s to receive a long row and sends
+// no page meanwhile. Reading the row here as well would fill a link of low bandwidth. The
+// store must be called only if this takes too long.
+func TestFollowerWaitsWhilePeerReceivesLongAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		begin(t, store, newTable(), fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}, reading: true})
-		time.Sleep(readingPatience - 100*time.Millisecond)
-		require.Equal(t, 1, store.called())
+		startFollower(t, store, newRecordingSink(), fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}, reading: true})
+		time.Sleep(maxAgeWhilePeerReads - 100*time.Millisecond)
+		require.Equal(t, 1, store.callCount())
 		time.Sleep(2 * testWait)
-		require.Greater(t, store.called(), 1)
+		require.Greater(t, store.callCount(), 1)
 	})
 }
 
-// A VM that lives on what peers read is suspended, and its peers' links are gone when it
-// wakes. By its timers it has just heard of them; by the clock its view is old, so it reads
-// the store at once, and what it says of its age tells the truth.
+// A VM that relies on its peers is suspended, and its links are closed when it resumes. By
+// its timers the last page has just arrived, but by the clock its copy is old. It must call
+// the store at once and must report the correct age.
 func TestSuspendedVMReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		start, suspended := time.Now(), atomic.Int64{}
-		now := func() time.Duration { return time.Since(start) + time.Duration(suspended.Load()) }
+		begin, suspended := time.Now(), atomic.Int64{}
+		now := func() time.Duration { return time.Since(begin) + time.Duration(suspended.Load()) }
 		f := New(Config{Name: "t", PollTimeout: testWait}, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}}, now, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -467,7 +471,7 @@
 		store.put("a", "2")
 		suspended.Store(int64(10 * time.Second))
 		require.GreaterOrEqual(t, sink.age(now()), 10*time.Second)
-		time.Sleep(2 * leanPoll)
+		time.Sleep(2 * peerCheckInterval)
 		require.Equal(t, "2", sink.get("a"))
 		require.Less(t, sink.age(now()), time.Second)
 	})
--- a/internal/follow/position.go
+++ b/internal/follow/position.go
@@ -6,24 +6,26 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// Position is how far a copy of a table is. The copy has all changes up to Revision.
+// Position says up to which revision a copy of a table is complete. The copy has all changes
+// up to Revision.
 //
-// Revisions count the changes of all tables, so two copies with the same rows may stand at
-// different ones. Changed tells them from copies that differ.
+// Revisions count the changes of all tables, so two copies with the same rows may have
+// different revisions. Changed distinguishes these from copies with different rows.
 type Position struct {
-	// Changed and Revision bound a span without changes of this table: none after Changed,
-	// up to Revision. Changed may be above the table's last change, never below it.
+	// This table has no change after Changed and up to Revision. Changed may be higher than
+	// the revision of the table's last change, but never lower.
 	Changed, Revision revision.Revision
-	// Clock is the store's steady clock when Revision was its newest.
+	// Clock is the store's steady clock at a time when Revision was the newest revision.
 	Clock time.Duration
 }
 
-// Has reports whether a copy at p has every change that one at o has.
-func (p Position) Has(o Position) bool { return !p.Revision.Before(o.Changed) }
+// Covers reports whether a copy at p has every change that a copy at o has.
+func (p Position) Covers(o Position) bool { return !p.Revision.Before(o.Changed) }
 
-// Join is how far a copy at p is once it is known that another is at o, which p has: the
-// spans without changes meet, so the copy is as far as the further of the two.
-func (p Position) Join(o Position) Position {
+// Merge returns the position of a copy at p when another copy is known to be at o, which p
+// covers. If the spans without changes overlap, the copy is complete up to the higher of the
+// two revisions; else p is unchanged.
+func (p Position) Merge(o Position) Position {
 	if o.Revision.Before(p.Changed) {
 		return p
 	}
--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -13,20 +13,21 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// history is a store with one table that is followed and others that are not.
+// history is a store with one followed table and other tables whose changes only raise the
+// revision.
 type history struct {
 	revision revision.Revision
 	changes  []Row
 }
 
-// next is a change of some table.
-func (h *history) next() { h.revision = revision.At(0, h.revision.Version()+1) }
+// advance records a change of any table.
+func (h *history) advance() { h.revision = revision.At(0, h.revision.Version()+1) }
 
-// at is the table as it stood at a revision.
-func (h *history) at(seen revision.Revision) map[string]string {
+// at returns the table at a revision.
+func (h *history) at(until revision.Revision) map[string]string {
 	out := make(map[string]string)
 	for _, c := range h.changes {
-		if seen.Before(c.Revision) {
+		if until.Before(c.Revision) {
 			break
 		}
 		if c.Deleted {
@@ -47,13 +48,13 @@
 	return out
 }
 
-// copied is a process with a copy of the table.
-type copied struct {
+// tableCopy is a process's copy of the table and its position.
+type tableCopy struct {
 	Position
 	rows rows
 }
 
-func (c *copied) take(list []Row, p Position) {
+func (c *tableCopy) update(list []Row, p Position) {
 	var fresh []Row
 	for _, r := range list {
 		if c.Revision.Before(r.Revision) {
@@ -64,7 +65,7 @@
 	c.Position = Position{Changed: revision.Later(c.Changed, p.Changed), Revision: revision.Later(c.Revision, p.Revision)}
 }
 
-func (c *copied) values() map[string]string {
+func (c *tableCopy) values() map[string]string {
 	out := make(map[string]string)
 	for key, r := range c.rows.all {
 		if !r.Deleted {
@@ -74,26 +75,26 @@
 	return out
 }
 
-// Processes tell each other how far they are, fetch from each other what they lack, and
-// read the store now and then, in any order. What one believes of its copy must be true: a
-// copy that is taken for newer than it is serves removed keys and sends requests to servers
-// that have left.
-func TestPositionsNeverSayMoreThanTheCopyHas(t *testing.T) {
+// Processes exchange their positions, fetch missing changes from each other, and read the
+// store, in any order. The position of each copy must be correct. With a position that is
+// too high, a process would accept removed API keys and send requests to servers that have
+// left.
+func TestPositionNeverExceedsCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{revision: revision.At(0, 1)}
-		all := make([]*copied, 4)
+		all := make([]*tableCopy, 4)
 		for i := range all {
-			all[i] = &copied{Position: Position{Changed: revision.At(0, 1), Revision: revision.At(0, 1)}}
+			all[i] = &tableCopy{Position: Position{Changed: revision.At(0, 1), Revision: revision.At(0, 1)}}
 			all[i].rows.reset(nil, revision.At(0, 1))
 		}
-		pick := func(name string) *copied { return all[rapid.IntRange(0, len(all)-1).Draw(t, name)] }
+		pick := func(name string) *tableCopy { return all[rapid.IntRange(0, len(all)-1).Draw(t, name)] }
 		t.Repeat(map[string]func(*rapid.T){
-			"write elsewhere": func(*rapid.T) { h.next() },
+			"write other table": func(*rapid.T) { h.advance() },
 			"write": func(t *rapid.T) {
-				h.next()
+				h.advance()
 				key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 				_, exists := h.at(h.revision)[key]
-				h.changes = append(h.changes, Row{Key: key, Value: fmt.Append(nil, h.revision.Version()), Revision: h.revision, Deleted: exists && rapid.Bool().Draw(t, "drop")})
+				h.changes = append(h.changes, Row{Key: key, Value: fmt.Append(nil, h.revision.Version()), Revision: h.revision, Deleted: exists && rapid.Bool().Draw(t, "delete")})
 			},
 			"read changes": func(*rapid.T) {
 				c := pick("reader")
@@ -102,7 +103,7 @@
 				for _, r := range list {
 					p.Changed = revision.Later(p.Changed, r.Revision)
 				}
-				c.take(list, p)
+				c.update(list, p)
 			},
 			"read the whole table": func(*rapid.T) {
 				c := pick("reader")
@@ -113,16 +114,16 @@
 				c.rows.reset(list, h.revision)
 				c.Position = Position{Changed: h.revision, Revision: h.revision}
 			},
-			"forget drops": func(*rapid.T) { pick("process").rows.forget() },
-			"hear": func(*rapid.T) {
+			"purge deleted rows": func(*rapid.T) { pick("process").rows.purge() },
+			"report position": func(*rapid.T) {
 				from, to := pick("from"), pick("to")
-				if to.Has(from.Position) {
-					to.Position = to.Join(from.Position)
+				if to.Covers(from.Position) {
+					to.Position = to.Merge(from.Position)
 				}
 			},
 			"fetch": func(*rapid.T) {
 				from, to := pick("from"), pick("to")
-				if to.Has(from.Position) {
+				if to.Covers(from.Position) {
 					return
 				}
 				list, whole := from.rows.since(to.Revision)
@@ -131,48 +132,48 @@
 					to.Position = from.Position
 					return
 				}
-				to.take(list, from.Position)
+				to.update(list, from.Position)
 			},
 			"": func(t *rapid.T) {
 				for i, c := range all {
-					require.True(t, maps.Equal(h.at(c.Revision), c.values()), "copy %d at %d: %v, is %v", i, c.Revision, c.values(), h.at(c.Revision))
-					require.Equal(t, h.at(c.Revision), h.at(revision.Earlier(c.Changed, c.Revision)), "no change since %d", c.Changed)
+					require.True(t, maps.Equal(h.at(c.Revision), c.values()), "copy %d at %d has %v, the table is %v", i, c.Revision, c.values(), h.at(c.Revision))
+					require.Equal(t, h.at(c.Revision), h.at(revision.Earlier(c.Changed, c.Revision)), "the table changed after %d", c.Changed)
 				}
 			},
 		})
 	})
 }
 
-// A process hears no page for minutes, only how far others are: nothing has changed. Its
-// view is as fresh as theirs, and it calls the store as little.
-func TestPositionsOfOthersKeepAViewFresh(t *testing.T) {
+// A process receives only positions of peers and no page for minutes, because nothing has
+// changed. Its copy must count as up to date as theirs, without calls to the store.
+func TestPeerPositionsConfirmCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, now := begin(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, now := startFollower(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
-		calls := store.called()
+		calls := store.callCount()
 		for range 600 {
 			time.Sleep(300 * time.Millisecond)
 			f.ReceivePosition(Position{Changed: revision.At(0, 1), Revision: revision.At(0, 5), Clock: time.Since(store.start)})
 			require.Less(t, sink.age(now()), 10*time.Millisecond)
 		}
-		require.Equal(t, calls, store.called())
+		require.Equal(t, calls, store.callCount())
 		position, _ := f.Position()
 		require.EqualValues(t, 5, position.Revision.Version())
 	})
 }
 
-// A process has lost two pages, and a peer says that it is further. What is missing is
-// fetched from the peer; the view must not be confirmed before, or a server that left in
-// one of the pages would be used on.
-func TestPositionThatIsFurtherConfirmsNothing(t *testing.T) {
+// A process has missed two pages, and a peer reports a position ahead of its own. The copy
+// must not be confirmed before the missing changes are fetched, or requests would still go
+// to a server that left in one of these pages.
+func TestPositionAheadConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, now := begin(t, store, sink, fixedSharing{
+		f, now := startFollower(t, store, sink, fixedSharing{
 			reads: func(bool) bool { return false }, shared: func(SharedPage) {},
-			fetch: func() (Page, error) { return Page{}, errAway },
+			fetch: func() (Page, error) { return Page{}, errUnavailable },
 		})
 		time.Sleep(10 * time.Millisecond)
 		time.Sleep(time.Second)
@@ -182,15 +183,16 @@
 	})
 }
 
-// A process starts and its peers have the table: the store is not read. Before the store
-// has told the time by an own answer nothing is taken from them: a table that is seconds
-// old would look new, and keys be trusted beyond their bound.
-func TestTableOfAPeerNeedsTheStoresClock(t *testing.T) {
+// A process starts while its peers have the table, so it need not read the store. It must
+// not take the table from them before it knows the store's clock from an answer of its own:
+// a table that is seconds old would seem new, and API keys would be accepted for longer than
+// allowed.
+func TestTableFromPeerNeedsStoreClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
-		store.setAway(true)
+		store, sink := newFakeStore(), newRecordingSink()
+		store.setUnavailable(true)
 		old := Page{Whole: true, Revision: revision.At(0, 7), Clock: time.Second, Rows: []Row{{Key: "a", Value: []byte("1"), Revision: revision.At(0, 7)}}}
-		f, now := begin(t, store, sink, fixedSharing{
+		f, now := startFollower(t, store, sink, fixedSharing{
 			reads: func(bool) bool { return false }, shared: func(SharedPage) {},
 			fetch: func() (Page, error) { return old, nil },
 		})
@@ -204,80 +206,82 @@
 	})
 }
 
-// The history of the feed is lost for a reader, and a peer has what is missing: the table
-// is not read in whole.
-func TestLostHistoryIsFetchedFromAPeer(t *testing.T) {
+// The feed has lost the history that a reader needs, and a peer has the missing changes. The
+// reader must not read the whole table.
+func TestLostHistoryIsFetchedFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		begin(t, store, sink, fixedSharing{
+		startFollower(t, store, sink, fixedSharing{
 			reads: func(bool) bool { return true }, shared: func(SharedPage) {},
 			fetch: func() (Page, error) {
 				return Page{Revision: revision.At(0, 2), Changed: revision.At(0, 2), Clock: time.Since(store.start), Rows: []Row{{Key: "a", Value: []byte("2"), Revision: revision.At(0, 2)}}}, nil
 			},
 		})
 		time.Sleep(10 * time.Millisecond)
-		store.setAway(true)
+		store.setUnavailable(true)
 		time.Sleep(2 * time.Second)
 		store.put("a", "2")
 		store.compact()
-		store.setAway(false)
+		store.setUnavailable(false)
 		time.Sleep(time.Second)
 		require.Equal(t, "2", sink.get("a"))
 		require.Equal(t, 1, sink.resets)
 	})
 }
 
-// Guards against a gateway that starts while the others read the table anew being told nothing
-// by them: all that it could go by is what the store shows, which may be a copy from before.
-func TestTableIsToldWhileItIsReadAnew(t *testing.T) {
+// Guards against a gateway that starts while its peers read the table again and receives no
+// rows from them. It would have only the store, which may have been restored from an older
+// copy.
+func TestChangesAreServedWhileTableIsReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, sink := newFakeStore(), newTable()
+		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, _ := beginWith(t, Config{Name: "t", PollTimeout: testWait, KeepRows: true}, store, sink, nil)
+		f, _ := startFollowerWith(t, Config{Name: "t", PollTimeout: testWait, KeepRows: true}, store, sink, nil)
 		time.Sleep(time.Second)
 		store.mu.Lock()
-		store.slow = 500 * time.Millisecond
+		store.snapshotTime = 500 * time.Millisecond
 		store.mu.Unlock()
-		store.setAway(true)
+		store.setUnavailable(true)
 		time.Sleep(2 * time.Second)
 		store.put("b", "1")
 		store.compact()
-		store.setAway(false)
+		store.setUnavailable(false)
 		for _, synced := f.Position(); synced; _, synced = f.Position() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		page, told := f.ChangesSince(revision.Revision{})
-		require.True(t, told)
+		page, ok := f.ChangesSince(revision.Revision{})
+		require.True(t, ok)
 		require.Len(t, page.Rows, 1)
 		require.EqualValues(t, 1, page.Revision.Version())
 		last, known := f.LastPosition()
 		require.True(t, known)
 		require.Equal(t, page.Revision, last.Revision)
-		require.GreaterOrEqual(t, time.Since(store.start)-last.Clock, 500*time.Millisecond, "no newer than it is")
+		require.GreaterOrEqual(t, time.Since(store.start)-last.Clock, 500*time.Millisecond, "the position must not claim to be newer")
 	})
 }
 
-// More servers leave than are remembered. A peer that was away gets the whole table: from
-// changes alone it would use the servers on that are forgotten.
-func TestForgottenDropsAreToldByTheWholeTable(t *testing.T) {
+// More servers leave than deleted rows are kept. A peer that was disconnected must receive
+// the whole table: with changes alone it would still use servers whose deletions were
+// purged.
+func TestPurgedDeletionsNeedWholeTable(t *testing.T) {
 	var r rows
 	r.reset([]Row{{Key: "stays", Revision: revision.At(0, 1)}}, revision.At(0, 1))
-	for i := range maxDrops + 1 {
+	for i := range maxDeleted + 1 {
 		key := fmt.Sprint("server-", i)
 		r.apply([]Row{{Key: key, Revision: revision.At(0, uint64(2*i+2))}, {Key: key, Revision: revision.At(0, uint64(2*i+3)), Deleted: true}})
 	}
 	list, whole := r.since(revision.At(0, 5))
 	require.True(t, whole)
 	require.Equal(t, []Row{{Key: "stays", Revision: revision.At(0, 1)}}, list)
-	require.LessOrEqual(t, len(r.all), maxDrops+1)
+	require.LessOrEqual(t, len(r.all), maxDeleted+1)
 }
 
-// Guards against a store that has come back from a copy being counted for each read of it, or not
-// at all.
-func TestStoreThatComesBackOlderIsCountedOnce(t *testing.T) {
+// Guards against counting a store that was restored from a copy once per read, or not at
+// all.
+func TestRestoredStoreIsCountedOnce(t *testing.T) {
 	restored := 0
-	f := New(Config{Name: "t", OnRestored: func() { restored++ }}, nil, newTable(), nil, func() time.Duration { return time.Minute }, quiet())
+	f := New(Config{Name: "t", OnRestored: func() { restored++ }}, nil, newRecordingSink(), nil, func() time.Duration { return time.Minute }, quiet())
 	f.Seed(Page{Revision: revision.At(0, 9), Clock: time.Second}, time.Minute)
 	require.Zero(t, restored)
 	f.Seed(Page{Revision: revision.At(1, 4), Clock: 2 * time.Second}, time.Minute)
--- a/internal/follow/rows.go
+++ b/internal/follow/rows.go
@@ -7,59 +7,62 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// maxDrops is how many dropped rows are remembered, in some 100 KB: a hundred times those
-// of an hour in which 280 VMs a day are replaced.
-const maxDrops = 1200
+// maxDeleted is the number of deleted rows that are kept, in some 100 KB. That is a hundred
+// times the deletions of one hour when 280 VMs a day are replaced.
+const maxDeleted = 1200
 
-// rows is a table as it was read, with what was dropped of late, so that other processes
-// can have it from this one. It is not safe for concurrent use.
+// rows is a copy of a table including recently deleted rows, from which other processes can
+// be brought up to date. It is not safe for concurrent use.
 type rows struct {
 	all map[string]Row
-	// drops counts the dropped rows in all; those up to forgotten are not there.
-	drops     int
-	forgotten revision.Revision
+	// deleted is the number of deleted rows in all. Rows deleted up to purgedUpTo are no
+	// longer in all.
+	deleted    int
+	purgedUpTo revision.Revision
 }
 
-// reset replaces everything by the table as it stood at a revision.
+// reset replaces all rows by the table at a revision.
 func (r *rows) reset(list []Row, at revision.Revision) {
 	r.all = make(map[string]Row, len(list))
-	r.drops, r.forgotten = 0, at
+	r.deleted, r.purgedUpTo = 0, at
 	for _, row := range list {
 		r.all[row.Key] = row
 	}
 }
 
-// apply takes changes, in order.
+// apply applies changes in order.
 func (r *rows) apply(list []Row) {
 	for _, row := range list {
 		if r.all[row.Key].Deleted {
-			r.drops--
+			r.deleted--
 		}
 		if row.Deleted {
-			r.drops++
+			r.deleted++
 			row.Value = nil
 		}
 		r.all[row.Key] = row
 	}
-	if r.drops > maxDrops {
-		r.forget()
+	if r.deleted > maxDeleted {
+		r.purge()
 	}
 }
 
-func (r *rows) forget() {
+// purge removes all deleted rows.
+func (r *rows) purge() {
 	for key, row := range r.all {
 		if row.Deleted {
-			r.forgotten = revision.Later(r.forgotten, row.Revision)
+			r.purgedUpTo = revision.Later(r.purgedUpTo, row.Revision)
 			delete(r.all, key)
 		}
 	}
-	r.drops = 0
+	r.deleted = 0
 }
 
-// since lists what has changed after a revision, by revision. It is the whole table, with
-// whole set, where drops since then are not remembered.
+// since returns the rows changed or deleted after a revision, in the order of their
+// revisions. If deletions since then have been purged, it returns the whole table with whole
+// set.
 func (r *rows) since(known revision.Revision) (list []Row, whole bool) {
-	whole = known.Before(r.forgotten) || known.IsZero()
+	whole = known.Before(r.purgedUpTo) || known.IsZero()
 	for _, row := range r.all {
 		if whole && !row.Deleted || !whole && known.Before(row.Revision) {
 			list = append(list, row)
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -9,209 +9,215 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// SharedPage is a page as one process passes it on to others.
+// SharedPage is a page that one process has read and passes on to others.
 type SharedPage struct {
 	Page
-	// Since is the revision that the page goes on from.
+	// Since is the revision after which the page's changes begin.
 	Since revision.Revision
 }
 
-// ErrNoPeer says that no other process brings this table up to date.
+// ErrNoPeer says that no peer can bring this table up to date.
 var ErrNoPeer = errors.New("no peer serves the table")
 
-// Sharing lets processes that follow the same table read it for each other. Every
-// call to the store has a price and its rate is bounded.
+// Sharing lets processes that follow the same table read it for each other, because every
+// call to the store has a price and the rate of calls is bounded.
 type Sharing interface {
-	// Fetch has another process bring the sink up to what it has, from a revision on, 0
-	// for everything. What it returns are rows to take, or where the other's copy is if the
-	// sink has them already. Errors: ErrNoPeer, or why it failed.
+	// Fetch requests the changes after a revision from a peer; revision 0 requests the whole
+	// table. It returns rows to apply, or only the position of the peer's copy if the rows
+	// are already in the sink. Errors: ErrNoPeer, or the reason for the failure.
 	Fetch(ctx context.Context, since revision.Revision) (Page, error)
-	// IsReader reports whether this process is one of those that read the store;
-	// the others live on what they are told. reached says whether the store
-	// answered this process last.
+	// IsReader reports whether this process reads the store on behalf of all. The other
+	// processes rely on the readers' pages. reached says whether the store answered the last
+	// call of this process.
 	IsReader(reached bool) bool
-	// MayCallStore reports whether this process may call the store although it is not one of
-	// those: it hears nothing of them, or has been without a table for some time. Of many
-	// processes that ask, few may at the same time.
+	// MayCallStore reports whether this process may call the store although it is not a
+	// reader, because it receives nothing from the readers or has been without a table for
+	// some time. If many processes ask at the same time, only a few may.
 	MayCallStore(without time.Duration) bool
-	// Share passes on a page that was read.
+	// Share passes a page from the store on to other processes.
 	Share(s SharedPage)
-	// IsPeerReading reports whether another process says that a long answer of the store is
-	// coming in there.
+	// IsPeerReading reports whether a peer reports that it is receiving a long answer of the store.
 	IsPeerReading() bool
 }
 
-// silentSlack is how much longer than a call may wait nothing may be heard before
-// a process that lives on others reads by itself.
-const silentSlack = 500 * time.Millisecond
+// silenceMargin is the time beyond the timeout of a call for which a process that relies on
+// its peers may receive nothing from them. After that it calls the store itself.
+const silenceMargin = 500 * time.Millisecond
 
-// leans reports whether others read the table for this process. The sharing is asked without
-// mu: it asks for the store's clock.
-func (f *Follower) leans() bool {
+// reliesOnPeers reports whether peers read the table for this process. It calls sharing
+// without holding mu, because sharing in turn asks the follower for the store's clock.
+func (f *Follower) reliesOnPeers() bool {
 	f.mu.Lock()
-	alone := f.sharing == nil || !f.synced || f.gap() || f.behind
-	reached, silent := f.failures == 0, !alone && f.silent()
+	alone := f.sharing == nil || !f.synced || f.hasGap() || f.behind
+	reached, isSilent := f.failures == 0, !alone && f.isSilent()
 	f.mu.Unlock()
 	if alone || f.sharing.IsReader(reached) {
 		return false
 	}
-	if silent {
+	if isSilent {
 		return !f.sharing.MayCallStore(0)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// What others tell goes on; the own way to the store is tried again once it is needed.
-	f.failures, f.leaned = 0, true
+	// Peers keep the copy up to date. The connection to the store is tried again when this
+	// process needs it.
+	f.failures, f.reliedOnPeers = 0, true
 	return true
 }
 
-// readingPatience is how old the view may become while a peer takes in a long answer. A
-// row of 20,000 routes takes a peer 2 s to read and decode; one that read it as well
-// because of that silence would have its link full for longer.
-const readingPatience = 4 * time.Second
+// maxAgeWhilePeerReads bounds the age of the copy while a peer receives a long answer. A peer
+// needs 2 s to read and decode a row of 20,000 routes. A process that read the row as well
+// because no page arrived meanwhile would have its link full for longer.
+const maxAgeWhilePeerReads = 4 * time.Second
 
-// silent reports whether too little is heard of others to live on them; mu is held.
-func (f *Follower) silent() bool {
-	age := f.now() - f.made
-	return age > f.cfg.PollTimeout+silentSlack && (age > readingPatience || !f.sharing.IsPeerReading())
+// isSilent reports whether the copy is too old to rely on peers; mu is held.
+func (f *Follower) isSilent() bool {
+	age := f.now() - f.madeAt
+	return age > f.cfg.PollTimeout+silenceMargin && (age > maxAgeWhilePeerReads || !f.sharing.IsPeerReading())
 }
 
-// IsReading reports whether a long answer is coming in here.
+// IsReading reports whether this process is receiving a long answer of the store.
 func (f *Follower) IsReading() bool { return f.reading.Load() }
 
-// leanPoll is how often a process that lives on others looks whether it still may.
-const leanPoll = 100 * time.Millisecond
+// peerCheckInterval is the interval at which a process that relies on its peers checks
+// whether it still can.
+const peerCheckInterval = 100 * time.Millisecond
 
-func (f *Follower) await(ctx context.Context) {
-	t := time.NewTimer(leanPoll)
+// awaitPeers waits until a peer sends something or the next check is due.
+func (f *Follower) awaitPeers(ctx context.Context) {
+	t := time.NewTimer(peerCheckInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-f.offered:
+	case <-f.wake:
 	case <-t.C:
 	}
 }
 
-// ReceivePage takes a page that another process has read. One that leaves a gap is not
-// taken; the changes between are then fetched, or read from the store.
+// ReceivePage applies a page that a peer has read. A page that leaves a gap is not applied;
+// the missing changes are then fetched from a peer or read from the store.
 func (f *Follower) ReceivePage(s SharedPage) {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	f.mu.Lock()
-	synced, joins := f.synced, !f.revision.Before(s.Since)
-	if synced && !joins {
-		f.gapTo = revision.Later(f.gapTo, s.Since)
+	synced, adjoins := f.synced, !f.revision.Before(s.Since)
+	if synced && !adjoins {
+		f.missedUpTo = revision.Later(f.missedUpTo, s.Since)
 	}
 	f.mu.Unlock()
 	if !synced {
 		return
 	}
-	if joins {
-		f.take(s.Page, 0)
+	if adjoins {
+		f.applyPage(s.Page, 0)
 	}
-	f.nudge()
+	f.wakeUp()
 }
 
-// ReceivePosition takes how far another process is. One that this process has all changes of confirms
-// the own copy as it is: no page has to come in for that. From one that is further the
-// difference is fetched.
+// ReceivePosition takes the position of a peer's copy. If this copy covers it, the position
+// confirms that this copy is up to date without a page. If the peer is ahead, the difference
+// is fetched.
 func (f *Follower) ReceivePosition(p Position) {
 	f.mu.Lock()
 	own, synced := f.position(), f.synced
 	if !synced {
 		f.mu.Unlock()
-		f.nudge()
+		f.wakeUp()
 		return
 	}
-	if !own.Has(p) {
+	if !own.Covers(p) {
 		f.behind = true
 		f.mu.Unlock()
-		f.nudge()
+		f.wakeUp()
 		return
 	}
 	f.mu.Unlock()
 	if p.Clock > own.Clock {
-		f.join(p)
+		f.mergePosition(p)
 	}
 }
 
-// SetBehind notes that another process has something newer: it is fetched.
+// SetBehind records that a peer has newer changes, which are then fetched.
 func (f *Follower) SetBehind() {
 	f.mu.Lock()
 	f.behind = true
 	f.mu.Unlock()
-	f.nudge()
+	f.wakeUp()
 }
 
-// join takes a position that the own one has. While a page is being taken it is passed over:
-// the next state brings it again, and a link must not wait for a long row.
-func (f *Follower) join(p Position) {
-	if !f.applying.TryLock() {
+// mergePosition merges a position that this copy covers. It does nothing while a page is
+// being applied, because a link must not wait for a long row; the next state brings the
+// position again.
+func (f *Follower) mergePosition(p Position) {
+	if !f.applyMu.TryLock() {
 		return
 	}
-	defer f.applying.Unlock()
+	defer f.applyMu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := f.position()
-	if !f.synced || !own.Has(p) {
+	if !f.synced || !own.Covers(p) {
 		return
 	}
-	joined := own.Join(p)
-	f.changed, f.revision = joined.Changed, joined.Revision
-	f.confirm(joined.Clock, 0)
+	merged := own.Merge(p)
+	f.changed, f.revision = merged.Changed, merged.Revision
+	f.confirm(merged.Clock, 0)
 }
 
-// IsBehind reports whether a copy at a position has changes that this one has not.
+// IsBehind reports whether a copy at a position has changes that this one lacks.
 func (f *Follower) IsBehind(p Position) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.synced || !f.position().Has(p)
+	return !f.synced || !f.position().Covers(p)
 }
 
-// ChangesSince gives what has changed after a revision, for another process. It is false where
-// rows are not kept, or there are none yet. While the table is read anew it gives what there
-// was: one that starts has nothing better than a store that has come back older.
+// ChangesSince returns the changes after a revision, for another process. It returns false if rows are
+// not kept or there are none yet. While the table is read again it returns the previous rows:
+// a process that starts would otherwise have only the store, which may have been restored
+// from an older copy.
 func (f *Follower) ChangesSince(known revision.Revision) (Page, bool) {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.kept == nil || !f.filled {
+	if f.keptRows == nil || !f.hasTable {
 		return Page{}, false
 	}
-	page := Page{Revision: f.revision, Changed: f.changed, Clock: f.stamp, Outage: f.outageNow()}
-	page.Rows, page.Whole = f.kept.since(known)
+	page := Page{Revision: f.revision, Changed: f.changed, Clock: f.storeClock, Outage: f.recentOutage()}
+	page.Rows, page.Whole = f.keptRows.since(known)
 	return page, true
 }
 
-// SetClock takes the store's steady clock from an answer to a call that began at begun. A
-// process that has its tables from others could not tell their age without.
-func (f *Follower) SetClock(stamp, begun time.Duration) {
+// SetClock sets the store's steady clock from the answer to a call that began at begin.
+// Without it a process that receives its tables from peers could not compute their age.
+func (f *Follower) SetClock(storeClock, begin time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ahead := f.now() - stamp
-	if !f.offsetKnown || ahead < f.offset || stamp+f.offset < begun {
-		f.offset, f.offsetKnown = ahead, true
+	ahead := f.now() - storeClock
+	if !f.clockOffsetKnown || ahead < f.clockOffset || storeClock+f.clockOffset < begin {
+		f.clockOffset, f.clockOffsetKnown = ahead, true
 	}
 }
 
-// without is how long the process has been without a table.
-func (f *Follower) without() time.Duration {
+// timeWithoutTable returns how long this process has been without a synced table. The time
+// counts from the first call, or from the loss of the table's history.
+func (f *Follower) timeWithoutTable() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.begun == 0 {
-		f.begun = f.now()
+	if f.withoutSince == 0 {
+		f.withoutSince = f.now()
 	}
-	return f.now() - f.begun
+	return f.now() - f.withoutSince
 }
 
-// startFromPeer has another process bring the whole table, and reports whether one did. The
-// store's clock must be known by an own answer: from what peers tell alone a table that is
-// seconds old would look new, and keys be trusted beyond their bound.
+// startFromPeer fetches the table from a peer, and reports whether it succeeded. This
+// process must know the store's clock from an answer of its own. With the peers' reports
+// alone, a table that is seconds old would seem new and API keys would be accepted for
+// longer than allowed.
 func (f *Follower) startFromPeer(ctx context.Context) bool {
 	f.mu.Lock()
-	known, from := f.offsetKnown, revision.Revision{}
-	if f.filled {
+	known, from := f.clockOffsetKnown, revision.Revision{}
+	if f.hasTable {
 		from = f.revision
 	}
 	f.mu.Unlock()
@@ -220,11 +226,11 @@
 	}
 	page, err := f.sharing.Fetch(ctx, from)
 	if err != nil {
-		f.notFetched(err)
+		f.logFetchError(err)
 		return false
 	}
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	f.mu.Lock()
 	synced, own := f.synced, f.revision
 	f.mu.Unlock()
@@ -232,58 +238,58 @@
 	case synced:
 		return true
 	case !own.Before(page.Revision):
-		// Nothing newer than what the store has no history of any more.
+		// The peer's copy is not newer than the revision whose history the store has lost.
 		return false
 	case page.Whole || from.IsZero():
 		f.replace(page, 0)
 	default:
-		f.take(page, 0)
+		f.applyPage(page, 0)
 		f.mu.Lock()
-		f.synced, f.begun = true, 0
+		f.synced, f.withoutSince = true, 0
 		f.mu.Unlock()
 	}
-	f.log.WithField("revision", page.Revision.String()).WithField("rows", len(page.Rows)).Info("table is taken over from a peer")
+	f.log.WithField("revision", page.Revision.String()).WithField("rows", len(page.Rows)).Info("table was fetched from a peer")
 	return true
 }
 
-func (f *Follower) notFetched(err error) {
+func (f *Follower) logFetchError(err error) {
 	if !errors.Is(err, ErrNoPeer) {
-		f.log.WithError(err).Info("peers do not bring what was missed")
+		f.log.WithError(err).Info("changes could not be fetched from a peer")
 	}
 }
 
-// gap reports whether pages were missed; mu is held.
-func (f *Follower) gap() bool { return f.revision.Before(f.gapTo) }
+// hasGap reports whether pages of peers were missed; mu is held.
+func (f *Follower) hasGap() bool { return f.revision.Before(f.missedUpTo) }
 
-func (f *Follower) nudge() {
+func (f *Follower) wakeUp() {
 	select {
-	case f.offered <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// fetch has another process bring the sink up to date, and reports whether one did.
+// fetch requests missed changes from a peer, and reports whether no gap is left.
 func (f *Follower) fetch(ctx context.Context) bool {
 	f.mu.Lock()
 	since := f.revision
 	f.mu.Unlock()
 	page, err := f.sharing.Fetch(ctx, since)
 	if err != nil {
-		f.notFetched(err)
+		f.logFetchError(err)
 		return false
 	}
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	f.mu.Lock()
 	older := page.Revision.Before(f.revision)
 	f.mu.Unlock()
 	switch {
 	case !page.Whole:
-		f.take(page, 0)
+		f.applyPage(page, 0)
 	case !older:
 		f.replace(page, 0)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.gap()
+	return !f.hasGap()
 }
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -11,31 +11,32 @@
 	"kingcupplank.example/kingcup/internal/wait"
 )
 
-func (f *Follower) failed(ctx context.Context, err error) {
+// handleFailure logs a failed call to the store and waits before the next one.
+func (f *Follower) handleFailure(ctx context.Context, err error) {
 	f.mu.Lock()
 	if errors.Is(err, ErrHistoryLost) {
-		f.log.WithField("revision", f.revision.String()).Warn("feed has a gap, reading the table anew")
-		f.synced, f.begun = false, f.now()
+		f.log.WithField("revision", f.revision.String()).Warn("feed has lost the history since the last read, reading the whole table again")
+		f.synced, f.withoutSince = false, f.now()
 		f.mu.Unlock()
 		return
 	}
-	log := f.log.WithError(err).WithFields(fieldsOf(err)).WithField("revision", f.revision.String())
+	log := f.log.WithError(err).WithFields(logFields(err)).WithField("revision", f.revision.String())
 	if f.failures == 0 {
-		log.Warn("store is lost")
+		log.Warn("store is unavailable")
 	} else {
-		// One call fails after the other, each for itself: what it had received tells an
-		// answer that is given up too early from a store that does not answer. backoff
-		// bounds the lines.
-		log.WithField("failures", f.failures).Info("store is still lost")
+		// Every failed call is logged. How much it had received distinguishes an answer that
+		// was cut off too early from a store that does not answer. storeBackoff bounds the
+		// number of lines.
+		log.WithField("failures", f.failures).Info("store is still unavailable")
 	}
-	pause := backoff.Delay(f.failures, rand.Float64())
+	pause := storeBackoff.Delay(f.failures, rand.Float64())
 	f.failures++
 	f.mu.Unlock()
 	wait.For(ctx, pause)
 }
 
-// fieldsOf are what an error says for a log line beside its text.
-func fieldsOf(err error) logrus.Fields {
+// logFields returns the log fields that an error provides in addition to its text.
+func logFields(err error) logrus.Fields {
 	var detailed interface{ LogFields() map[string]any }
 	if errors.As(err, &detailed) {
 		return detailed.LogFields()
@@ -43,39 +44,38 @@
 	return nil
 }
 
-// HasTable reports whether the table has been read. It may be out of date since.
+// HasTable reports whether the whole table has ever been read. It may be out of date since.
 func (f *Follower) HasTable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.filled
+	return f.hasTable
 }
 
-// IsUnavailable reports whether the table cannot be read, here or by others.
+// IsUnavailable reports whether neither this process nor its peers can read the table.
 func (f *Follower) IsUnavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	age := f.now() - f.made
-	return f.synced && (age > f.cfg.PollTimeout+silentSlack/2 || f.failures > 0 && age > silentSlack)
+	age := f.now() - f.madeAt
+	return f.synced && (age > f.cfg.PollTimeout+silenceMargin/2 || f.failures > 0 && age > silenceMargin)
 }
 
-// StoreTime is the store's steady clock now, as near as the answers so far tell: a
-// clock that all processes share to within a few ms. It is false before the first
-// answer.
+// StoreTime returns an estimate of the store's steady clock from the answers so far. All
+// processes share this clock to within a few ms. It returns false before the first answer.
 func (f *Follower) StoreTime() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now() - f.offset, f.offsetKnown
+	return f.now() - f.clockOffset, f.clockOffsetKnown
 }
 
-// StoreReached reports whether the store answered this process last.
+// StoreReached reports whether the store answered the last call of this process.
 func (f *Follower) StoreReached() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failures == 0
 }
 
-// LastAnswer is the store's steady clock when it last answered this process: now, while a
-// long answer comes in.
+// LastAnswer returns the store's steady clock at its last answer to this process. While a long answer
+// is arriving that is the current time.
 func (f *Follower) LastAnswer() time.Duration {
 	now, known := f.StoreTime()
 	if known && f.IsReading() {
@@ -86,22 +86,22 @@
 	return f.answeredAt
 }
 
-// Position is how far the sink is, false while it has no whole table.
+// Position returns the position of the sink, and false while it has no synced table.
 func (f *Follower) Position() (Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.position(), f.synced
 }
 
-// LastPosition is how far the sink is, also while its table is read anew; false before the first. What
-// it says of time stays true: the copy gets no newer meanwhile.
+// LastPosition returns the position of the sink also while the table is read again, and false before
+// the first table. Its Clock is correct in that time too, because the copy does not change.
 func (f *Follower) LastPosition() (Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.position(), f.filled
+	return f.position(), f.hasTable
 }
 
-// position is how far the sink is; mu is held.
+// position returns the position of the sink; mu is held.
 func (f *Follower) position() Position {
-	return Position{Changed: f.changed, Revision: f.revision, Clock: f.stamp}
+	return Position{Changed: f.changed, Revision: f.revision, Clock: f.storeClock}
 }
