--- a/forecast/lengths.go
+++ b/forecast/lengths.go
@@ -40,10 +40,10 @@
 	return 1 + math.Log(tokens/firstEnd)/logGrowth
 }
 
-// Lengths is a histogram of output lengths with exponentially decaying weights, combined
+// LengthHistogram is a histogram of output lengths with exponentially decaying weights, combined
 // with a prior.
-type Lengths struct {
-	prior *Lengths
+type LengthHistogram struct {
+	prior *LengthHistogram
 	count [Buckets]float64
 	total float64
 	// scale is the weight of the next observation. It grows by 1/decay with each
@@ -61,15 +61,15 @@
 // maxScale is the scale above which all counts are scaled down.
 const maxScale = 1e9
 
-// NewLengths returns an empty histogram. With a nil prior it starts from a broad guess.
-func NewLengths(prior *Lengths) *Lengths {
-	l := &Lengths{prior: prior, scale: 1}
+// NewLengthHistogram returns an empty histogram. With a nil prior it starts from a broad guess.
+func NewLengthHistogram(prior *LengthHistogram) *LengthHistogram {
+	l := &LengthHistogram{prior: prior, scale: 1}
 	l.refresh()
 	return l
 }
 
 // Observe records the length in tokens of a generation that was not cut short.
-func (l *Lengths) Observe(tokens int) {
+func (l *LengthHistogram) Observe(tokens int) {
 	i := min(int(bucketOf(float64(tokens))), Buckets-1)
 	l.count[i] += l.scale
 	l.total += l.scale
@@ -83,7 +83,7 @@
 	}
 }
 
-func (l *Lengths) rescale() {
+func (l *LengthHistogram) rescale() {
 	for i := range l.count {
 		l.count[i] /= l.scale
 	}
@@ -91,7 +91,7 @@
 	l.scale = 1
 }
 
-func (l *Lengths) refresh() {
+func (l *LengthHistogram) refresh() {
 	l.unseen = 0
 	total := l.total/l.scale + priorWeight
 	sum := 0.0
@@ -104,7 +104,7 @@
 
 // priorTail returns tail[i] of the prior. Without a prior, the broad guess is 1 up to
 // bucket 14 and then halves every four buckets, which is roughly a factor of 2.3 in length.
-func (l *Lengths) priorTail(i int) float64 {
+func (l *LengthHistogram) priorTail(i int) float64 {
 	if l.prior != nil {
 		return l.prior.tail[i]
 	}
@@ -120,7 +120,7 @@
 const beyondLast = 0.5
 
 // Survival returns the share of generations that are longer than a number of tokens.
-func (l *Lengths) Survival(tokens float64) float64 {
+func (l *LengthHistogram) Survival(tokens float64) float64 {
 	pos := bucketOf(tokens)
 	i := int(pos)
 	if i >= Buckets {
@@ -138,7 +138,7 @@
 
 // ContinueProbability returns the probability that a stream which has emitted some tokens
 // is still running after ahead more tokens.
-func (l *Lengths) ContinueProbability(emitted, ahead float64) float64 {
+func (l *LengthHistogram) ContinueProbability(emitted, ahead float64) float64 {
 	survival := l.Survival(emitted)
 	if survival <= 0 {
 		return 0.5
@@ -147,8 +147,8 @@
 }
 
 // Remaining returns the mean number of tokens that a stream will still emit after some
-// emitted tokens. Lengths beyond the last bucket count only up to its end.
-func (l *Lengths) Remaining(emitted float64) float64 {
+// emitted tokens. LengthHistogram beyond the last bucket count only up to its end.
+func (l *LengthHistogram) Remaining(emitted float64) float64 {
 	survival := l.Survival(emitted)
 	if survival <= 0 {
 		return emitted
--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -25,26 +25,26 @@
 	minSpread = 0.1
 )
 
-// Outputs estimates the length of a generation's output from what its caller states, from
+// OutputEstimator estimates the length of a generation's output from what its caller states, from
 // the lengths of finished generations of the same kind, and from its length so far. It
 // models lengths and the errors of callers' estimates as lognormal. The observed spread of
 // each determines its weight.
 //
 // A value must not be used by several goroutines at the same time.
-type Outputs struct {
+type OutputEstimator struct {
 	lengths, errors moments
 }
 
-// NewOutputs returns an estimator without observations.
-func NewOutputs() *Outputs {
-	return &Outputs{
+// NewOutputEstimator returns an estimator without observations.
+func NewOutputEstimator() *OutputEstimator {
+	return &OutputEstimator{
 		lengths: newMoments(initialLog, initialSpread),
 		errors:  newMoments(0, initialHintSpread),
 	}
 }
 
 // Observe records the output length of a generation that was not cut short.
-func (o *Outputs) Observe(tokens int, hint CallerHint) {
+func (o *OutputEstimator) Observe(tokens int, hint CallerHint) {
 	if tokens <= 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 
 // ExpectedTokens returns the mean total output, in tokens, of a running generation that
 // has already emitted some tokens.
-func (o *Outputs) ExpectedTokens(hint CallerHint, emitted int) int {
+func (o *OutputEstimator) ExpectedTokens(hint CallerHint, emitted int) int {
 	mean, spread := o.lengths.mean, o.lengths.spread()
 	if hint.EstimatedTokens > 0 {
 		// Observed lengths and the estimate are weighted by their inverse variances.
--- a/forecast/outputs_test.go
+++ b/forecast/outputs_test.go
@@ -36,7 +36,7 @@
 // than a sixth of the tokens.
 func TestOutputsAreBetterThanCallersEstimates(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	for _, g := range generations(100, rnd) {
 		o.Observe(g.tokens, g.CallerHint)
 	}
@@ -58,7 +58,7 @@
 // planned, so its expected length must grow with its actual length.
 func TestExpectationGrowsBeyondCallersEstimate(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	for _, g := range generations(300, rnd) {
 		o.Observe(g.tokens, g.CallerHint)
 	}
@@ -79,7 +79,7 @@
 // tokens and the largest output that the caller accepts.
 func TestOutputsStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := NewOutputs()
+		o := NewOutputEstimator()
 		for range rapid.IntRange(0, 40).Draw(t, "seen") {
 			o.Observe(rapid.IntRange(0, 100000).Draw(t, "tokens"), CallerHint{EstimatedTokens: rapid.IntRange(0, 100000).Draw(t, "hint")})
 		}
@@ -96,7 +96,7 @@
 // An estimate takes 180 ns and does not allocate. One is made before a request is placed
 // and one per second while it runs.
 func BenchmarkOutputsExpect(b *testing.B) {
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	b.ReportAllocs()
 	for i := range b.N {
 		o.ExpectedTokens(CallerHint{EstimatedTokens: 100 + i%1000, MaxTokens: 2000}, i%500)
--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -56,7 +56,7 @@
 	if err := inflate(head.GetAccess(), &a); err != nil {
 		return nil, err
 	}
-	ch := &routing.Change{Base: head.GetBase(), Version: head.GetVersion(), Keyed: a.GetKeyed(), DropTeams: a.GetDrop()}
+	ch := &routing.Change{Base: head.GetBase(), Version: head.GetVersion(), KeysRequired: a.GetKeyed(), DropTeams: a.GetDrop()}
 	for _, t := range a.GetSet() {
 		ch.SetTeams = append(ch.SetTeams, &routing.Team{Name: t.GetName(), Keys: t.GetKeys(), Priority: int(t.GetPriority()), HasPriority: t.GetRanked(), Regions: t.GetRegions()})
 	}
@@ -133,7 +133,7 @@
 }
 
 func accessOf(ch *routing.Change) *peerv1.Access {
-	a := &peerv1.Access{Drop: ch.DropTeams, Keyed: ch.Keyed}
+	a := &peerv1.Access{Drop: ch.DropTeams, Keyed: ch.KeysRequired}
 	for _, t := range ch.SetTeams {
 		a.Set = append(a.Set, &peerv1.Team{Name: t.Name, Keys: t.Keys, Priority: int32(t.Priority), Ranked: t.HasPriority, Regions: t.Regions})
 	}
@@ -152,14 +152,14 @@
 		first.Services = append(first.Services, serviceOf(s))
 	}
 	out = append(out, first)
-	for ids := range slices.Chunk(ch.Drop, partRoutes) {
+	for ids := range slices.Chunk(ch.DropRoutes, partRoutes) {
 		part := &peerv1.Routes{}
 		for _, id := range ids {
 			part.Drop = append(part.Drop, &peerv1.RouteID{Host: id.Host, Prefix: id.Prefix})
 		}
 		out = append(out, part)
 	}
-	for routes := range slices.Chunk(ch.Set, partRoutes) {
+	for routes := range slices.Chunk(ch.SetRoutes, partRoutes) {
 		part := &peerv1.Routes{}
 		for _, r := range routes {
 			part.Set = append(part.Set, routeOf(r))
@@ -171,8 +171,8 @@
 
 func routeOf(r *routing.Route) *peerv1.Route {
 	out := &peerv1.Route{
-		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: uint32(r.Kind), Timeout: int64(r.Timeout), Target: int64(r.Target),
-		MaxPause: int64(r.MaxPause), Silence: int64(r.Silence), Servers: int32(r.Servers), Priority: int32(r.Priority),
+		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: uint32(r.Kind), Timeout: int64(r.Timeout), Target: int64(r.TargetLatency),
+		MaxPause: int64(r.MaxPause), Silence: int64(r.EventTimeout), Servers: int32(r.MaxServers), Priority: int32(r.Priority),
 		Public: r.Public, Resumable: r.Resumable, Regions: r.Regions,
 	}
 	for _, w := range r.Split {
@@ -184,9 +184,9 @@
 func routeFrom(r *peerv1.Route) *routing.Route {
 	out := &routing.Route{
 		Name: r.GetName(), Host: r.GetHost(), Prefix: r.GetPrefix(), Kind: routing.Kind(r.GetKind()),
-		Timeout: time.Duration(r.GetTimeout()), Target: time.Duration(r.GetTarget()),
-		MaxPause: time.Duration(r.GetMaxPause()), Silence: time.Duration(r.GetSilence()),
-		Servers: int(r.GetServers()), Priority: int(r.GetPriority()), Public: r.GetPublic(), Resumable: r.GetResumable(), Regions: r.GetRegions(),
+		Timeout: time.Duration(r.GetTimeout()), TargetLatency: time.Duration(r.GetTarget()),
+		MaxPause: time.Duration(r.GetMaxPause()), EventTimeout: time.Duration(r.GetSilence()),
+		MaxServers: int(r.GetServers()), Priority: int(r.GetPriority()), Public: r.GetPublic(), Resumable: r.GetResumable(), Regions: r.GetRegions(),
 	}
 	for _, w := range r.GetSplit() {
 		out.Split = append(out.Split, routing.Weighted{Service: w.GetService(), Weight: int(w.GetWeight())})
@@ -199,7 +199,7 @@
 	if e := s.Engine; e != nil {
 		out.Engine = &peerv1.Engine{
 			Slots: int64(e.Slots), MemoryTokens: int64(e.MemoryTokens), BytesPerToken: int64(e.BytesPerToken),
-			LinkMbps: e.LinkMbps, TokensPerEvent: int64(e.TokensPerEvent), Moves: e.Moves, Backups: e.Backups, CopyTtl: int64(e.CopyTTL),
+			LinkMbps: e.LinkMbps, TokensPerEvent: int64(e.TokensPerEvent), Moves: e.SupportsMigration, Backups: e.SupportsStandby, CopyTtl: int64(e.CopyTTL),
 		}
 	}
 	return out
@@ -210,7 +210,7 @@
 	if e := s.GetEngine(); e != nil {
 		out.Engine = &routing.Engine{
 			Slots: int(e.GetSlots()), MemoryTokens: int(e.GetMemoryTokens()), BytesPerToken: int(e.GetBytesPerToken()),
-			LinkMbps: e.GetLinkMbps(), TokensPerEvent: int(e.GetTokensPerEvent()), Moves: e.GetMoves(), Backups: e.GetBackups(),
+			LinkMbps: e.GetLinkMbps(), TokensPerEvent: int(e.GetTokensPerEvent()), SupportsMigration: e.GetMoves(), SupportsStandby: e.GetBackups(),
 			CopyTTL: time.Duration(e.GetCopyTtl()),
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -76,8 +76,8 @@
 	var d net.Dialer
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
-		State: g.state, Receiver: g, Answer: g.answer, Log: log, Forgotten: g.forgotten,
-		Sent: costs.toPeer, MaxLinks: mostLinks, Placed: g.placed, InitialSuspects: g.suspects.greet,
+		State: g.state, Receiver: g, Answer: g.answer, Log: log, OnForgotten: g.forgotten,
+		OnSent: costs.toPeer, MaxLinks: mostLinks, OnPlaced: g.placed, InitialSuspects: g.suspects.greet,
 	})
 	return g
 }
@@ -209,7 +209,7 @@
 }
 
 // Count implements relay.Others.
-func (g *group) Count() int { return g.links.Known() }
+func (g *group) Count() int { return g.links.KnownCount() }
 
 // AcceptingRequests implements relay.Others.
 func (g *group) AcceptingRequests() bool {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -65,7 +65,7 @@
 		State: func() *peerv1.State {
 			return &peerv1.State{From: &peerv1.Member{Name: self.Name, Address: self.Address, FailureDomain: self.FailureDomain}}
 		},
-		Receiver: e, Log: log, Forgotten: func(Member) {}, MaxLinks: DefaultLinks,
+		Receiver: e, Log: log, OnForgotten: func(Member) {}, MaxLinks: DefaultLinks,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -96,7 +96,7 @@
 	b, earsB, stopB := begin(t, "b")
 	a.AddMembers([]Member{b.self, a.self})
 	require.Eventually(t, func() bool { return earsA.hears("b") && earsB.hears("a") }, soon, time.Millisecond)
-	require.Equal(t, 2, a.Known())
+	require.Equal(t, 2, a.KnownCount())
 	a.BroadcastPage(&peerv1.Page{Table: "t"})
 	require.Eventually(t, func() bool { return earsB.heard() == 1 }, soon, time.Millisecond)
 	stopB()
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -136,7 +136,7 @@
 
 // mayRepeat reports whether the request may run once more.
 func (j *job) mayRepeat() bool {
-	return j.route.Repeatable() && j.ran < j.route.Servers && j.left() > leastLeft
+	return j.route.Repeatable() && j.ran < j.route.MaxServers && j.left() > leastLeft
 }
 
 // acquire takes a lease on a server, waiting a while for one with room.
@@ -225,10 +225,10 @@
 }
 
 func (j *job) patience() time.Duration {
-	if j.route.Target <= 0 {
+	if j.route.TargetLatency <= 0 {
 		return defaultPatience
 	}
-	return time.Duration(patienceShare * float64(j.route.Target))
+	return time.Duration(patienceShare * float64(j.route.TargetLatency))
 }
 
 // refuse is the refusal of a request that may have been sent before.
--- a/placement/filters.go
+++ b/placement/filters.go
@@ -15,7 +15,7 @@
 func NotCordoned(_ *Request, s *Server) bool { return !s.Cordoned }
 
 // InRegions drops servers outside the regions in which the request may run.
-func InRegions(r *Request, s *Server) bool { return r.Regions.Allow(s.Region) }
+func InRegions(r *Request, s *Server) bool { return r.Regions.Allows(s.Region) }
 
 // NotBackingOff drops servers that have asked this process to send nothing for some time.
 func NotBackingOff(_ *Request, s *Server) bool { return !s.BackingOff }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -31,8 +31,8 @@
 	// Running, Queued, MemoryForecast and MemoryTotal are from the last load report.
 	Running, Queued             int
 	MemoryForecast, MemoryTotal uint64
-	// Sent is the number of requests that this process has sent since that report.
-	Sent int
+	// SentSinceReport is the number of requests that this process has sent since that report.
+	SentSinceReport int
 	// PromptPending is the number of prompt tokens that the server reads before the prompt
 	// of a new request.
 	PromptPending int
--- a/routing/config.go
+++ b/routing/config.go
@@ -18,9 +18,9 @@
 	Routes   []*Route
 	Services []*Service
 	Teams    []*Team
-	// Keyed says that the configuration names teams, so that routes which are not
+	// KeysRequired says that the configuration names teams, so that routes which are not
 	// public need a key.
-	Keyed bool
+	KeysRequired bool
 }
 
 // Config is one version of the configuration.
@@ -73,8 +73,8 @@
 // NeedsKey reports whether requests of a route must bear a team's key.
 func (c *Config) NeedsKey(r *Route) bool { return c.keyed && !r.Public }
 
-// Team returns the holder of a key, or nil.
-func (c *Config) Team(key string) *Team {
+// TeamByKey returns the holder of a key, or nil.
+func (c *Config) TeamByKey(key string) *Team {
 	t, _ := c.keys.Get([]byte(key))
 	return t
 }
@@ -87,7 +87,7 @@
 func (c *Config) Next(content Content, pause func()) (*Config, *Change) {
 	ch := &Change{
 		Base: c.Version, Version: content.Version, Limits: content.Limits,
-		Services: content.Services, Keyed: content.Keyed,
+		Services: content.Services, KeysRequired: content.KeysRequired,
 	}
 	ch.diffRoutes(c, content.Routes, pause)
 	ch.diffTeams(c, content.Teams)
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	u.insert(ch.Drop, ch.Set)
+	u.insert(ch.DropRoutes, ch.SetRoutes)
 	return u.config(), nil
 }
 
@@ -151,7 +151,7 @@
 
 // whole is the change that leads from nothing to the version.
 func (c *Config) whole() *Change {
-	ch := &Change{Version: c.Version, Limits: c.Limits, Keyed: c.keyed}
+	ch := &Change{Version: c.Version, Limits: c.Limits, KeysRequired: c.keyed}
 	for _, s := range c.services {
 		ch.Services = append(ch.Services, s)
 	}
@@ -161,7 +161,7 @@
 		if !ok {
 			break
 		}
-		ch.Set = append(ch.Set, r)
+		ch.SetRoutes = append(ch.SetRoutes, r)
 	}
 	for it := c.teams.Root().Iterator(); ; {
 		_, t, ok := it.Next()
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -51,16 +51,16 @@
 	Kind   Kind
 	// Timeout is the longest that a caller may be kept waiting; 0 is no bound.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, within
+	// TargetLatency is the time to the answer, or to a stream's first event, within
 	// which it is on time.
-	Target time.Duration
+	TargetLatency time.Duration
 	// MaxPause is the longest pause between two events of a stream on time.
 	MaxPause time.Duration
-	// Silence is how long callers wait for the first or the next event of a stream
+	// EventTimeout is how long callers wait for the first or the next event of a stream
 	// before they leave; 0 if they do not.
-	Silence time.Duration
-	// Servers is the most backend servers that may run one attempt of a caller.
-	Servers int
+	EventTimeout time.Duration
+	// MaxServers is the most backend servers that may run one attempt of a caller.
+	MaxServers int
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
 	// Public routes need no key.
@@ -78,8 +78,8 @@
 		return true
 	}
 	return r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Kind == o.Kind &&
-		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.Silence == o.Silence &&
-		r.Servers == o.Servers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
+		r.Timeout == o.Timeout && r.TargetLatency == o.TargetLatency && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
+		r.MaxServers == o.MaxServers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
 		slices.Equal(r.Split, o.Split) && slices.Equal(r.Regions, o.Regions)
 }
 
@@ -120,8 +120,8 @@
 	LinkMbps float64
 	// TokensPerEvent is the number of tokens that one event holds.
 	TokensPerEvent int
-	// Moves and Backups say what the engines can do with a run's memory.
-	Moves, Backups bool
+	// SupportsMigration and SupportsStandby say what the engines can do with a run's memory.
+	SupportsMigration, SupportsStandby bool
 	// CopyTTL is how long a copy waits to be used.
 	CopyTTL time.Duration
 }
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -25,7 +25,7 @@
 
 func (w *world) offer(j *Job, length int) {
 	w.length[j] = length
-	if w.p.Offer(w.now, j).Admission == Refuse {
+	if w.p.Offer(w.now, j).Admission == Refused {
 		w.ended++
 		return
 	}
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, act := range w.p.Tick(w.now, nil) {
-		switch act.Verb {
+		switch act.Kind {
 		case Start:
 			emitted, ok := w.queued[act.Job]
 			require.True(t, ok, "started a job that does not wait")
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -58,10 +58,10 @@
 
 // The verdicts.
 const (
-	// Queue means that a later Start or Refuse action follows.
-	Queue Admission = iota
-	// Refuse means that the job is forgotten; it did not run.
-	Refuse
+	// Queued means that a later Start or Refuse action follows.
+	Queued Admission = iota
+	// Refused means that the job is forgotten; it did not run.
+	Refused
 )
 
 // Decision answers Offer.
@@ -71,13 +71,13 @@
 	RetryAfter time.Duration
 }
 
-// Verb is what an Action asks for.
-type Verb uint8
+// ActionKind is what an Action asks for.
+type ActionKind uint8
 
 // The verbs.
 const (
 	// Start the job, or continue it if it was paused.
-	Start Verb = iota
+	Start ActionKind = iota
 	// Pause the job: take it off the engine and keep its tokens.
 	Pause
 	// Expire answers a job that never ran as not run.
@@ -86,7 +86,7 @@
 
 // Action is one thing for the caller to carry out.
 type Action struct {
-	Verb       Verb
+	Kind       ActionKind
 	Job        *Job
 	RetryAfter time.Duration
 }
