--- a/backends/registry.go
+++ b/backends/registry.go
@@ -17,13 +17,13 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// Traits are what is known of all servers of a service.
-type Traits struct {
+// ServiceTraits are what is known of all servers of a service.
+type ServiceTraits struct {
 	// MemoryTokens is the memory of a server, 0 where a service has no engines.
 	MemoryTokens int
 	// ColdTime is how long a server is cold after its start, Cold what it bears meanwhile.
-	ColdTime time.Duration
-	Cold     pacing.Limit
+	ColdTime  time.Duration
+	ColdLimit pacing.Limit
 }
 
 const (
@@ -56,7 +56,7 @@
 // Registry holds the servers. Times are of one steady clock, given by callers.
 type Registry struct {
 	domain string
-	traits func(service string) Traits
+	traits func(service string) ServiceTraits
 	policy placement.Policy
 	copies placement.Policy
 
@@ -96,13 +96,13 @@
 	NoticeReported LeaveReason = "its own report"
 	// NoticeTold is told of a server whose report another process has seen.
 	NoticeTold LeaveReason = "its own report to a peer"
-	// NoticeRestarted is told of the life that has ended; its runs ended with it.
-	NoticeRestarted LeaveReason = "started again"
+	// LeaveRestarted is told of the life that has ended; its runs ended with it.
+	LeaveRestarted LeaveReason = "started again"
 )
 
 // New returns an empty registry of a process in domain. leaving is told once of
 // each server that begins to leave; it is called without the lock.
-func New(domain string, traits func(service string) Traits, leaving func(Server, LeaveReason)) *Registry {
+func New(domain string, traits func(service string) ServiceTraits, leaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
 		domain: domain, traits: traits, leaving: leaving,
 		policy: placement.Direct(), copies: placement.CopyTarget(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
@@ -169,7 +169,7 @@
 		if s.StartTime < old.StartTime {
 			return left
 		}
-		left = append(left, leave{old.Server, NoticeRestarted})
+		left = append(left, leave{old.Server, LeaveRestarted})
 		old = nil
 	}
 	if old == nil {
@@ -357,9 +357,9 @@
 	return r.lease(s, q, len(list))
 }
 
-// SetPlace says which of how many cells this process is in, and which others send to the same
+// SetCell says which of how many cells this process is in, and which others send to the same
 // servers. It reports whether the cell is news.
-func (r *Registry) SetPlace(p cells.Place) bool {
+func (r *Registry) SetCell(p cells.Place) bool {
 	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -419,8 +419,8 @@
 // unlist drops the lists; the directory has changed. mu is held.
 func (r *Registry) unlist() { clear(r.lists) }
 
-// Ready counts the servers of a service that take requests.
-func (r *Registry) Ready(service string) int {
+// CountReady counts the servers of a service that take requests.
+func (r *Registry) CountReady(service string) int {
 	ready, _ := r.CountReadyWithin(service, nil)
 	return ready
 }
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -27,11 +27,11 @@
 	r.SetRemoteLoads("vm-2", map[string]Load{"a": {Running: 5, ExpectedTokens: 20000, PromptTokens: 9000, StartTime: 100}})
 	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2, StartTime: 100}}, 0)
 	r.MarkLeaving(bornAt("a", 100))
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 
 	r.Put(bornAt("a", 200), 0)
-	require.Equal(t, []told{{"a", NoticeReported}, {"a", NoticeRestarted}}, *notices)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, []told{{"a", NoticeReported}, {"a", LeaveRestarted}}, *notices)
+	require.Equal(t, 1, r.CountReady(svc))
 	lease := r.Acquire(Query{Service: svc, ExpectedTokens: 9000, PromptTokens: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
 	require.NotNil(t, lease, "nothing of the earlier load is counted")
 	require.Equal(t, Load{}, lease.Load)
@@ -57,7 +57,7 @@
 	r.MarkLeaving(old)
 	r.MarkReplaced(old)
 	require.Nil(t, r.ReserveAt(old, 100))
-	require.Equal(t, []told{{"a", NoticeRestarted}}, *notices)
+	require.Equal(t, []told{{"a", LeaveRestarted}}, *notices)
 	require.True(t, r.HasRestarted(old))
 	require.False(t, r.HasRestarted(now))
 	require.Equal(t, "elsewhere:1", r.Acquire(Query{Service: svc}, 0).Server.Address)
@@ -71,16 +71,16 @@
 	r.ReplaceAll([]Server{entry("a")}, 0, 0)
 	held := r.Acquire(Query{Service: svc}, 0)
 	r.Remove("a", 0, 0)
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 	r.Put(entry("a"), 0)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 	held.Release(ResultOK, 0)
 	require.Equal(t, "a", r.pick(t, 0))
 
 	held = r.Acquire(Query{Service: svc}, 0)
 	r.MarkReplaced(entry("a"))
 	r.Put(entry("a"), 0)
-	require.Zero(t, r.Ready(svc), "another server is at its address")
+	require.Zero(t, r.CountReady(svc), "another server is at its address")
 	held.Release(ResultOK, 0)
 }
 
@@ -93,19 +93,19 @@
 	defer held.Release(ResultOK, 0)
 	r.Put(Server{ID: "a", Unreadable: true}, 0)
 	r.Put(Server{ID: "never heard of", Unreadable: true}, 0)
-	require.Equal(t, 1, r.Ready(svc))
+	require.Equal(t, 1, r.CountReady(svc))
 	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0))
 	r.ReplaceAll([]Server{{ID: "a", Unreadable: true}, entry("b")}, 0, 0)
 	require.Empty(t, *notices)
 	r.Put(entry("a"), 0)
-	require.Equal(t, 2, r.Ready(svc))
+	require.Equal(t, 2, r.CountReady(svc))
 }
 
 // Whatever order entries of several lives arrive in, the newest life heard of is the
 // one in use, and unless it leaves it takes requests.
 func TestNewestLifeWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := New("zone-1", func(string) Traits { return Traits{MemoryTokens: 30000} }, func(Server, LeaveReason) {})
+		r := New("zone-1", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 30000} }, func(Server, LeaveReason) {})
 		newest, leaves := int64(0), false
 		for range rapid.IntRange(1, 12).Draw(t, "entries") {
 			s := bornAt("a", rapid.Int64Range(1, 5).Draw(t, "born"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -94,7 +94,7 @@
 	var g *Gateway
 	err := c.Invoke(func(r *relay.Relay, reg *backends.Registry, up *upstream.Client, rep *routing.Replica, rec *gatewaymetrics.Recorder, st *store.Client, gr *group, l *late) error {
 		g = &Gateway{started: time.Now(), set: &l.set, log: log, opts: opts, store: st, relay: r, registry: reg, upstream: up, group: gr}
-		reg.SetRegions(set.Regions)
+		reg.SetDomainRegions(set.Regions)
 		return g.run(set, rep, rec)
 	})
 	return g, dig.RootCause(err)
@@ -165,8 +165,8 @@
 // coldWindow is the time in which the platform counts what a cold server gets.
 const coldWindow = time.Second
 
-func traitsOf(rep *routing.Replica, l *late) func(service string) backends.Traits {
-	return func(service string) (t backends.Traits) {
+func traitsOf(rep *routing.Replica, l *late) func(service string) backends.ServiceTraits {
+	return func(service string) (t backends.ServiceTraits) {
 		cfg, _ := rep.Current()
 		if cfg == nil {
 			return t
@@ -177,7 +177,7 @@
 		}
 		bounds := l.set.Load().Bounds
 		t.ColdTime = s.ColdTime
-		t.Cold = pacing.Limit{Rate: s.ColdRate, MaxInWindow: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
+		t.ColdLimit = pacing.Limit{Rate: s.ColdRate, MaxInWindow: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
 		if s.Engine != nil {
 			t.MemoryTokens = s.Engine.MemoryTokens
 		}
@@ -350,7 +350,7 @@
 	if same {
 		return
 	}
-	g.registry.SetRegions(set.Regions)
+	g.registry.SetDomainRegions(set.Regions)
 	g.store.SetAddress(set.Store)
 	g.store.SetLink(set.LinkMbps)
 	g.relay.Configure(relayConfig(set))
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -18,8 +18,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// Once marks requests that run at most once for each attempt of the caller.
-	Once
+	// AtMostOnce marks requests that run at most once for each attempt of the caller.
+	AtMostOnce
 	// Stream marks generations: a series of numbered events. Unless the route is
 	// resumable they run at most once.
 	Stream
@@ -30,7 +30,7 @@
 	switch k {
 	case Idempotent:
 		return "idempotent"
-	case Once:
+	case AtMostOnce:
 		return "once"
 	}
 	return "stream"
@@ -89,8 +89,8 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a draw in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService returns the service for a draw in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, w := range r.Split {
 		total += w.Weight
