--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -57,7 +57,7 @@
 	s.changed = make(chan struct{})
 }
 
-// compact removes the history.
+// compact removes the history of all changes so far.
 func (s *fakeStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,9 +112,9 @@
 		s.mu.Unlock()
 		return Page{}, ErrHistoryLost
 	}
-	changed, none := s.changed, since.Version() >= s.revision
+	changed, upToDate := s.changed, since.Version() >= s.revision
 	s.mu.Unlock()
-	if none {
+	if upToDate {
 		select {
 		case <-changed:
 		case <-time.After(timeout):
@@ -147,63 +147,63 @@
 	return &recordingSink{rows: make(map[string]string), outages: make(map[string]time.Duration)}
 }
 
-func (t *recordingSink) Reset(rows []Row, outage time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.resets++
-	clear(t.rows)
+func (s *recordingSink) Reset(rows []Row, outage time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.resets++
+	clear(s.rows)
 	for _, r := range rows {
-		t.rows[r.Key] = string(r.Value)
+		s.rows[r.Key] = string(r.Value)
 	}
 }
 
-func (t *recordingSink) Apply(rows []Row, outage time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (s *recordingSink) Apply(rows []Row, outage time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, r := range rows {
 		if r.Deleted {
-			delete(t.rows, r.Key)
-			t.outages[r.Key] = outage
+			delete(s.rows, r.Key)
+			s.outages[r.Key] = outage
 			continue
 		}
-		t.rows[r.Key] = string(r.Value)
+		s.rows[r.Key] = string(r.Value)
 	}
 }
 
-func (t *recordingSink) Confirm(at time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.confirmed = at
+func (s *recordingSink) Confirm(at time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.confirmed = at
 }
 
-func (t *recordingSink) get(key string) string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.rows[key]
+func (s *recordingSink) get(key string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rows[key]
 }
 
-func (t *recordingSink) age(now time.Duration) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return now - t.confirmed
+func (s *recordingSink) age(now time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return now - s.confirmed
 }
 
-func (t *recordingSink) outage(key string) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.outages[key]
+func (s *recordingSink) outage(key string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.outages[key]
 }
 
-// fixedSharing is a Sharing with fixed answers.
+// fixedSharing is a Sharing with fixed answers. onShare receives the shared pages.
 type fixedSharing struct {
-	reads   func(reached bool) bool
-	shared  func(SharedPage)
-	reading bool
+	isReader      func(reached bool) bool
+	onShare       func(SharedPage)
+	peerIsReading bool
 	// fetch is nil if no peer serves the table.
 	fetch func() (Page, error)
 }
 
-func (f fixedSharing) IsPeerReading() bool { return f.reading }
+func (f fixedSharing) IsPeerReading() bool { return f.peerIsReading }
 
 func (f fixedSharing) MayCallStore(time.Duration) bool { return true }
 
@@ -214,26 +214,26 @@
 	return f.fetch()
 }
 
-func (f fixedSharing) IsReader(reached bool) bool { return f.reads(reached) }
-func (f fixedSharing) Share(s SharedPage)         { f.shared(s) }
+func (f fixedSharing) IsReader(reached bool) bool { return f.isReader(reached) }
+func (f fixedSharing) Share(s SharedPage)         { f.onShare(s) }
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-const testWait = 1500 * time.Millisecond
+const testPollTimeout = 1500 * time.Millisecond
 
 // startFollower runs a follower in a synctest bubble.
 func startFollower(t *testing.T, feed Feed, sink Sink, sharing Sharing) (f *Follower, now func() time.Duration) {
-	return startFollowerWith(t, Config{Name: "t", PollTimeout: testWait}, feed, sink, sharing)
+	return startFollowerWith(t, Config{Name: "t", PollTimeout: testPollTimeout}, feed, sink, sharing)
 }
 
 func startFollowerWith(t *testing.T, cfg Config, feed Feed, sink Sink, sharing Sharing) (f *Follower, now func() time.Duration) {
 	begin := time.Now()
 	now = func() time.Duration { return time.Since(begin) + time.Minute }
-	f = New(cfg, feed, sink, sharing, now, quiet())
+	f = New(cfg, feed, sink, sharing, now, discardLogger())
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go f.Run(ctx)
@@ -270,7 +270,7 @@
 		store, sink := newFakeStore(), newRecordingSink()
 		_, now := startFollower(t, store, sink, nil)
 		time.Sleep(5 * time.Second)
-		require.LessOrEqual(t, sink.age(now()), testWait)
+		require.LessOrEqual(t, sink.age(now()), testPollTimeout)
 		store.setUnavailable(true)
 		time.Sleep(5 * time.Second)
 		require.Greater(t, sink.age(now()), 3*time.Second)
@@ -289,13 +289,13 @@
 		store.put("a", "1")
 		store.put("b", "1")
 		startFollower(t, store, sink, nil)
-		time.Sleep(testWait + testWait/2)
+		time.Sleep(testPollTimeout + testPollTimeout/2)
 		store.remove("a")
 		time.Sleep(10 * time.Millisecond)
 		require.Zero(t, sink.outage("a"))
 		store.setUnavailable(true)
 		// A call that is already waiting at the store when the outage begins is answered.
-		time.Sleep(testWait + 3*time.Second)
+		time.Sleep(testPollTimeout + 3*time.Second)
 		store.setUnavailable(false)
 		time.Sleep(time.Second)
 		store.remove("b")
@@ -314,15 +314,15 @@
 		var stopped atomic.Bool
 		var peer atomic.Pointer[Follower]
 		startFollower(t, readerStore, reader, fixedSharing{
-			reads: func(bool) bool { return true },
-			shared: func(s SharedPage) {
+			isReader: func(bool) bool { return true },
+			onShare: func(s SharedPage) {
 				if f := peer.Load(); f != nil && !stopped.Load() {
 					f.ReceivePage(s)
 				}
 			},
 		})
 		synctest.Wait()
-		f, now := startFollower(t, otherStore, other, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, now := startFollower(t, otherStore, other, fixedSharing{isReader: func(bool) bool { return false }, onShare: func(SharedPage) {}})
 		peer.Store(f)
 		time.Sleep(10 * time.Millisecond)
 		require.Equal(t, 1, otherStore.callCount())
@@ -331,10 +331,10 @@
 		require.Equal(t, "1", other.get("a"))
 		time.Sleep(10 * time.Second)
 		require.Equal(t, 1, otherStore.callCount())
-		require.LessOrEqual(t, other.age(now()), testWait+100*time.Millisecond)
+		require.LessOrEqual(t, other.age(now()), testPollTimeout+100*time.Millisecond)
 
 		stopped.Store(true)
-		time.Sleep(testWait + 2*silenceMargin)
+		time.Sleep(testPollTimeout + 2*silenceMargin)
 		require.Greater(t, otherStore.callCount(), 1)
 	})
 }
@@ -345,7 +345,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, _ := startFollower(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, _ := startFollower(t, store, sink, fixedSharing{isReader: func(bool) bool { return false }, onShare: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		store.put("a", "2")
 		store.put("b", "1")
@@ -362,7 +362,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, _ := startFollower(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, _ := startFollower(t, store, sink, fixedSharing{isReader: func(bool) bool { return false }, onShare: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		pageWith := func(v string, version uint64) Page {
 			rev := revision.At(0, version)
@@ -397,7 +397,7 @@
 			store.put("a", "1")
 			fetched := 0
 			f, now := startFollower(t, store, sink, fixedSharing{
-				reads: func(bool) bool { return false }, shared: func(SharedPage) {},
+				isReader: func(bool) bool { return false }, onShare: func(SharedPage) {},
 				fetch: func() (Page, error) {
 					fetched++
 					if !peerHasPage {
@@ -427,7 +427,7 @@
 func TestBeingBehindAPeerCausesNoStoreCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		f, _ := startFollower(t, store, newRecordingSink(), fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, _ := startFollower(t, store, newRecordingSink(), fixedSharing{isReader: func(bool) bool { return false }, onShare: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		before := store.callCount()
 		for range 5 {
@@ -444,10 +444,10 @@
 func TestFollowerWaitsWhilePeerReceivesLongAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		startFollower(t, store, newRecordingSink(), fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}, reading: true})
+		startFollower(t, store, newRecordingSink(), fixedSharing{isReader: func(bool) bool { return false }, onShare: func(SharedPage) {}, peerIsReading: true})
 		time.Sleep(maxAgeWhilePeerReads - 100*time.Millisecond)
 		require.Equal(t, 1, store.callCount())
-		time.Sleep(2 * testWait)
+		time.Sleep(2 * testPollTimeout)
 		require.Greater(t, store.callCount(), 1)
 	})
 }
@@ -463,7 +463,7 @@
 		log.SetOutput(io.Discard)
 		begin, suspended := time.Now(), atomic.Int64{}
 		now := func() time.Duration { return time.Since(begin) + time.Duration(suspended.Load()) }
-		f := New(Config{Name: "t", PollTimeout: testWait}, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}}, now, log)
+		f := New(Config{Name: "t", PollTimeout: testPollTimeout}, store, sink, fixedSharing{isReader: func(bool) bool { return false }, onShare: func(SharedPage) {}}, now, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go f.Run(ctx)
--- a/internal/follow/position.go
+++ b/internal/follow/position.go
@@ -23,8 +23,8 @@
 func (p Position) Covers(o Position) bool { return !p.Revision.Before(o.Changed) }
 
 // Merge returns the position of a copy at p when another copy is known to be at o, which p
-// covers. If the spans without changes overlap, the copy is complete up to the higher of the
-// two revisions; else p is unchanged.
+// covers. If the ranges of revisions without changes overlap, the copy is complete up to the
+// higher of the two revisions. Otherwise Merge returns p.
 func (p Position) Merge(o Position) Position {
 	if o.Revision.Before(p.Changed) {
 		return p
--- a/internal/follow/position_test.go
+++ b/internal/follow/position_test.go
@@ -150,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, now := startFollower(t, store, sink, fixedSharing{reads: func(bool) bool { return false }, shared: func(SharedPage) {}})
+		f, now := startFollower(t, store, sink, fixedSharing{isReader: func(bool) bool { return false }, onShare: func(SharedPage) {}})
 		time.Sleep(10 * time.Millisecond)
 		calls := store.callCount()
 		for range 600 {
@@ -172,7 +172,7 @@
 		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
 		f, now := startFollower(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return false }, shared: func(SharedPage) {},
+			isReader: func(bool) bool { return false }, onShare: func(SharedPage) {},
 			fetch: func() (Page, error) { return Page{}, errUnavailable },
 		})
 		time.Sleep(10 * time.Millisecond)
@@ -193,7 +193,7 @@
 		store.setUnavailable(true)
 		old := Page{Whole: true, Revision: revision.At(0, 7), Clock: time.Second, Rows: []Row{{Key: "a", Value: []byte("1"), Revision: revision.At(0, 7)}}}
 		f, now := startFollower(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return false }, shared: func(SharedPage) {},
+			isReader: func(bool) bool { return false }, onShare: func(SharedPage) {},
 			fetch: func() (Page, error) { return old, nil },
 		})
 		time.Sleep(5 * time.Second)
@@ -213,7 +213,7 @@
 		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
 		startFollower(t, store, sink, fixedSharing{
-			reads: func(bool) bool { return true }, shared: func(SharedPage) {},
+			isReader: func(bool) bool { return true }, onShare: func(SharedPage) {},
 			fetch: func() (Page, error) {
 				return Page{Revision: revision.At(0, 2), Changed: revision.At(0, 2), Clock: time.Since(store.start), Rows: []Row{{Key: "a", Value: []byte("2"), Revision: revision.At(0, 2)}}}, nil
 			},
@@ -237,7 +237,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newFakeStore(), newRecordingSink()
 		store.put("a", "1")
-		f, _ := startFollowerWith(t, Config{Name: "t", PollTimeout: testWait, KeepRows: true}, store, sink, nil)
+		f, _ := startFollowerWith(t, Config{Name: "t", PollTimeout: testPollTimeout, KeepRows: true}, store, sink, nil)
 		time.Sleep(time.Second)
 		store.mu.Lock()
 		store.snapshotTime = 500 * time.Millisecond
@@ -281,7 +281,7 @@
 // all.
 func TestRestoredStoreIsCountedOnce(t *testing.T) {
 	restored := 0
-	f := New(Config{Name: "t", OnRestored: func() { restored++ }}, nil, newRecordingSink(), nil, func() time.Duration { return time.Minute }, quiet())
+	f := New(Config{Name: "t", OnRestored: func() { restored++ }}, nil, newRecordingSink(), nil, func() time.Duration { return time.Minute }, discardLogger())
 	f.Seed(Page{Revision: revision.At(0, 9), Clock: time.Second}, time.Minute)
 	require.Zero(t, restored)
 	f.Seed(Page{Revision: revision.At(1, 4), Clock: 2 * time.Second}, time.Minute)
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -32,26 +32,28 @@
 	IsReader(reached bool) bool
 	// MayCallStore reports whether this process may call the store although it is not a
 	// reader, because it receives nothing from the readers or has been without a table for
-	// some time. If many processes ask at the same time, only a few may.
-	MayCallStore(without time.Duration) bool
+	// some time, given by withoutTable. If many processes ask at the same time, only a few
+	// may call.
+	MayCallStore(withoutTable time.Duration) bool
 	// Share passes a page from the store on to other processes.
 	Share(s SharedPage)
-	// IsPeerReading reports whether a peer reports that it is receiving a long answer of the store.
+	// IsPeerReading reports whether a peer says that it is receiving a long answer of the
+	// store.
 	IsPeerReading() bool
 }
 
-// silenceMargin is the time beyond the timeout of a call for which a process that relies on
-// its peers may receive nothing from them. After that it calls the store itself.
+// silenceMargin is added to the timeout of a call. A process that relies on its peers calls
+// the store itself when its copy is older than the sum.
 const silenceMargin = 500 * time.Millisecond
 
 // reliesOnPeers reports whether peers read the table for this process. It calls sharing
 // without holding mu, because sharing in turn asks the follower for the store's clock.
 func (f *Follower) reliesOnPeers() bool {
 	f.mu.Lock()
-	alone := f.sharing == nil || !f.synced || f.hasGap() || f.behind
-	reached, isSilent := f.failures == 0, !alone && f.isSilent()
+	needsCall := f.sharing == nil || !f.synced || f.hasGap() || f.behind
+	reached, isSilent := f.failures == 0, !needsCall && f.isSilent()
 	f.mu.Unlock()
-	if alone || f.sharing.IsReader(reached) {
+	if needsCall || f.sharing.IsReader(reached) {
 		return false
 	}
 	if isSilent {
@@ -171,10 +173,10 @@
 	return !f.synced || !f.position().Covers(p)
 }
 
-// ChangesSince returns the changes after a revision, for another process. It returns false if rows are
-// not kept or there are none yet. While the table is read again it returns the previous rows:
-// a process that starts would otherwise have only the store, which may have been restored
-// from an older copy.
+// ChangesSince returns the changes after a revision, for another process. It returns false if
+// rows are not kept or there are none yet. While the table is read again it returns the
+// previous rows: a process that starts would otherwise have only the store, which may have
+// been restored from an older copy.
 func (f *Follower) ChangesSince(known revision.Revision) (Page, bool) {
 	f.applyMu.Lock()
 	defer f.applyMu.Unlock()
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -74,8 +74,8 @@
 	return f.failures == 0
 }
 
-// LastAnswer returns the store's steady clock at its last answer to this process. While a long answer
-// is arriving that is the current time.
+// LastAnswer returns the store's steady clock at its last answer to this process. While a
+// long answer is arriving, it returns the current time.
 func (f *Follower) LastAnswer() time.Duration {
 	now, known := f.StoreTime()
 	if known && f.IsReading() {
@@ -93,8 +93,9 @@
 	return f.position(), f.synced
 }
 
-// LastPosition returns the position of the sink also while the table is read again, and false before
-// the first table. Its Clock is correct in that time too, because the copy does not change.
+// LastPosition returns the position of the sink also while the table is read again, and false
+// before the first table. Its Clock is correct in that time too, because the copy does not
+// change.
 func (f *Follower) LastPosition() (Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
