--- a/flow/queue.go
+++ b/flow/queue.go
@@ -87,6 +87,7 @@
 	return best
 }
 
+// before reports whether a is dispatched before b.
 func before(a, b *Waiter, now time.Duration) bool {
 	rankA, rankB := a.Rank(now), b.Rank(now)
 	if rankA != rankB {
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -36,27 +36,28 @@
 }
 
 // simulate serves a load by engines that read perSecond tokens per second in total. It
-// returns the share of requests that were on time, and the share served, by priority.
+// returns the share of requests that were on time, and the share served, by priority. The
+// engines are idle from idleAt on.
 func simulate(load []*request, perSecond float64, next func(q *Queue, now time.Duration) *Waiter) (onTime, served [2]float64) {
 	const tick = 5 * time.Millisecond
 	q := NewQueue(perSecond)
 	byWaiter := make(map[*Waiter]*request)
 	var total [2]float64
-	free, i := time.Duration(0), 0
+	idleAt, i := time.Duration(0), 0
 	for now := time.Duration(0); now < seconds(60); now += tick {
 		for i < len(load) && load[i].Arrived <= now {
 			q.Add(&load[i].Waiter)
 			byWaiter[&load[i].Waiter] = load[i]
 			i++
 		}
-		for free <= now {
+		for idleAt <= now {
 			w := next(q, now)
 			if w == nil {
 				break
 			}
 			r := byWaiter[w]
-			read := seconds(float64(w.PromptTokens) / perSecond)
-			free = max(free, now) + read
+			readTime := seconds(float64(w.PromptTokens) / perSecond)
+			idleAt = max(idleAt, now) + readTime
 			q.Remove(w, true, now)
 			r.inTime, r.took = now <= w.DispatchDeadline, now-w.Arrived+seconds(0.4)
 		}
--- a/flow/shares_test.go
+++ b/flow/shares_test.go
@@ -39,9 +39,9 @@
 
 // simulateSpike simulates twenty small teams and a large team whose load alone is as much
 // as all engines can read, so that the total is nearly twice the capacity. It returns the
-// share of requests that were on time, for the small teams and for the large one. fair
-// turns usage levels on.
-func simulateSpike(fair bool) (small, large float64) {
+// share of requests that were on time, for the small teams and for the large one.
+// With useLevels requests are ranked by the usage levels of their teams.
+func simulateSpike(useLevels bool) (small, large float64) {
 	const tick, duration, promptTokens, perSecond = 5 * time.Millisecond, 30 * time.Second, 2800, 28000
 	teams := []*team{{name: "large", interval: 100 * time.Millisecond}}
 	for i := range 20 {
@@ -49,14 +49,14 @@
 	}
 	q, usage := NewQueue(perSecond), NewShares()
 	owner := make(map[*Waiter]*team)
-	free := time.Duration(0)
+	idleAt := time.Duration(0)
 	for now := time.Duration(0); now < duration; now += tick {
 		for i, t := range teams {
 			if (now+time.Duration(i)*90*time.Millisecond)%t.interval >= tick {
 				continue
 			}
 			w := &Waiter{Priority: 1, PromptTokens: promptTokens, Arrived: now, OnTimeDeadline: now + seconds(1.3), DispatchDeadline: now + seconds(6)}
-			if fair {
+			if useLevels {
 				w.Level = usage.Level(t.name, nil, now)
 			}
 			t.requests++
@@ -65,13 +65,13 @@
 				owner[w] = t
 			}
 		}
-		for free <= now {
+		for idleAt <= now {
 			w := q.Next(now)
 			if w == nil {
 				break
 			}
 			q.Remove(w, true, now)
-			free = max(free, now) + seconds(float64(promptTokens)/perSecond)
+			idleAt = max(idleAt, now) + seconds(float64(promptTokens)/perSecond)
 			usage.Charge(owner[w].name, promptTokens, now)
 			if now <= w.OnTimeDeadline {
 				owner[w].onTime++
@@ -91,8 +91,8 @@
 func TestLargeTeamDoesNotDelaySmallTeams(t *testing.T) {
 	small, large := simulateSpike(false)
 	require.Less(t, small, 0.75)
-	smallFair, largeFair := simulateSpike(true)
-	require.Greater(t, smallFair, 0.95)
-	require.Greater(t, largeFair, 0.02)
-	t.Logf("on time without usage levels: small %.2f large %.2f, with: %.2f %.2f", small, large, smallFair, largeFair)
+	smallWithLevels, largeWithLevels := simulateSpike(true)
+	require.Greater(t, smallWithLevels, 0.95)
+	require.Greater(t, largeWithLevels, 0.02)
+	t.Logf("on time without usage levels: small %.2f large %.2f, with: %.2f %.2f", small, large, smallWithLevels, largeWithLevels)
 }
--- a/flow/turns_test.go
+++ b/flow/turns_test.go
@@ -34,20 +34,20 @@
 // compete for servers with urgent ones only, and a less urgent request must leave one
 // server to each urgent one. A late request goes behind all that can be on time.
 func TestServersAreReservedForMoreUrgentRequestsElsewhere(t *testing.T) {
-	urgent, long, late := &Waiter{Priority: 0, OnTimeDeadline: seconds(9)}, &Waiter{Priority: 1, OnTimeDeadline: seconds(9)}, &Waiter{Priority: 0, OnTimeDeadline: seconds(1)}
+	urgent, lessUrgent, late := &Waiter{Priority: 0, OnTimeDeadline: seconds(9)}, &Waiter{Priority: 1, OnTimeDeadline: seconds(9)}, &Waiter{Priority: 0, OnTimeDeadline: seconds(1)}
 	now := seconds(2)
 	self := Contender{Name: "self", Waiting: 1}
 	others := []Contender{
 		{Name: "a", Waiting: 3, WaitingAtRank: 2, Rank: urgent.Rank(now)},
-		{Name: "b", Waiting: 1, WaitingAtRank: 1, Rank: long.Rank(now)},
+		{Name: "b", Waiting: 1, WaitingAtRank: 1, Rank: lessUrgent.Rank(now)},
 		{Name: "c", Waiting: 1, WaitingAtRank: 1, Rank: late.Rank(now)},
 	}
 	urgentTurns := NewTurns(self, others, urgent.Rank(now), 1)
 	require.Len(t, urgentTurns.Contenders, 2)
 	require.Zero(t, urgentTurns.Reserved)
-	longTurns := NewTurns(self, others, long.Rank(now), 1)
-	require.Len(t, longTurns.Contenders, 3)
-	require.Equal(t, 2, longTurns.Reserved)
+	lessUrgentTurns := NewTurns(self, others, lessUrgent.Rank(now), 1)
+	require.Len(t, lessUrgentTurns.Contenders, 3)
+	require.Equal(t, 2, lessUrgentTurns.Reserved)
 	require.Equal(t, 3, NewTurns(self, others, late.Rank(now), 1).Reserved)
 	require.Nil(t, NewTurns(self, others[1:], urgent.Rank(now), 1))
 }
@@ -80,6 +80,7 @@
 	for i := range contenders {
 		contenders[i] = Contender{Name: "p" + strconv.Itoa(i), Waiting: 5}
 	}
+	// pending returns the number of unread prompts at an engine that a process knows of.
 	pending := func(process, engine int, now time.Duration) (n int) {
 		for _, s := range sends {
 			if s.engine == engine && now-s.at < readTime && (s.process == process || now-s.at >= c.delay) {
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -24,7 +24,7 @@
 			return
 		}
 		if tries == 0 {
-			m.Log.WithError(err).WithField("peer", n.Name).Info("link to a peer is lost")
+			m.Log.WithError(err).WithField("peer", n.Name).Info("link to peer is down")
 		}
 		if time.Since(lastUp) > forgetAfter {
 			m.forget(n)
@@ -92,7 +92,7 @@
 			if err := m.sendSuspects(send); err != nil {
 				return err
 			}
-			m.Log.WithField("peer", n.Name).Info("linked to a peer")
+			m.Log.WithField("peer", n.Name).Info("link to peer is up")
 		}
 		if err := m.sendFrames(ctx, n, tick.C, session.CloseChan(), send); err != nil {
 			return err
