--- a/forecast/outputs_test.go
+++ b/forecast/outputs_test.go
@@ -95,7 +95,7 @@
 
 // An estimate takes 180 ns and does not allocate. One is made before a request is placed
 // and one per second while it runs.
-func BenchmarkOutputsExpect(b *testing.B) {
+func BenchmarkExpectedTokens(b *testing.B) {
 	o := NewOutputEstimator()
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -16,7 +16,7 @@
 
 // maintainLink dials a member again whenever its link breaks, until ctx ends or the member
 // has been unreachable for forgetAfter.
-func (m *Manager) maintainLink(ctx context.Context, n *member) {
+func (m *Manager) maintainLink(ctx context.Context, n *memberLink) {
 	lastUp := time.Now()
 	for tries := 0; ctx.Err() == nil; tries++ {
 		err := m.runLink(ctx, n, func() { tries, lastUp = 0, time.Now() })
@@ -35,11 +35,11 @@
 }
 
 // forget removes a member that has been unreachable for forgetAfter.
-func (m *Manager) forget(n *member) {
+func (m *Manager) forget(n *memberLink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.members[n.Name] == n {
-		delete(m.members, n.Name)
+	if m.links[n.Name] == n {
+		delete(m.links, n.Name)
 		delete(m.known, n.Name)
 	}
 	m.Log.WithField("peer", n.Name).Info("peer has been unreachable for too long and is removed")
@@ -48,7 +48,7 @@
 
 // runLink dials a member and sends it states and pages until the link breaks. It calls onUp
 // after the first state.
-func (m *Manager) runLink(ctx context.Context, n *member, onUp func()) error {
+func (m *Manager) runLink(ctx context.Context, n *memberLink, onUp func()) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := m.Dial(dialCtx, n.Address)
@@ -101,7 +101,7 @@
 }
 
 // sendFrames sends queued frames until the next state is due.
-func (m *Manager) sendFrames(ctx context.Context, n *member, tick <-chan time.Time, closed <-chan struct{}, send func([]byte) error) error {
+func (m *Manager) sendFrames(ctx context.Context, n *memberLink, tick <-chan time.Time, closed <-chan struct{}, send func([]byte) error) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -194,7 +194,7 @@
 func (m *Manager) session(peer string) *yamux.Session {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if n := m.members[peer]; n != nil {
+	if n := m.links[peer]; n != nil {
 		if s := n.session.Load(); s != nil {
 			return s
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -116,11 +116,11 @@
 	Deps
 
 	mu sync.Mutex
-	// known contains all known gateways, members those that this one sends to, and live the
-	// last state of each peer. All are by name.
-	known   map[string]Member
-	members map[string]*member
-	live    map[string]*peerState
+	// known contains all known gateways, links those that this one sends to, and live the last
+	// state of each peer. All are by name.
+	known map[string]Member
+	links map[string]*memberLink
+	live  map[string]*peerState
 	// inbound contains the links that peers have dialed, by name.
 	inbound map[string]*yamux.Session
 	ctx     context.Context
@@ -129,9 +129,9 @@
 	state stateFrame
 }
 
-// member is a gateway that this one sends to. A value in stateDue makes its link send the
+// memberLink is a gateway that this one sends to. A value in stateDue makes the link send the
 // state at once.
-type member struct {
+type memberLink struct {
 	Member
 	cancel   context.CancelFunc
 	frames   chan outgoing
@@ -155,7 +155,7 @@
 // New returns a manager; Run starts it.
 func New(self Member, deps Deps) *Manager {
 	return &Manager{
-		self: self, Deps: deps, known: make(map[string]Member), members: make(map[string]*member),
+		self: self, Deps: deps, known: make(map[string]Member), links: make(map[string]*memberLink),
 		live: make(map[string]*peerState), inbound: make(map[string]*yamux.Session),
 	}
 }
@@ -213,7 +213,7 @@
 	chosen := m.choose()
 	m.closeOtherLinks(chosen)
 	for _, n := range chosen {
-		old := m.members[n.Name]
+		old := m.links[n.Name]
 		if old != nil && old.Address == n.Address {
 			continue
 		}
@@ -221,8 +221,8 @@
 			old.cancel()
 		}
 		ctx, cancel := context.WithCancel(m.ctx)
-		added := &member{Member: n, cancel: cancel, frames: make(chan outgoing, frameQueueSize), stateDue: make(chan struct{}, 1)}
-		m.members[n.Name] = added
+		added := &memberLink{Member: n, cancel: cancel, frames: make(chan outgoing, frameQueueSize), stateDue: make(chan struct{}, 1)}
+		m.links[n.Name] = added
 		m.wg.Go(func() { m.maintainLink(ctx, added) })
 	}
 }
@@ -236,10 +236,10 @@
 	for _, n := range chosen {
 		keep[n.Name] = true
 	}
-	for name, n := range m.members {
+	for name, n := range m.links {
 		if !keep[name] {
 			n.cancel()
-			delete(m.members, name)
+			delete(m.links, name)
 		}
 	}
 }
@@ -271,7 +271,7 @@
 func (m *Manager) LinkCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.members)
+	return len(m.links)
 }
 
 // StatesPerSecond returns the number of states that this gateway sends per second, to all
@@ -286,13 +286,13 @@
 func (m *Manager) LinkedPeers() (out []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, n := range m.members {
+	for name, n := range m.links {
 		if n.session.Load() != nil {
 			out = append(out, name)
 		}
 	}
 	for name := range m.inbound {
-		if n := m.members[name]; n == nil || n.session.Load() == nil {
+		if n := m.links[name]; n == nil || n.session.Load() == nil {
 			out = append(out, name)
 		}
 	}
@@ -306,7 +306,7 @@
 	defer m.mu.Unlock()
 	var out []*peerv1.State
 	for _, p := range m.live {
-		if time.Since(p.receivedAt) < stateTimeout(len(m.members)) {
+		if time.Since(p.receivedAt) < stateTimeout(len(m.links)) {
 			out = append(out, p.state)
 		}
 	}
@@ -321,7 +321,7 @@
 	m.state.invalidate()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, n := range m.members {
+	for _, n := range m.links {
 		select {
 		case n.stateDue <- struct{}{}:
 		default:
@@ -357,7 +357,7 @@
 func (m *Manager) broadcast(o outgoing) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, n := range m.members {
+	for _, n := range m.links {
 		select {
 		case n.frames <- o:
 		default:
@@ -401,7 +401,7 @@
 		var silent []string
 		m.mu.Lock()
 		for name, p := range m.live {
-			if time.Since(p.receivedAt) >= stateTimeout(len(m.members)) {
+			if time.Since(p.receivedAt) >= stateTimeout(len(m.links)) {
 				silent = append(silent, name)
 				delete(m.live, name)
 			}
