--- a/flow/turns.go
+++ b/flow/turns.go
@@ -44,7 +44,7 @@
 // Turns assigns each server to one contender for one period of 60 ms: in that period only
 // this contender may send to the server. When a server gets free capacity, every process
 // with a queue sees it within milliseconds, earlier than it receives the other processes'
-// load reports. Without turns they all send at once: an engine that joined empty was given
+// load reports. Without turns they all send at once: an engine that joined empty received
 // several seconds of prompts, while its first callers had been promised less than one
 // second.
 //
--- a/internal/peers/state.go
+++ b/internal/peers/state.go
@@ -13,8 +13,8 @@
 	// by a few percent in that time. Changes that peers act on are sent at once.
 	minStatePeriod = 150 * time.Millisecond
 	// maxStatesPerSecond bounds the states that a gateway sends to all peers together. A
-	// state costs sender and receiver some 30 us each. One every 150 ms on each of 28 links
-	// would take half of the CPU time of a gateway.
+	// state costs sender and receiver some 30 us each. With one every 150 ms on each of 28
+	// links, states would be half of all CPU time that a gateway uses.
 	maxStatesPerSecond = 100
 	// maxMissedStates is the number of consecutive states that may be missing before the last
 	// state of a peer is too old.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -117,8 +117,8 @@
 	return Policy{
 		Filters: []Filter{NotLeaving, NotDown, NotBackingOff, NotCordoned, InRegions, NotTried, InDomain, WithinBounds, NotPaced},
 		Scorers: []Scorer{
-			{Weight: 1.0, Score: Room},
-			{Weight: 1.0, Score: PromptRead},
+			{Weight: 1.0, Score: FreeCapacity},
+			{Weight: 1.0, Score: PromptWait},
 			{Weight: 1.0, Score: Healthy},
 			{Weight: 2.0, Score: NotAvoided},
 			{Weight: 0.3, Score: Warm},
--- a/placement/scorers.go
+++ b/placement/scorers.go
@@ -27,9 +27,9 @@
 	return 0
 }
 
-// Room prefers servers that will have free memory and free slots with the request added;
+// FreeCapacity prefers servers that will have free memory and free slots with the request added;
 // the scarcer of the two counts.
-func Room(r *Request, s *Server) float64 {
+func FreeCapacity(r *Request, s *Server) float64 {
 	used := 0.0
 	if s.MemoryTotal > 0 {
 		used = (float64(s.MemoryForecast) + float64(r.Tokens)) / float64(s.MemoryTotal)
@@ -59,9 +59,9 @@
 	return 1
 }
 
-// PromptRead prefers servers with few pending prompt tokens, because the first token waits
+// PromptWait prefers servers with few pending prompt tokens, because the first token waits
 // until all of them are read. The score falls by 1 for each second of that wait.
-func PromptRead(r *Request, s *Server) float64 {
+func PromptWait(r *Request, s *Server) float64 {
 	if r.PromptSpeed <= 0 {
 		return 0
 	}
