--- a/cordon/cordon.go
+++ b/cordon/cordon.go
@@ -1,5 +1,6 @@
-// Package cordon keeps which failure domains the operator has cordoned: their backend
-// servers get nothing until it takes the request back.
+// Package cordon keeps the set of failure domains that the operator has cordoned. The
+// backend servers of a cordoned failure domain get no requests until the operator withdraws
+// the cordon.
 package cordon
 
 import (
@@ -14,92 +15,95 @@
 // Request is the operator's request to cordon a failure domain.
 type Request struct {
 	Domain string
-	// Revision is that of its row in the platform's store.
+	// Revision is the revision of the request's row in the platform's store.
 	Revision revision.Revision
 }
 
-// rewriteTime is how long a request that a restored store does not show stays in force: the
-// operator writes it again within some two seconds of the store's return.
-const rewriteTime = 5 * time.Second
+// rewriteGracePeriod is how long a request stays in force after a restored store no longer
+// contains it. The operator writes missing requests again within about two seconds of the
+// store's return.
+const rewriteGracePeriod = 5 * time.Second
 
-// Set is the requests in force. It is safe for concurrent use; mu comes before the locks of
-// those that are told of changes.
+// Set is the set of requests in force. It is safe for concurrent use. onChange is called
+// with mu locked, so mu comes before any lock that onChange acquires.
 type Set struct {
-	changed func(domains []string)
+	onChange func(domains []string)
 
 	mu       sync.Mutex
-	requests map[string]request
+	requests map[string]entry
 }
 
-type request struct {
+// entry is a request in force.
+type entry struct {
 	Request
-	// until is when a request of an earlier era that has not been written again ends, 0 for
-	// one of the present era.
-	until time.Duration
+	// expires is when a request of an earlier era ends unless it is written again. It is 0
+	// for a request of the current era, which doesn't expire.
+	expires time.Duration
 }
 
-// New returns an empty set. changed is told all cordoned domains, sorted, whenever they change,
-// one call at a time.
-func New(changed func(domains []string)) *Set {
-	return &Set{changed: changed, requests: make(map[string]request)}
+// New returns an empty set. onChange is called with all cordoned domains, sorted, whenever
+// they change. Calls don't overlap.
+func New(onChange func(domains []string)) *Set {
+	return &Set{onChange: onChange, requests: make(map[string]entry)}
 }
 
 // Put adds a request.
 func (s *Set) Put(r Request) {
-	s.update(func() { s.requests[r.Domain] = request{Request: r} })
+	s.update(func() { s.requests[r.Domain] = entry{Request: r} })
 }
 
-// Remove takes a request back.
+// Remove withdraws the request for a domain.
 func (s *Set) Remove(domain string) {
 	s.update(func() { delete(s.requests, domain) })
 }
 
-// Replace takes the requests as they stand at a revision.
+// Replace replaces the set by the requests that the store contains at a revision.
 //
-// A store that was restored from an older copy lacks requests that were written since.
+// A store that was restored from an older copy lacks the requests written after that copy.
 // Dropping them would send requests to servers of a cordoned domain until the operator has
-// written them again, so those of an earlier era stay in force for that time.
-func (s *Set) Replace(list []Request, at revision.Revision, now time.Duration) {
-	era := at.Era()
+// written them again, so requests of an earlier era stay in force for rewriteGracePeriod.
+func (s *Set) Replace(list []Request, rev revision.Revision, now time.Duration) {
+	era := rev.Era()
 	s.update(func() {
 		old := s.requests
-		s.requests = make(map[string]request, len(list))
+		s.requests = make(map[string]entry, len(list))
 		for _, r := range list {
-			s.keep(r, old[r.Domain], era, now)
+			s.putInEra(r, old[r.Domain], era, now)
 		}
 		for domain, r := range old {
 			if _, listed := s.requests[domain]; !listed && r.Revision.Era() < era {
-				s.keep(r.Request, r, era, now)
+				s.putInEra(r.Request, r, era, now)
 			}
 		}
 	})
 }
 
-// keep notes a request; mu is held.
-func (s *Set) keep(r Request, old request, era uint64, now time.Duration) {
-	next := request{Request: r}
+// putInEra adds a request, with an expiry if the request is older than the era. If old is
+// the same request and already expires, its expiry is kept. mu must be held.
+func (s *Set) putInEra(r Request, old entry, era uint64, now time.Duration) {
+	next := entry{Request: r}
 	if r.Revision.Era() < era {
-		next.until = now + rewriteTime
-		if old.until > 0 && old.Revision == r.Revision {
-			next.until = old.until
+		next.expires = now + rewriteGracePeriod
+		if old.expires > 0 && old.Revision == r.Revision {
+			next.expires = old.expires
 		}
 	}
 	s.requests[r.Domain] = next
 }
 
-// Expire ends requests of an earlier era that have not been written again; call it now and
-// then.
+// Expire removes requests of an earlier era that have not been written again in time. It
+// must be called periodically.
 func (s *Set) Expire(now time.Duration) {
 	s.update(func() {
 		for domain, r := range s.requests {
-			if r.until > 0 && now >= r.until {
+			if r.expires > 0 && now >= r.expires {
 				delete(s.requests, domain)
 			}
 		}
 	})
 }
 
-// List returns the requests in force, by domain.
+// List returns the requests in force, sorted by domain.
 func (s *Set) List() []Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,17 +115,18 @@
 	return out
 }
 
+// update applies a change and calls onChange if the cordoned domains differ afterwards.
 func (s *Set) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.domains()
 	change()
 	if after := s.domains(); !slices.Equal(before, after) {
-		s.changed(after)
+		s.onChange(after)
 	}
 }
 
-// domains lists the cordoned domains, sorted; mu is held.
+// domains returns the cordoned domains, sorted. mu must be held.
 func (s *Set) domains() []string {
 	out := make([]string, 0, len(s.requests))
 	for domain := range s.requests {
--- a/cordon/cordon_test.go
+++ b/cordon/cordon_test.go
@@ -10,8 +10,8 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// at is a revision of these tests: its hundreds are its era.
-func at(n uint64) revision.Revision { return revision.At(n/100, n) }
+// rev returns a revision whose version is n and whose era is n/100.
+func rev(n uint64) revision.Revision { return revision.At(n/100, n) }
 
 func newSet() (*Set, *[]string) {
 	var domains []string
@@ -19,56 +19,56 @@
 	return s, &domains
 }
 
-func TestRequestsAreInForceUntilTakenBack(t *testing.T) {
+func TestRequestsAreInForceUntilWithdrawn(t *testing.T) {
 	s, domains := newSet()
-	s.Put(Request{"b", at(1)})
-	s.Put(Request{"a", at(2)})
+	s.Put(Request{"b", rev(1)})
+	s.Put(Request{"a", rev(2)})
 	require.Equal(t, []string{"a", "b"}, *domains)
 	s.Remove("a")
 	require.Equal(t, []string{"b"}, *domains)
-	s.Replace([]Request{{"c", at(5)}}, at(7), 0)
+	s.Replace([]Request{{"c", rev(5)}}, rev(7), 0)
 	require.Equal(t, []string{"c"}, *domains)
-	require.Equal(t, []Request{{"c", at(5)}}, s.List())
+	require.Equal(t, []Request{{"c", rev(5)}}, s.List())
 }
 
-// Guards against requests being sent to a cordoned domain because the store came back from a
-// copy that is older than the cordon.
+// Guards against requests being sent to a cordoned domain because the store was restored from
+// a copy that is older than the cordon.
 func TestCordonOutlivesARestoredStore(t *testing.T) {
 	s, domains := newSet()
-	s.Put(Request{"a", at(50)})
-	s.Replace(nil, at(120), time.Second)
+	s.Put(Request{"a", rev(50)})
+	s.Replace(nil, rev(120), time.Second)
 	require.Equal(t, []string{"a"}, *domains)
-	s.Expire(time.Second + rewriteTime - 1)
-	require.Equal(t, []string{"a"}, *domains, "until the operator has had the time to write it again")
-	s.Replace(nil, at(130), 2*time.Second)
-	s.Expire(time.Second + rewriteTime)
-	require.Empty(t, *domains, "a request that is not written again ends, however often the table is read")
+	s.Expire(time.Second + rewriteGracePeriod - 1)
+	require.Equal(t, []string{"a"}, *domains, "in force until the operator has had time to write it again")
+	s.Replace(nil, rev(130), 2*time.Second)
+	s.Expire(time.Second + rewriteGracePeriod)
+	require.Empty(t, *domains, "a request that is not written again expires, however often the table is read")
 }
 
 func TestCordonWrittenAgainStays(t *testing.T) {
 	s, domains := newSet()
-	s.Put(Request{"a", at(50)})
-	s.Replace(nil, at(120), 0)
-	s.Put(Request{"a", at(125)})
-	s.Expire(2 * rewriteTime)
+	s.Put(Request{"a", rev(50)})
+	s.Replace(nil, rev(120), 0)
+	s.Put(Request{"a", rev(125)})
+	s.Expire(2 * rewriteGracePeriod)
 	require.Equal(t, []string{"a"}, *domains)
 	s.Remove("a")
 	require.Empty(t, *domains)
 }
 
-// Guards against a cordon that a peer only keeps for a while staying for ever where it was
-// taken over.
-func TestCordonOfAnEarlierEraTakenFromAPeerEnds(t *testing.T) {
+// Guards against a cordon that is about to expire at the peer it is copied from staying in
+// force forever here.
+func TestCordonOfAnEarlierEraFromAPeerExpires(t *testing.T) {
 	s, domains := newSet()
-	s.Replace([]Request{{"a", at(50)}}, at(120), 0)
+	s.Replace([]Request{{"a", rev(50)}}, rev(120), 0)
 	require.Equal(t, []string{"a"}, *domains)
-	s.Expire(rewriteTime)
+	s.Expire(rewriteGracePeriod)
 	require.Empty(t, *domains)
 }
 
-// Whatever order requests and restored stores come in, what is told is what is listed, and
-// what a store of the present era shows is in force.
-func TestWhatIsToldIsWhatIsListed(t *testing.T) {
+// For any order of requests and restored stores, the domains passed to onChange are those that
+// List returns, and every request that a store of the current era contains is in force.
+func TestReportedDomainsMatchList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, domains := newSet()
 		n, now := uint64(1), time.Duration(0)
@@ -79,7 +79,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				d := domain.Draw(t, "put")
-				s.Put(Request{d, at(n)})
+				s.Put(Request{d, rev(n)})
 				require.Contains(t, *domains, d)
 			case 1:
 				d := domain.Draw(t, "remove")
@@ -88,9 +88,9 @@
 			case 2:
 				var list []Request
 				for _, d := range rapid.SliceOfDistinct(domain, rapid.ID).Draw(t, "list") {
-					list = append(list, Request{d, at(n)})
+					list = append(list, Request{d, rev(n)})
 				}
-				s.Replace(list, at(n), now)
+				s.Replace(list, rev(n), now)
 				for _, r := range list {
 					require.Contains(t, *domains, r.Domain)
 				}
