--- a/revision/revision.go
+++ b/revision/revision.go
@@ -1,8 +1,10 @@
-// Package revision orders the states of a store that may come back from a copy some seconds old.
+// Package revision orders the states of a store that may be restored from a copy that is some
+// seconds old.
 //
-// Its versions then go back and are given out again, so a version alone does not tell which of two
-// states is newer; its era, which rises each time, does. A Revision holds both and is compared by
-// its methods only: versions of two eras cannot be compared by mistake.
+// After a restore, the store's version number goes back and the same numbers are assigned again,
+// so a version alone doesn't tell which of two states is newer. The era increases with each
+// restore. A Revision holds both and is compared only through its methods, so that versions of
+// different eras can't be compared by mistake.
 package revision
 
 import (
@@ -12,43 +14,45 @@
 
 // Revision is a version of the store within an era. The zero value is before all others.
 type Revision struct {
-	// ordered has the era in front, so that it compares as the states do.
-	ordered uint64
+	// packed holds the era in its high bits and the version in its low bits, so that comparing
+	// the numbers compares the revisions.
+	packed uint64
 }
 
 const (
 	versionBits = 44
-	// MaxEra is the highest era that a revision holds.
+	// MaxEra is the highest era that fits into a Revision.
 	MaxEra = 1<<(64-versionBits) - 1
 )
 
-// At is the revision of a version in an era. A store that names no era has era 0.
+// At returns the revision of a version in an era. A store that reports no era has era 0.
 func At(era, version uint64) Revision {
 	return Revision{era<<versionBits | version&(1<<versionBits-1)}
 }
 
-// FromWire reads a revision as processes tell it each other.
+// FromWire decodes a revision from its wire encoding, see Wire.
 func FromWire(n uint64) Revision { return Revision{n} }
 
-// Wire is the revision as processes tell it each other.
-func (r Revision) Wire() uint64 { return r.ordered }
+// Wire returns the encoding of the revision in messages between processes.
+func (r Revision) Wire() uint64 { return r.packed }
 
-// Era is the era of the revision.
-func (r Revision) Era() uint64 { return r.ordered >> versionBits }
+// Era returns the era of the revision.
+func (r Revision) Era() uint64 { return r.packed >> versionBits }
 
-// Version is the version within the era.
-func (r Revision) Version() uint64 { return r.ordered & (1<<versionBits - 1) }
+// Version returns the version within the era.
+func (r Revision) Version() uint64 { return r.packed & (1<<versionBits - 1) }
 
-// IsZero reports whether there is no revision.
-func (r Revision) IsZero() bool { return r.ordered == 0 }
+// IsZero reports whether r is the zero value, which means that there is no revision.
+func (r Revision) IsZero() bool { return r.packed == 0 }
 
-// Before reports whether the state at r is older than that at o.
-func (r Revision) Before(o Revision) bool { return r.ordered < o.ordered }
+// Before reports whether the state at r is older than the state at o.
+func (r Revision) Before(o Revision) bool { return r.packed < o.packed }
 
 // Compare orders revisions as cmp.Compare does.
-func (r Revision) Compare(o Revision) int { return cmp.Compare(r.ordered, o.ordered) }
+func (r Revision) Compare(o Revision) int { return cmp.Compare(r.packed, o.packed) }
 
-// String implements fmt.Stringer: the version, behind its era if there is one.
+// String implements fmt.Stringer. It formats as "era/version", or as the version alone if the
+// era is 0.
 func (r Revision) String() string {
 	if r.Era() == 0 {
 		return fmt.Sprint(r.Version())
@@ -56,7 +60,7 @@
 	return fmt.Sprintf("%d/%d", r.Era(), r.Version())
 }
 
-// Later is the newer of two.
+// Later returns the newer of two revisions.
 func Later(a, b Revision) Revision {
 	if a.Before(b) {
 		return b
@@ -64,7 +68,7 @@
 	return a
 }
 
-// Earlier is the older of two.
+// Earlier returns the older of two revisions.
 func Earlier(a, b Revision) Revision {
 	if b.Before(a) {
 		return b
