--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -1,13 +1,13 @@
-// Package vmlist describes the platform's list of VMs. It lags and has outages.
-// Implementations are safe for concurrent use.
+// Package vmlist describes the platform's list of VMs. The list lags behind the VMs' actual
+// state and is unavailable at times. Implementations are safe for concurrent use.
 package vmlist
 
 import "context"
 
-// Role says what a VM runs.
+// Role says which program a VM runs.
 type Role string
 
-// The roles a VM can have.
+// The roles of VMs.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
@@ -24,7 +24,7 @@
 	Models []string
 }
 
-// Lister is the platform's lagging list of live and leaving VMs.
+// Lister returns the platform's lagging list of live and leaving VMs.
 type Lister interface {
 	ListVMs(ctx context.Context) ([]VM, error)
 }
