--- a/backends/advice.go
+++ b/backends/advice.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// MostLimit bounds the requests a second that a server may name as its limit. A higher number
+// MaxRateLimit bounds the requests a second that a server may name as its limit. A higher number
 // says nothing.
-const MostLimit = 1e6
+const MaxRateLimit = 1e6
 
-// MostRest bounds the time for which a server that asks for rest gets none. It is asked again
+// MaxBackoff bounds the time for which a server that asks for rest gets none. It is asked again
 // then, and may ask for more.
-const MostRest = time.Hour
+const MaxBackoff = time.Hour
 
-// Advice is what a server says of itself in the head of an answer.
-type Advice struct {
-	// Limited reports that it names a limit: the requests a second that it takes from all
+// Signals is what a server says of itself in the head of an answer.
+type Signals struct {
+	// HasRateLimit reports that it names a limit: the requests a second that it takes from all
 	// processes together.
-	Limited bool
-	Limit   float64
-	// LimitUnreadable reports that it names one that means nothing.
-	LimitUnreadable bool
-	// SaysCold reports that it says how much longer it is cold.
-	SaysCold bool
-	ColdFor  time.Duration
+	HasRateLimit bool
+	RateLimit    float64
+	// RateLimitInvalid reports that it names one that means nothing.
+	RateLimitInvalid bool
+	// HasColdFor reports that it says how much longer it is cold.
+	HasColdFor bool
+	ColdFor    time.Duration
 	// Leaving reports that it will end soon.
 	Leaving bool
-	// Rest is for how long it wants nothing of this process, 0 if it does not say.
-	Rest time.Duration
-	// Unreadable names the headers whose values mean nothing.
-	Unreadable []string
+	// Backoff is for how long it wants nothing of this process, 0 if it does not say.
+	Backoff time.Duration
+	// InvalidHeaders names the headers whose values mean nothing.
+	InvalidHeaders []string
 }
 
 // News is what Advised has learnt.
 type News struct {
-	// Limited reports that the server names a limit that it did not name before, Lifted that
+	// RateLimitSet reports that the server names a limit that it did not name before, RateLimitRemoved that
 	// it names none any more.
-	Limited, Lifted bool
+	RateLimitSet, RateLimitRemoved bool
 	// Leaving reports the first answer that says that the server is leaving.
 	Leaving bool
-	// Rests reports that the server rests from now on.
-	Rests bool
-	// Unreadable reports the first advice of the server's life that means nothing.
-	Unreadable bool
+	// BackoffStarted reports that the server rests from now on.
+	BackoffStarted bool
+	// FirstInvalid reports the first advice of the server's life that means nothing.
+	FirstInvalid bool
 }
 
 // limit is what is known of the limit that a server names.
@@ -54,11 +54,11 @@
 	namedNews, liftedNews time.Duration
 }
 
-// ToldLimit is what a process knows of the limit that a server names.
-type ToldLimit struct {
-	// Known reports that it knows something, Named that the server names a limit.
-	Known, Named bool
-	PerSecond    float64
+// RateLimitReport is what a process knows of the limit that a server names.
+type RateLimitReport struct {
+	// Known reports that it knows something, Limited that the server names a limit.
+	Known, Limited bool
+	PerSecond      float64
 	// Age is how long ago it was so.
 	Age time.Duration
 }
@@ -78,11 +78,11 @@
 )
 
 // told is what others are told.
-func (l limit) told(now time.Duration) ToldLimit {
+func (l limit) told(now time.Duration) RateLimitReport {
 	if !l.named && now >= l.tellUntil {
-		return ToldLimit{}
+		return RateLimitReport{}
 	}
-	return ToldLimit{Known: true, Named: l.named, PerSecond: l.perSecond, Age: now - l.asOf}
+	return RateLimitReport{Known: true, Limited: l.named, PerSecond: l.perSecond, Age: now - l.asOf}
 }
 
 // name notes that the server names a limit, and reports whether that is news.
@@ -119,19 +119,19 @@
 // hear takes what another process tells, unless something newer is known, and reports whether
 // it is news that the server names a limit, or none. What is kept is the newest that anybody
 // knows, in whatever order it is told.
-func (l *limit) hear(t ToldLimit, now time.Duration) (news bool) {
-	if !t.Known || t.Age < 0 || t.Named && !(t.PerSecond >= 0 && t.PerSecond <= MostLimit) {
+func (l *limit) hear(t RateLimitReport, now time.Duration) (news bool) {
+	if !t.Known || t.Age < 0 || t.Limited && !(t.PerSecond >= 0 && t.PerSecond <= MaxRateLimit) {
 		return false
 	}
 	asOf := now - t.Age
 	if asOf <= l.asOf {
-		if t.Named && !l.named {
+		if t.Limited && !l.named {
 			l.tellUntil = now + liftedFor
 		}
 		return false
 	}
 	switch {
-	case !t.Named:
+	case !t.Limited:
 		return l.lift(asOf, now)
 	case l.named && asOf < l.asOf+fresher:
 		return false
@@ -139,12 +139,12 @@
 	return l.name(t.PerSecond, asOf, now)
 }
 
-// Advised notes what a server says of itself in an answer. sent is when the request was sent
+// ApplySignals notes what a server says of itself in an answer. sent is when the request was sent
 // that it answers, 0 if what it leaves out says nothing.
 //
 // Answers overtake each other. That a limit is missing says that it has ended only in an answer
 // to a request that was sent after the limit was last heard of.
-func (r *Registry) Advised(at Server, a Advice, sent, now time.Duration) (n News) {
+func (r *Registry) ApplySignals(at Server, a Signals, sent, now time.Duration) (n News) {
 	r.mu.Lock()
 	n, left := r.advised(at, a, sent, now)
 	r.mu.Unlock()
@@ -153,36 +153,36 @@
 }
 
 // advised is Advised with mu held.
-func (r *Registry) advised(at Server, a Advice, sent, now time.Duration) (n News, left []leave) {
+func (r *Registry) advised(at Server, a Signals, sent, now time.Duration) (n News, left []leave) {
 	s := r.current(at)
 	if s == nil {
 		return n, nil
 	}
 	switch {
-	case a.Limited:
-		n.Limited = s.limit.name(a.Limit, now, now)
-	case !a.LimitUnreadable:
-		n.Lifted = s.limit.lift(sent, now)
+	case a.HasRateLimit:
+		n.RateLimitSet = s.limit.name(a.RateLimit, now, now)
+	case !a.RateLimitInvalid:
+		n.RateLimitRemoved = s.limit.lift(sent, now)
 	}
-	if a.SaysCold {
+	if a.HasColdFor {
 		s.coldUntil = now + a.ColdFor
 	}
 	if a.Leaving {
 		n.Leaving = !s.reported
 		left = s.report(nil, NoticeReported)
 	}
-	if a.Rest > 0 {
-		n.Rests = now >= s.restUntil
-		s.restUntil = max(s.restUntil, now+a.Rest)
+	if a.Backoff > 0 {
+		n.BackoffStarted = now >= s.restUntil
+		s.restUntil = max(s.restUntil, now+a.Backoff)
 	}
-	if len(a.Unreadable) > 0 && !s.unreadableAdvice {
-		s.unreadableAdvice, n.Unreadable = true, true
+	if len(a.InvalidHeaders) > 0 && !s.unreadableAdvice {
+		s.unreadableAdvice, n.FirstInvalid = true, true
 	}
 	return n, left
 }
 
-// Limited counts the servers that name a limit.
-func (r *Registry) Limited() (n int) {
+// CountRateLimited counts the servers that name a limit.
+func (r *Registry) CountRateLimited() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
@@ -193,8 +193,8 @@
 	return n
 }
 
-// Rests reports whether a server wants nothing of this process for now.
-func (r *Registry) Rests(at Server, now time.Duration) bool {
+// IsBackingOff reports whether a server wants nothing of this process for now.
+func (r *Registry) IsBackingOff(at Server, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current(at)
@@ -209,15 +209,15 @@
 func (r *Registry) restsElsewhere(s *server) bool {
 	n := 0
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Resting && l.Born == s.Born {
+		if l := losses[s.ID]; l.BackingOff && l.StartTime == s.StartTime {
 			n++
 		}
 	}
 	return n >= restingElsewhere
 }
 
-// Resting counts the servers that have asked this process for rest.
-func (r *Registry) Resting(now time.Duration) (n int) {
+// CountBackingOff counts the servers that have asked this process for rest.
+func (r *Registry) CountBackingOff(now time.Duration) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
--- a/backends/advice_test.go
+++ b/backends/advice_test.go
@@ -14,8 +14,8 @@
 )
 
 func limitedRegistry() (*Registry, Server) {
-	r := New("z0", func(string) Traits { return Traits{} }, func(Server, Notice) {})
-	s := Server{ID: "s", Service: svc, Born: 1, Slots: 6}
+	r := New("z0", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
+	s := Server{ID: "s", Service: svc, StartTime: 1, Slots: 6}
 	r.Put(s, 0)
 	return r, s
 }
@@ -24,39 +24,39 @@
 // and arrives after.
 func TestAnswerThatWasOvertakenLiftsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	require.True(t, r.Advised(s, Advice{Limited: true, Limit: 3}, 1*time.Second, 2*time.Second).Limited)
-	require.Equal(t, News{}, r.Advised(s, Advice{Limited: true, Limit: 2}, 1*time.Second, 3*time.Second), "named before")
+	require.True(t, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 1*time.Second, 2*time.Second).RateLimitSet)
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 2}, 1*time.Second, 3*time.Second), "named before")
 	for _, begun := range []time.Duration{0, time.Second, 3 * time.Second} {
-		require.Equal(t, News{}, r.Advised(s, Advice{}, begun, 4*time.Second), "asked at %v", begun)
-		require.Equal(t, 1, r.Limited())
+		require.Equal(t, News{}, r.ApplySignals(s, Signals{}, begun, 4*time.Second), "asked at %v", begun)
+		require.Equal(t, 1, r.CountRateLimited())
 	}
-	require.Equal(t, News{Lifted: true}, r.Advised(s, Advice{}, 3100*time.Millisecond, 4*time.Second))
-	require.Zero(t, r.Limited())
+	require.Equal(t, News{RateLimitRemoved: true}, r.ApplySignals(s, Signals{}, 3100*time.Millisecond, 4*time.Second))
+	require.Zero(t, r.CountRateLimited())
 }
 
 // Guards against a limit that outlives the server that named it.
 func TestNewLifeKnowsNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	r.Advised(s, Advice{Limited: true, Limit: 3}, 0, time.Second)
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
 	again := s
-	again.Born = 2
+	again.StartTime = 2
 	r.Put(again, 2*time.Second)
-	require.Zero(t, r.Limited())
-	require.Equal(t, News{}, r.Advised(s, Advice{Limited: true}, 0, 3*time.Second), "an answer of the life before")
-	require.Zero(t, r.Limited())
+	require.Zero(t, r.CountRateLimited())
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{HasRateLimit: true}, 0, 3*time.Second), "an answer of the life before")
+	require.Zero(t, r.CountRateLimited())
 }
 
 // Guards against a line for each answer of a server whose headers mean nothing, and against
 // such an answer lifting a limit.
 func TestUnreadableAdviceIsToldOnceALife(t *testing.T) {
 	r, s := limitedRegistry()
-	r.Advised(s, Advice{Limited: true, Limit: 3}, 0, time.Second)
-	spoilt := Advice{LimitUnreadable: true, Unreadable: []string{"a header"}}
-	require.Equal(t, News{Unreadable: true}, r.Advised(s, spoilt, 2*time.Second, 3*time.Second))
-	require.Equal(t, News{}, r.Advised(s, spoilt, 4*time.Second, 5*time.Second))
-	require.Equal(t, 1, r.Limited())
-	other := Advice{Unreadable: []string{"another header"}}
-	require.Equal(t, News{Lifted: true}, r.Advised(s, other, 6*time.Second, 7*time.Second), "it names no limit")
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 3}, 0, time.Second)
+	spoilt := Signals{RateLimitInvalid: true, InvalidHeaders: []string{"a header"}}
+	require.Equal(t, News{FirstInvalid: true}, r.ApplySignals(s, spoilt, 2*time.Second, 3*time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, spoilt, 4*time.Second, 5*time.Second))
+	require.Equal(t, 1, r.CountRateLimited())
+	other := Signals{InvalidHeaders: []string{"another header"}}
+	require.Equal(t, News{RateLimitRemoved: true}, r.ApplySignals(s, other, 6*time.Second, 7*time.Second), "it names no limit")
 }
 
 // Guards against gateways that disagree for ever on a limit because they hear of it in another
@@ -72,19 +72,19 @@
 		}
 		now := 10 * time.Second
 		tell := func(from, to int) {
-			regs[to].SetLosses(fmt.Sprint("vm-", from), regs[from].Losses(now), now+time.Millisecond)
+			regs[to].SetRemoteStatuses(fmt.Sprint("vm-", from), regs[from].Statuses(now), now+time.Millisecond)
 		}
-		var newest Advice
+		var newest Signals
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(20, 400).Draw(t, "passes")) * time.Millisecond
 			i := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				newest = Advice{Limited: true, Limit: float64(rapid.IntRange(0, 1).Draw(t, "limit"))}
-				regs[i].Advised(s, newest, now, now)
+				newest = Signals{HasRateLimit: true, RateLimit: float64(rapid.IntRange(0, 1).Draw(t, "limit"))}
+				regs[i].ApplySignals(s, newest, now, now)
 			case 1:
-				newest = Advice{}
-				regs[i].Advised(s, newest, now, now)
+				newest = Signals{}
+				regs[i].ApplySignals(s, newest, now, now)
 			case 2:
 				tell(i, rapid.IntRange(0, gateways-1).Draw(t, "to"))
 			}
@@ -99,7 +99,7 @@
 			}
 		}
 		for i, r := range regs {
-			require.Equal(t, newest.Limited, r.Limited() == 1, "gateway %d", i)
+			require.Equal(t, newest.HasRateLimit, r.CountRateLimited() == 1, "gateway %d", i)
 		}
 	})
 }
@@ -107,16 +107,16 @@
 // Guards against what a peer tells that cannot be meant being taken over.
 func TestSpoiltWordsOfPeersChangeNoLimit(t *testing.T) {
 	r, s := limitedRegistry()
-	for _, l := range []ToldLimit{
-		{Named: true, PerSecond: 3}, {Known: true, Named: true, PerSecond: -1}, {Known: true, Named: true, PerSecond: math.NaN()},
-		{Known: true, Named: true, PerSecond: math.Inf(1)}, {Known: true, Named: true, PerSecond: 3, Age: -time.Second},
+	for _, l := range []RateLimitReport{
+		{Limited: true, PerSecond: 3}, {Known: true, Limited: true, PerSecond: -1}, {Known: true, Limited: true, PerSecond: math.NaN()},
+		{Known: true, Limited: true, PerSecond: math.Inf(1)}, {Known: true, Limited: true, PerSecond: 3, Age: -time.Second},
 	} {
-		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: l, Born: s.Born}}, time.Minute))
-		require.Empty(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true}, Born: s.Born + 1}}, time.Minute), "another life")
-		require.Zero(t, r.Limited())
+		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: l, StartTime: s.StartTime}}, time.Minute))
+		require.Empty(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Limited: true}, StartTime: s.StartTime + 1}}, time.Minute), "another life")
+		require.Zero(t, r.CountRateLimited())
 	}
-	require.Len(t, r.SetLosses("vm-2", map[string]Loss{s.ID: {Limit: ToldLimit{Known: true, Named: true, PerSecond: 3}, Born: s.Born}}, time.Minute), 1)
-	require.Equal(t, 1, r.Limited())
+	require.Len(t, r.SetRemoteStatuses("vm-2", map[string]ServerStatus{s.ID: {RateLimit: RateLimitReport{Known: true, Limited: true, PerSecond: 3}, StartTime: s.StartTime}}, time.Minute), 1)
+	require.Equal(t, 1, r.CountRateLimited())
 }
 
 // mostInWindow is the most of some times within any span.
@@ -140,9 +140,9 @@
 			c := newCrowd(gateways)
 			s := coldServer(0, "z0", cold)
 			c.put(0, s)
-			c.regs[0].Advised(s, Advice{Limited: true, Limit: named}, 0, 500*time.Millisecond)
+			c.regs[0].ApplySignals(s, Signals{HasRateLimit: true, RateLimit: named}, 0, 500*time.Millisecond)
 			for i, r := range c.regs[1:] {
-				r.SetLosses("vm-0", c.regs[i].Losses(600*time.Millisecond), 600*time.Millisecond)
+				r.SetRemoteStatuses("vm-0", c.regs[i].Statuses(600*time.Millisecond), 600*time.Millisecond)
 			}
 			c.ask(from, to)
 			got := c.got[s.ID]
@@ -157,32 +157,32 @@
 // that cannot wait.
 func TestLimitedServerGetsNoCopies(t *testing.T) {
 	r, s := limitedRegistry()
-	q := Query{Service: svc, Copy: true}
+	q := Query{Service: svc, ForCopy: true}
 	lease := r.Acquire(q, time.Second)
 	require.NotNil(t, lease)
-	r.Advised(s, Advice{Limited: true, Limit: 5}, 0, time.Second)
+	r.ApplySignals(s, Signals{HasRateLimit: true, RateLimit: 5}, 0, time.Second)
 	require.Nil(t, r.Acquire(q, 2*time.Second))
-	require.True(t, r.TakeTurn(lease, pacing.Clock{}, 2*time.Second), "a copy of before")
-	require.False(t, r.TakeTurn(lease, pacing.Clock{}, 2*time.Second), "and no second one at once")
+	require.True(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "a copy of before")
+	require.False(t, r.TryUseRate(lease, pacing.SharedTime{}, 2*time.Second), "and no second one at once")
 }
 
 // Guards against a server that said it is leaving being used again because its entry went in an
 // outage and comes back as it was before, and against another life being taken for that one.
 func TestLaggingEntryBringsBackNoLeavingServer(t *testing.T) {
 	r, s := limitedRegistry()
-	require.Equal(t, News{Leaving: true}, r.Advised(s, Advice{Leaving: true}, 0, time.Second))
-	require.Equal(t, News{}, r.Advised(s, Advice{Leaving: true}, 0, time.Second), "once")
+	require.Equal(t, News{Leaving: true}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second), "once")
 	r.Put(s, 2*time.Second)
-	require.Zero(t, r.Ready(svc))
-	r.Reset(nil, 10*time.Second, 12*time.Second)
+	require.Zero(t, r.CountReady(svc))
+	r.ReplaceAll(nil, 10*time.Second, 12*time.Second)
 	r.Put(s, 13*time.Second)
-	require.Zero(t, r.Ready(svc))
+	require.Zero(t, r.CountReady(svc))
 	again := s
-	again.Born = 2
+	again.StartTime = 2
 	r.Put(again, 14*time.Second)
-	require.Equal(t, 1, r.Ready(svc))
-	r.Advised(s, Advice{Leaving: true}, 0, 15*time.Second)
-	require.Equal(t, 1, r.Ready(svc), "the word of the life before")
+	require.Equal(t, 1, r.CountReady(svc))
+	r.ApplySignals(s, Signals{Leaving: true}, 0, 15*time.Second)
+	require.Equal(t, 1, r.CountReady(svc), "the word of the life before")
 }
 
 // Guards against others not being told of a server whose entry had said that it leaves: theirs
@@ -191,34 +191,34 @@
 	r, s := limitedRegistry()
 	s.Leaving = true
 	r.Put(s, time.Second)
-	require.Empty(t, r.Losses(time.Second))
-	r.Advised(s, Advice{Leaving: true}, 0, time.Second)
-	require.True(t, r.Losses(time.Second)[s.ID].Leaving)
+	require.Empty(t, r.Statuses(time.Second))
+	r.ApplySignals(s, Signals{Leaving: true}, 0, time.Second)
+	require.True(t, r.Statuses(time.Second)[s.ID].Leaving)
 }
 
 // Guards against a rest that is cut short by a later, shorter one or by the answer to an earlier
 // request, and against the rest of a life that is over.
 func TestLongestRestCounts(t *testing.T) {
 	r, s := limitedRegistry()
-	require.Equal(t, News{Rests: true}, r.Advised(s, Advice{Rest: 3 * time.Second}, 0, time.Second))
-	require.Equal(t, News{}, r.Advised(s, Advice{Rest: time.Second}, 0, 2*time.Second))
-	require.Equal(t, News{}, r.Advised(s, Advice{}, 500*time.Millisecond, 3*time.Second), "an answer to an earlier request")
+	require.Equal(t, News{BackoffStarted: true}, r.ApplySignals(s, Signals{Backoff: 3 * time.Second}, 0, time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{Backoff: time.Second}, 0, 2*time.Second))
+	require.Equal(t, News{}, r.ApplySignals(s, Signals{}, 500*time.Millisecond, 3*time.Second), "an answer to an earlier request")
 	require.Nil(t, r.Acquire(Query{Service: svc}, 3900*time.Millisecond))
-	require.Nil(t, r.Acquire(Query{Service: svc, Copy: true}, 3900*time.Millisecond))
+	require.Nil(t, r.Acquire(Query{Service: svc, ForCopy: true}, 3900*time.Millisecond))
 	lease := r.Acquire(Query{Service: svc}, 4*time.Second)
 	require.NotNil(t, lease)
-	lease.Done(Good, 4*time.Second)
-	r.Advised(s, Advice{Rest: MostRest}, 0, 5*time.Second)
+	lease.Release(ResultOK, 4*time.Second)
+	r.ApplySignals(s, Signals{Backoff: MaxBackoff}, 0, 5*time.Second)
 	again := s
-	again.Born = 2
+	again.StartTime = 2
 	r.Put(again, 6*time.Second)
-	require.Zero(t, r.Resting(6*time.Second))
+	require.Zero(t, r.CountBackingOff(6*time.Second))
 }
 
 // Guards against each of many gateways finding out by a request of its own that a server rests,
 // and against a server being left by all that asks one gateway alone for rest.
 func TestServerThatRestsForOthersIsAskedLast(t *testing.T) {
-	r := New("z0", func(string) Traits { return Traits{} }, func(Server, Notice) {})
+	r := New("z0", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 	tired, other := Server{ID: "a", Service: svc, Slots: 6}, Server{ID: "b", Service: svc, Slots: 6}
 	r.Put(tired, 0)
 	r.Put(other, 0)
@@ -228,18 +228,18 @@
 			if lease.Server.ID == "a" {
 				n++
 			}
-			lease.Done(Unjudged, time.Second)
+			lease.Release(ResultInconclusive, time.Second)
 		}
 		return n
 	}
-	r.SetLosses("vm-2", map[string]Loss{"a": {Resting: true}}, time.Second)
+	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {BackingOff: true}}, time.Second)
 	require.Greater(t, picked(), 20, "one alone")
-	r.SetLosses("vm-3", map[string]Loss{"a": {Resting: true}}, time.Second)
+	r.SetRemoteStatuses("vm-3", map[string]ServerStatus{"a": {BackingOff: true}}, time.Second)
 	require.Zero(t, picked())
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, time.Second)
 	require.NotNil(t, lease, "it wants nothing of the others only")
-	lease.Done(Unjudged, time.Second)
-	r.SetLosses("vm-3", nil, time.Second)
+	lease.Release(ResultInconclusive, time.Second)
+	r.SetRemoteStatuses("vm-3", nil, time.Second)
 	require.Greater(t, picked(), 20)
 }
 
@@ -249,12 +249,12 @@
 	r, s := limitedRegistry()
 	news := 0
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
-		for _, a := range []Advice{{Limited: true, Limit: 5}, {}} {
-			n := r.Advised(s, a, now+time.Millisecond, now)
-			if n.Limited || n.Lifted {
+		for _, a := range []Signals{{HasRateLimit: true, RateLimit: 5}, {}} {
+			n := r.ApplySignals(s, a, now+time.Millisecond, now)
+			if n.RateLimitSet || n.RateLimitRemoved {
 				news++
 			}
-			require.Equal(t, a.Limited, r.Limited() == 1, "what is believed follows each answer")
+			require.Equal(t, a.HasRateLimit, r.CountRateLimited() == 1, "what is believed follows each answer")
 		}
 	}
 	require.LessOrEqual(t, news, 8, "twice in half a second")
--- a/backends/cordon.go
+++ b/backends/cordon.go
@@ -7,8 +7,8 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// SetRegions says which region each failure domain is in.
-func (r *Registry) SetRegions(regions map[string]string) {
+// SetDomainRegions says which region each failure domain is in.
+func (r *Registry) SetDomainRegions(regions map[string]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.regions = regions
@@ -38,10 +38,10 @@
 	return back
 }
 
-// Barred reports whether a server must get no request that must stay in some regions,
+// IsIneligible reports whether a server must get no request that must stay in some regions,
 // whatever the request has there.
-func (r *Registry) Barred(s Server, within routing.Regions) bool {
+func (r *Registry) IsIneligible(s Server, within routing.Regions) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cordoned[s.FailureDomain] || !within.Allow(r.regions[s.FailureDomain])
+	return r.cordoned[s.FailureDomain] || !within.Allows(r.regions[s.FailureDomain])
 }
--- a/backends/load.go
+++ b/backends/load.go
@@ -5,29 +5,29 @@
 // Load is requests at a server.
 type Load struct {
 	Running int
-	// Tokens is the memory that they are expected to need.
-	Tokens int
-	// Prompt is the prompt tokens of those that have not begun to answer: what a
+	// ExpectedTokens is the memory that they are expected to need.
+	ExpectedTokens int
+	// PromptTokens is the prompt tokens of those that have not begun to answer: what a
 	// new request has to wait for.
-	Prompt int
-	// Copying is the tokens of memory that are being copied to the server: a further
+	PromptTokens int
+	// CopyTokens is the tokens of memory that are being copied to the server: a further
 	// copy waits on its link behind them.
-	Copying int
-	// Born is the life of the server that has the load, see Server.
-	Born int64
+	CopyTokens int
+	// StartTime is the life of the server that has the load, see Server.
+	StartTime int64
 }
 
 func (l Load) plus(o Load) Load {
-	return Load{Running: l.Running + o.Running, Tokens: l.Tokens + o.Tokens, Prompt: l.Prompt + o.Prompt, Copying: l.Copying + o.Copying}
+	return Load{Running: l.Running + o.Running, ExpectedTokens: l.ExpectedTokens + o.ExpectedTokens, PromptTokens: l.PromptTokens + o.PromptTokens, CopyTokens: l.CopyTokens + o.CopyTokens}
 }
 
 func (l Load) minus(o Load) Load {
-	return Load{Running: l.Running - o.Running, Tokens: l.Tokens - o.Tokens, Prompt: l.Prompt - o.Prompt, Copying: l.Copying - o.Copying}
+	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, PromptTokens: l.PromptTokens - o.PromptTokens, CopyTokens: l.CopyTokens - o.CopyTokens}
 }
 
 // load is what is known of a server's load, here and at other processes.
 func (r *Registry) load(s *server) Load {
-	return s.own.plus(r.told[life{s.ID, s.Born}])
+	return s.own.plus(r.told[life{s.ID, s.StartTime}])
 }
 
 // life is one start of a server.
@@ -39,7 +39,7 @@
 // addTold adds what a process tells of its loads to the sums, or takes it back; mu is held.
 func (r *Registry) addTold(loads map[string]Load, sign func(sum, l Load) Load) {
 	for id, l := range loads {
-		of := life{id, l.Born}
+		of := life{id, l.StartTime}
 		sum := sign(r.told[of], l)
 		if sum == (Load{}) {
 			delete(r.told, of)
@@ -57,15 +57,15 @@
 	for id, s := range r.servers {
 		if s.own.Running > 0 {
 			l := s.own
-			l.Born = s.Born
+			l.StartTime = s.StartTime
 			out[id] = l
 		}
 	}
 	return out
 }
 
-// SetRemote replaces what another process has told of its load; nil forgets it.
-func (r *Registry) SetRemote(process string, loads map[string]Load) {
+// SetRemoteLoads replaces what another process has told of its load; nil forgets it.
+func (r *Registry) SetRemoteLoads(process string, loads map[string]Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.addTold(r.remote[process], Load.minus)
@@ -98,49 +98,49 @@
 	believedLosses = 2
 )
 
-// Loss is what is wrong with a server: requests that it has lost in a row, its end, what it says
+// ServerStatus is what is wrong with a server: requests that it has lost in a row, its end, what it says
 // of itself.
-type Loss struct {
-	InARow int
-	// Ended says that it listens no more, Leaving that it has said itself that it will end.
-	Ended, Leaving bool
-	// Resting says that it has asked the process for rest.
-	Resting bool
-	// Limit is what is known of its limit.
-	Limit ToldLimit
-	// Born is the life of the server that lost them, see Server.
-	Born int64
-}
-
-// Losses tells what is wrong with servers: requests that were lost in a row of late, without an
+type ServerStatus struct {
+	ConsecutiveLosses int
+	// Down says that it listens no more, Leaving that it has said itself that it will end.
+	Down, Leaving bool
+	// BackingOff says that it has asked the process for rest.
+	BackingOff bool
+	// RateLimit is what is known of its limit.
+	RateLimit RateLimitReport
+	// StartTime is the life of the server that lost them, see Server.
+	StartTime int64
+}
+
+// Statuses tells what is wrong with servers: requests that were lost in a row of late, without an
 // answer or far too long without one, their ends, and what they say of themselves.
-func (r *Registry) Losses(now time.Duration) map[string]Loss {
+func (r *Registry) Statuses(now time.Duration) map[string]ServerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[string]Loss)
+	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := Loss{InARow: s.lostInARow(now), Ended: now < s.endedUntil, Leaving: s.reported && !s.gone, Resting: now < s.restUntil, Limit: s.limit.told(now), Born: s.Born}
-		if l.InARow > 0 || l.Ended || l.Leaving || l.Resting || l.Limit.Known {
+		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, BackingOff: now < s.restUntil, RateLimit: s.limit.told(now), StartTime: s.StartTime}
+		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.BackingOff || l.RateLimit.Known {
 			out[id] = l
 		}
 	}
 	return out
 }
 
-// Told is news that another process has told of a server.
-type Told struct {
+// StatusChange is news that another process has told of a server.
+type StatusChange struct {
 	Server
-	// Limit reports that it is of its limit.
-	Limit bool
+	// RateLimitChanged reports that it is of its limit.
+	RateLimitChanged bool
 }
 
-// SetLosses replaces what another process has told of what is wrong with servers; nil forgets
+// SetRemoteStatuses replaces what another process has told of what is wrong with servers; nil forgets
 // it. It returns the servers of which is news that they name a limit, or none, or that they are
 // leaving: others have to be told at once, as who hears this process need not hear that one.
 //
 // While the directory is away only those that run something on a server ask whether it is
 // leaving; the others would go on sending runs and copies there.
-func (r *Registry) SetLosses(process string, losses map[string]Loss, now time.Duration) (news []Told) {
+func (r *Registry) SetRemoteStatuses(process string, losses map[string]ServerStatus, now time.Duration) (news []StatusChange) {
 	r.mu.Lock()
 	if len(losses) == 0 {
 		delete(r.losses, process)
@@ -150,15 +150,15 @@
 	var left []leave
 	for id, l := range losses {
 		s := r.servers[id]
-		if s == nil || s.Born != l.Born {
+		if s == nil || s.StartTime != l.StartTime {
 			continue
 		}
 		leavingNews := l.Leaving && !s.gone && !s.reported
 		if l.Leaving {
 			left = s.report(left, NoticeTold)
 		}
-		if limitNews := s.limit.hear(l.Limit, now); limitNews || leavingNews {
-			news = append(news, Told{Server: s.Server, Limit: limitNews})
+		if limitNews := s.limit.hear(l.RateLimit, now); limitNews || leavingNews {
+			news = append(news, StatusChange{Server: s.Server, RateLimitChanged: limitNews})
 		}
 	}
 	r.mu.Unlock()
@@ -177,8 +177,8 @@
 	own := s.lostInARow(now)
 	sum := own
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Born == s.Born {
-			sum += min(believedLosses, l.InARow)
+		if l := losses[s.ID]; l.StartTime == s.StartTime {
+			sum += min(believedLosses, l.ConsecutiveLosses)
 		}
 	}
 	if own < ownLosses && sum < tooManyLosses {
@@ -196,23 +196,23 @@
 		return true
 	}
 	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Ended && l.Born == s.Born {
+		if l := losses[s.ID]; l.Down && l.StartTime == s.StartTime {
 			return true
 		}
 	}
 	return false
 }
 
-// KnowsEnded reports whether a server is taken not to listen.
-func (r *Registry) KnowsEnded(id string, now time.Duration) bool {
+// IsDown reports whether a server is taken not to listen.
+func (r *Registry) IsDown(id string, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
 	return s != nil && r.ended(s, now)
 }
 
-// HasEnded notes that a server listens no more, and reports whether that is news.
-func (r *Registry) HasEnded(gone Server, now time.Duration) bool {
+// MarkDown notes that a server listens no more, and reports whether that is news.
+func (r *Registry) MarkDown(gone Server, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current(gone)
@@ -223,9 +223,9 @@
 	return true
 }
 
-// Movers counts, by process, the requests at servers of a failure domain that are
+// CountRequestsAtLeaving counts, by process, the requests at servers of a failure domain that are
 // leaving. Those of this process have the name self.
-func (r *Registry) Movers(self, domain string) map[string]int {
+func (r *Registry) CountRequestsAtLeaving(self, domain string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]int)
@@ -237,7 +237,7 @@
 			out[self] += s.own.Running
 		}
 		for process, loads := range r.remote {
-			if l := loads[id]; l.Running > 0 && l.Born == s.Born {
+			if l := loads[id]; l.Running > 0 && l.StartTime == s.StartTime {
 				out[process] += l.Running
 			}
 		}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -55,20 +55,20 @@
 	Recv() (Token, error)
 }
 
-// Running is a stream that the engine holds.
-type Running struct {
-	ID        string
-	Attempt   uint32
-	Team      string
-	RequestID string
-	Model     string
-	Emitted   uint64
-	Prompt    uint32
-	MaxTokens uint32
+// RunningStream is a stream that the engine holds.
+type RunningStream struct {
+	ID          string
+	Attempt     uint32
+	Team        string
+	RequestID   string
+	Model       string
+	Emitted     uint64
+	PromptBytes uint32
+	MaxTokens   uint32
 }
 
-// Load is the engine's report of itself; it lags.
-type Load struct {
+// Status is the engine's report of itself; it lags.
+type Status struct {
 	Running           uint32
 	MemoryUsed        uint64
 	MemoryCapacity    uint64
@@ -92,8 +92,8 @@
 	Generate(ctx context.Context, req Request) (Stream, error)
 	Attach(ctx context.Context, id string, next uint64) (Stream, error)
 	Cancel(ctx context.Context, id string, attempt uint32) error
-	List(ctx context.Context) ([]Running, error)
-	Load(ctx context.Context) (Load, error)
+	List(ctx context.Context) ([]RunningStream, error)
+	Load(ctx context.Context) (Status, error)
 	Order(ctx context.Context, o Order) error
 }
 
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -14,12 +14,12 @@
 	Priority int
 	// Level is how far the request's team is above an equal share, see Shares.
 	Level int
-	// Prompt is the tokens that an engine has to read before the first answer.
-	Prompt int
-	// Arrived is when the request came, OnTimeBy when it has to reach an engine for
-	// its first answer to be on time, and LastBy for its whole answer to arrive
+	// PromptTokens is the tokens that an engine has to read before the first answer.
+	PromptTokens int
+	// Arrived is when the request came, OnTimeDeadline when it has to reach an engine for
+	// its first answer to be on time, and DispatchDeadline for its whole answer to arrive
 	// before the caller has left.
-	Arrived, OnTimeBy, LastBy time.Duration
+	Arrived, OnTimeDeadline, DispatchDeadline time.Duration
 }
 
 // Queue holds the waiters of one service.
@@ -37,25 +37,25 @@
 // SetRate says what goes to servers in a second, where that is known without measuring.
 func (q *Queue) SetRate(perSecond float64) { q.rate.perSecond = perSecond }
 
-// Enter adds a waiter.
-func (q *Queue) Enter(w *Waiter) { q.waiting = append(q.waiting, w) }
+// Add adds a waiter.
+func (q *Queue) Add(w *Waiter) { q.waiting = append(q.waiting, w) }
 
-// Leave takes a waiter out. sent says that it went to an engine.
-func (q *Queue) Leave(w *Waiter, sent bool, now time.Duration) {
+// Remove takes a waiter out. sent says that it went to an engine.
+func (q *Queue) Remove(w *Waiter, sent bool, now time.Duration) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(o *Waiter) bool { return o == w })
 	if sent {
-		q.rate.add(w.Prompt, now, len(q.waiting) > 0)
+		q.rate.add(w.PromptTokens, now, len(q.waiting) > 0)
 	}
 }
 
-// Holds reports whether a waiter is in the queue.
-func (q *Queue) Holds(w *Waiter) bool { return slices.Contains(q.waiting, w) }
+// Contains reports whether a waiter is in the queue.
+func (q *Queue) Contains(w *Waiter) bool { return slices.Contains(q.waiting, w) }
 
 // Len is the number of waiters.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// First returns the rank of the next waiter and how many have it.
-func (q *Queue) First(now time.Duration) (rank, n int) {
+// HeadRank returns the rank of the next waiter and how many have it.
+func (q *Queue) HeadRank(now time.Duration) (rank, n int) {
 	next := q.Next(now)
 	if next == nil {
 		return 0, 0
@@ -93,7 +93,7 @@
 	if a.late(now) {
 		return a.Arrived < b.Arrived
 	}
-	return a.OnTimeBy < b.OnTimeBy
+	return a.OnTimeDeadline < b.OnTimeDeadline
 }
 
 // lateRank is added to the rank of a request that cannot be on time any more; it is
@@ -103,34 +103,34 @@
 // Rank orders requests by urgency, 0 first: those that can be on time before all
 // others, then by priority, then those of teams within their share.
 func (w *Waiter) Rank(now time.Duration) int {
-	rank := w.Priority*(MostLevel+1) + w.Level
+	rank := w.Priority*(MaxLevel+1) + w.Level
 	if w.late(now) {
 		rank += lateRank
 	}
 	return rank
 }
 
-func (w *Waiter) late(now time.Duration) bool { return now > w.OnTimeBy }
+func (w *Waiter) late(now time.Duration) bool { return now > w.OnTimeDeadline }
 
-// Wait estimates how long a request would wait behind those that go before it.
-func (q *Queue) Wait(w *Waiter, now time.Duration) time.Duration {
+// EstimateWait estimates how long a request would wait behind those that go before it.
+func (q *Queue) EstimateWait(w *Waiter, now time.Duration) time.Duration {
 	ahead := 0
 	for _, o := range q.waiting {
 		if o != w && before(o, w, now) {
-			ahead += o.Prompt
+			ahead += o.PromptTokens
 		}
 	}
 	return time.Duration(float64(ahead) / q.rate.perSecond * float64(time.Second))
 }
 
-// Refuse reports whether a request is better told at once to come back later: its
+// ShouldReject reports whether a request is better told at once to come back later: its
 // caller will have left before its turn.
 //
 // One that cannot be on time any more waits on, behind all that can, and takes the room
 // that those leave. Sent away as long as others can be on time, more are refused for good,
 // and no more are on time.
-func (q *Queue) Refuse(w *Waiter, now time.Duration) bool {
-	return now+q.Wait(w, now) > w.LastBy
+func (q *Queue) ShouldReject(w *Waiter, now time.Duration) bool {
+	return now+q.EstimateWait(w, now) > w.DispatchDeadline
 }
 
 // rate measures the prompt tokens that go to engines in a second while requests
--- a/flow/queue_test.go
+++ b/flow/queue_test.go
@@ -23,11 +23,11 @@
 	step := time.Duration(float64(time.Second) / perSecond)
 	for at := time.Duration(0); at < lasts; at += step {
 		r := &request{target: seconds(1.8)}
-		r.Arrived, r.Priority, r.Prompt = at, 1, 3000
-		r.OnTimeBy, r.LastBy = at+seconds(1.3), at+seconds(26)
+		r.Arrived, r.Priority, r.PromptTokens = at, 1, 3000
+		r.OnTimeDeadline, r.DispatchDeadline = at+seconds(1.3), at+seconds(26)
 		if len(out)%2 == 0 {
-			r.Priority, r.Prompt, r.target = 0, 2200, seconds(1.5)
-			r.OnTimeBy, r.LastBy = at+seconds(1.1), at+seconds(5)
+			r.Priority, r.PromptTokens, r.target = 0, 2200, seconds(1.5)
+			r.OnTimeDeadline, r.DispatchDeadline = at+seconds(1.1), at+seconds(5)
 		}
 		out = append(out, r)
 	}
@@ -44,7 +44,7 @@
 	free, i := time.Duration(0), 0
 	for now := time.Duration(0); now < seconds(60); now += tick {
 		for i < len(load) && load[i].Arrived <= now {
-			q.Enter(&load[i].Waiter)
+			q.Add(&load[i].Waiter)
 			byWaiter[&load[i].Waiter] = load[i]
 			i++
 		}
@@ -54,10 +54,10 @@
 				break
 			}
 			r := byWaiter[w]
-			read := seconds(float64(w.Prompt) / perSecond)
+			read := seconds(float64(w.PromptTokens) / perSecond)
 			free = max(free, now) + read
-			q.Leave(w, true, now)
-			r.sent, r.took = now <= w.LastBy, now-w.Arrived+seconds(0.4)
+			q.Remove(w, true, now)
+			r.sent, r.took = now <= w.DispatchDeadline, now-w.Arrived+seconds(0.4)
 		}
 	}
 	for _, r := range load {
@@ -112,17 +112,17 @@
 	q := NewQueue(10000)
 	const ahead = 20
 	for range ahead {
-		q.Enter(&Waiter{Prompt: 3000, OnTimeBy: seconds(5), LastBy: time.Minute})
+		q.Add(&Waiter{PromptTokens: 3000, OnTimeDeadline: seconds(5), DispatchDeadline: time.Minute})
 	}
-	require.True(t, q.Refuse(&Waiter{OnTimeBy: seconds(6), LastBy: seconds(5)}, 0))
-	require.False(t, q.Refuse(&Waiter{OnTimeBy: seconds(6), LastBy: seconds(7)}, 0))
-	urgent := &Waiter{Priority: -1, OnTimeBy: seconds(1), LastBy: seconds(5)}
-	require.False(t, q.Refuse(urgent, 0))
+	require.True(t, q.ShouldReject(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(5)}, 0))
+	require.False(t, q.ShouldReject(&Waiter{OnTimeDeadline: seconds(6), DispatchDeadline: seconds(7)}, 0))
+	urgent := &Waiter{Priority: -1, OnTimeDeadline: seconds(1), DispatchDeadline: seconds(5)}
+	require.False(t, q.ShouldReject(urgent, 0))
 
-	late := &Waiter{OnTimeBy: seconds(0.5), LastBy: seconds(7.5)}
-	q.Enter(late)
-	require.False(t, q.Refuse(late, seconds(1)), "6 s of others' prompts go first, and it has 6.5")
-	require.True(t, q.Refuse(late, seconds(1.6)))
+	late := &Waiter{OnTimeDeadline: seconds(0.5), DispatchDeadline: seconds(7.5)}
+	q.Add(late)
+	require.False(t, q.ShouldReject(late, seconds(1)), "6 s of others' prompts go first, and it has 6.5")
+	require.True(t, q.ShouldReject(late, seconds(1.6)))
 }
 
 // turnedAway plays a load whose late requests are sent away by a rule, and returns the
@@ -132,7 +132,7 @@
 	next := func(q *Queue, now time.Duration) *Waiter {
 		for _, w := range slices.Clone(q.waiting) {
 			if refuse(q, w, now) {
-				q.Leave(w, false, now)
+				q.Remove(w, false, now)
 				away++
 			}
 		}
@@ -144,8 +144,8 @@
 
 // whileOthersAreOnTime sends a late request away as long as another can be on time.
 func whileOthersAreOnTime(q *Queue, w *Waiter, now time.Duration) bool {
-	others := slices.ContainsFunc(q.waiting, func(o *Waiter) bool { return o != w && now <= o.OnTimeBy })
-	return w.late(now) && others || now+q.Wait(w, now) > w.LastBy
+	others := slices.ContainsFunc(q.waiting, func(o *Waiter) bool { return o != w && now <= o.OnTimeDeadline })
+	return w.late(now) && others || now+q.EstimateWait(w, now) > w.DispatchDeadline
 }
 
 // Half as many requests again come for 4 s as the engines can read. Callers that cannot
@@ -154,7 +154,7 @@
 func TestLateRequestsTakeTheRoomThatOthersLeave(t *testing.T) {
 	const capacity, demand = 26000, 15
 	before, onTimeBefore := turnedAway(load(demand, 4*time.Second), capacity, whileOthersAreOnTime)
-	served, onTime := turnedAway(load(demand, 4*time.Second), capacity, (*Queue).Refuse)
+	served, onTime := turnedAway(load(demand, 4*time.Second), capacity, (*Queue).ShouldReject)
 	t.Logf("served %.3f before, %.3f now; on time %.3f and %.3f", before, served, onTimeBefore, onTime)
 	require.Less(t, before, 0.95)
 	require.Equal(t, 1.0, served)
@@ -167,18 +167,18 @@
 	q := NewQueue(10000)
 	at := time.Duration(0)
 	for range 20 {
-		w := &Waiter{Prompt: 100}
-		q.Enter(w)
-		q.Leave(w, true, at)
+		w := &Waiter{PromptTokens: 100}
+		q.Add(w)
+		q.Remove(w, true, at)
 		at += seconds(1)
 	}
 	require.InDelta(t, 10000, q.rate.perSecond, 1)
 	for range 40 {
-		q.Enter(&Waiter{Prompt: 1000})
+		q.Add(&Waiter{PromptTokens: 1000})
 	}
 	for range 30 {
 		w := q.Next(at)
-		q.Leave(w, true, at)
+		q.Remove(w, true, at)
 		at += seconds(0.2)
 	}
 	require.InDelta(t, 5000, q.rate.perSecond, 800)
--- a/flow/shares.go
+++ b/flow/shares.go
@@ -21,8 +21,8 @@
 	// forgetBelow is the amount below which a team's usage is forgotten: a thousandth
 	// of a short request.
 	forgetBelow = 1.0
-	// MostLevel is the level of teams that use more than four times an equal share.
-	MostLevel = 3
+	// MaxLevel is the level of teams that use more than four times an equal share.
+	MaxLevel = 3
 )
 
 // Shares counts what teams use and tells which of them take more than an equal share.
@@ -35,8 +35,8 @@
 // NewShares returns an empty count.
 func NewShares() *Shares { return &Shares{amounts: make(map[string]float64)} }
 
-// Fade is what usage counts after some time.
-func Fade(amount float64, age time.Duration) float64 {
+// Decay is what usage counts after some time.
+func Decay(amount float64, age time.Duration) float64 {
 	return amount * math.Exp2(-float64(age)/float64(usageHalfLife))
 }
 
@@ -53,7 +53,7 @@
 	age := now - s.at
 	s.at = now
 	for team, amount := range s.amounts {
-		if amount = Fade(amount, age); amount < forgetBelow {
+		if amount = Decay(amount, age); amount < forgetBelow {
 			delete(s.amounts, team)
 		} else {
 			s.amounts[team] = amount
@@ -102,5 +102,5 @@
 	if ratio <= 1 {
 		return 0
 	}
-	return min(MostLevel, int(math.Ceil(math.Log2(ratio))))
+	return min(MaxLevel, int(math.Ceil(math.Log2(ratio))))
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -19,8 +19,8 @@
 	again := g.dispatched
 	g.dispatched = true
 	if again {
-		g.buf.Begin(g.buf.Attempt() + 1)
-		a.policy.Progress(g.job, int(g.buf.Next()))
+		g.buf.BeginAttempt(g.buf.Attempt() + 1)
+		a.policy.Progress(g.job, int(g.buf.NextIndex()))
 	}
 	attempt := g.buf.Attempt()
 	a.wg.Add(1)
@@ -91,7 +91,7 @@
 func (a *Agent) generate(ctx context.Context, g *generation, attempt uint32) (engine.Stream, error) {
 	req := g.req
 	req.Attempt = attempt
-	if g.buf.Next() > 0 {
+	if g.buf.NextIndex() > 0 {
 		prefix, err := g.buf.Prefix()
 		if err != nil {
 			return nil, err
@@ -152,9 +152,9 @@
 // arrived if the engine continues generations. It never starts over behind
 // tokens that a caller may have: that would splice two generations.
 func (a *Agent) recoverStream(ctx context.Context, g *generation, attempt uint32, cause error) (uint32, engine.Stream, error) {
-	deadline := time.Now().Add(a.cfg.EngineGrace)
+	deadline := time.Now().Add(a.cfg.EngineGracePeriod)
 	for backoff := firstBackoff; time.Now().Before(deadline); backoff = min(2*backoff, maxBackoff) {
-		src, err := a.engine.Attach(ctx, g.id, g.buf.Next())
+		src, err := a.engine.Attach(ctx, g.id, g.buf.NextIndex())
 		if err == nil {
 			return attempt, src, nil
 		}
@@ -172,11 +172,11 @@
 	if g.once {
 		return attempt, nil, errors.Wrap(cause, "request must not run twice")
 	}
-	if g.buf.Next() > 0 && !a.resumes {
+	if g.buf.NextIndex() > 0 && !a.resumes {
 		return attempt, nil, errors.Wrap(cause, "engine does not resume from a prefix")
 	}
 	next := attempt + 1
-	if err := g.buf.Begin(next); err != nil {
+	if err := g.buf.BeginAttempt(next); err != nil {
 		return attempt, nil, err
 	}
 	src, err := a.generate(ctx, g, next)
@@ -193,7 +193,7 @@
 // outcome turns an engine's error. A rejection before any token is the one
 // case in which the engine itself says that the request did not run.
 func (a *Agent) outcome(g *generation, err error) *failure.Error {
-	if errors.Is(err, engine.ErrRejected) && g.buf.Next() == 0 {
+	if errors.Is(err, engine.ErrRejected) && g.buf.NextIndex() == 0 {
 		return failure.NotRun(kingcupv1.Reason_REASON_UNKNOWN_MODEL, 0, "%v", err)
 	}
 	if errors.Is(err, errHarmful) {
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func (a *Agent) adoptOne(r engine.Running) {
+func (a *Agent) adoptOne(r engine.RunningStream) {
 	g := &generation{
 		id: r.ID,
 		req: engine.Request{
@@ -230,10 +230,10 @@
 		once:       true,
 		dispatched: true,
 	}
-	g.buf.Begin(r.Attempt)
+	g.buf.BeginAttempt(r.Attempt)
 	g.job = &sched.Job{
 		ID: r.ID, Team: r.Team, Model: r.Model, Weight: 1,
-		Prompt: int(r.Prompt)/a.cfg.BytesPerToken + 1, MaxTokens: int(r.MaxTokens), Emitted: int(r.Emitted),
+		PromptTokens: int(r.PromptBytes)/a.cfg.BytesPerToken + 1, MaxTokens: int(r.MaxTokens), EmittedBefore: int(r.Emitted),
 	}
 	a.mu.Lock()
 	a.enter(g)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -123,7 +123,7 @@
 		budgets: make(map[string]*retry.Budget),
 	}
 	if e.claims != nil {
-		e.claims.Route(e.writer)
+		e.claims.SetForwarder(e.writer)
 	}
 	return e
 }
@@ -222,13 +222,13 @@
 func (e *Entry) retryAllowed(team string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.budget(team).Take()
+	return e.budget(team).TryTake()
 }
 
 func (e *Entry) firstTry(team string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.budget(team).First()
+	e.budget(team).RecordFirstTry()
 }
 
 // Retries may add a fifth to a team's load, after a burst of ten.
@@ -254,6 +254,6 @@
 		e.seen.Finished(team, kingcupv1.Outcome_OUTCOME_ANSWERED, kingcupv1.Reason_REASON_UNSPECIFIED)
 		return
 	}
-	f := failure.As(err)
+	f := failure.FromError(err)
 	e.seen.Finished(team, f.Outcome, f.Reason)
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -55,9 +55,9 @@
 	}
 	delta := &kingcupv1.Delta{Version: base + 1, ChangeId: changeID, Puts: req.GetPuts(), Deletes: req.GetDeletes()}
 	if base == state.Version() {
-		next, err := state.Next(delta)
+		next, err := state.WithDelta(delta)
 		if err == nil {
-			err = next.Check()
+			err = next.Validate()
 		}
 		if err != nil {
 			return nil, err
@@ -88,7 +88,7 @@
 // that starts reads one object and few deltas.
 func (e *Entry) snapshot(ctx context.Context) {
 	state := e.sync.Replica().State()
-	if state.Version()%conf.SnapshotEvery != 0 {
+	if state.Version()%conf.VersionsPerSnapshot != 0 {
 		return
 	}
 	if err := e.store.SaveSnapshot(ctx, state); err != nil {
--- a/internal/follow/sharing.go
+++ b/internal/follow/sharing.go
@@ -9,8 +9,8 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// Shared is a page as one process passes it on to others.
-type Shared struct {
+// SharedPage is a page as one process passes it on to others.
+type SharedPage struct {
 	Page
 	// Since is the revision that the page goes on from.
 	Since revision.Revision
@@ -26,19 +26,19 @@
 	// for everything. What it returns are rows to take, or where the other's copy is if the
 	// sink has them already. Errors: ErrNoPeer, or why it failed.
 	Fetch(ctx context.Context, since revision.Revision) (Page, error)
-	// Reads reports whether this process is one of those that read the store;
+	// IsReader reports whether this process is one of those that read the store;
 	// the others live on what they are told. reached says whether the store
 	// answered this process last.
-	Reads(reached bool) bool
-	// Turn reports whether this process may call the store although it is not one of
+	IsReader(reached bool) bool
+	// MayCallStore reports whether this process may call the store although it is not one of
 	// those: it hears nothing of them, or has been without a table for some time. Of many
 	// processes that ask, few may at the same time.
-	Turn(without time.Duration) bool
+	MayCallStore(without time.Duration) bool
 	// Share passes on a page that was read.
-	Share(s Shared)
-	// Reading reports whether another process says that a long answer of the store is
+	Share(s SharedPage)
+	// IsPeerReading reports whether another process says that a long answer of the store is
 	// coming in there.
-	Reading() bool
+	IsPeerReading() bool
 }
 
 // silentSlack is how much longer than a call may wait nothing may be heard before
@@ -52,11 +52,11 @@
 	alone := f.sharing == nil || !f.synced || f.gap() || f.behind
 	reached, silent := f.failures == 0, !alone && f.silent()
 	f.mu.Unlock()
-	if alone || f.sharing.Reads(reached) {
+	if alone || f.sharing.IsReader(reached) {
 		return false
 	}
 	if silent {
-		return !f.sharing.Turn(0)
+		return !f.sharing.MayCallStore(0)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,11 +73,11 @@
 // silent reports whether too little is heard of others to live on them; mu is held.
 func (f *Follower) silent() bool {
 	age := f.now() - f.made
-	return age > f.cfg.Wait+silentSlack && (age > readingPatience || !f.sharing.Reading())
+	return age > f.cfg.PollTimeout+silentSlack && (age > readingPatience || !f.sharing.IsPeerReading())
 }
 
-// Reading reports whether a long answer is coming in here.
-func (f *Follower) Reading() bool { return f.reading.Load() }
+// IsReading reports whether a long answer is coming in here.
+func (f *Follower) IsReading() bool { return f.reading.Load() }
 
 // leanPoll is how often a process that lives on others looks whether it still may.
 const leanPoll = 100 * time.Millisecond
@@ -92,9 +92,9 @@
 	}
 }
 
-// Offer takes a page that another process has read. One that leaves a gap is not
+// ReceivePage takes a page that another process has read. One that leaves a gap is not
 // taken; the changes between are then fetched, or read from the store.
-func (f *Follower) Offer(s Shared) {
+func (f *Follower) ReceivePage(s SharedPage) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
@@ -112,10 +112,10 @@
 	f.nudge()
 }
 
-// Heard takes how far another process is. One that this process has all changes of confirms
+// ReceivePosition takes how far another process is. One that this process has all changes of confirms
 // the own copy as it is: no page has to come in for that. From one that is further the
 // difference is fetched.
-func (f *Follower) Heard(p Position) {
+func (f *Follower) ReceivePosition(p Position) {
 	f.mu.Lock()
 	own, synced := f.position(), f.synced
 	if !synced {
@@ -161,17 +161,17 @@
 	f.confirm(joined.Clock, 0)
 }
 
-// Lacks reports whether a copy at a position has changes that this one has not.
-func (f *Follower) Lacks(p Position) bool {
+// IsBehind reports whether a copy at a position has changes that this one has not.
+func (f *Follower) IsBehind(p Position) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.synced || !f.position().Has(p)
 }
 
-// Since gives what has changed after a revision, for another process. It is false where
+// ChangesSince gives what has changed after a revision, for another process. It is false where
 // rows are not kept, or there are none yet. While the table is read anew it gives what there
 // was: one that starts has nothing better than a store that has come back older.
-func (f *Follower) Since(known revision.Revision) (Page, bool) {
+func (f *Follower) ChangesSince(known revision.Revision) (Page, bool) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,26 +35,26 @@
 
 // Options are the gateway's own settings.
 type Options struct {
-	// FeedWait is how long a call to the store waits for changes.
-	FeedWait time.Duration
-	// DirectoryGap is the least time between two calls for the directory.
-	DirectoryGap time.Duration
-	// PeerLinks bounds the gateways that this one tells of itself.
-	PeerLinks int
-	// Leave is how long after SIGTERM connections are still taken, until the
+	// FeedTimeout is how long a call to the store waits for changes.
+	FeedTimeout time.Duration
+	// MinDirectoryInterval is the least time between two calls for the directory.
+	MinDirectoryInterval time.Duration
+	// MaxPeerLinks bounds the gateways that this one tells of itself.
+	MaxPeerLinks int
+	// ShutdownDelay is how long after SIGTERM connections are still taken, until the
 	// balancer has noticed.
-	Leave time.Duration
+	ShutdownDelay time.Duration
 	// MetricsPort serves metrics and reports; 0 for none.
 	MetricsPort int
-	// DroppedLines counts the log lines that were not written.
-	DroppedLines func() uint64
+	// DroppedLogLines counts the log lines that were not written.
+	DroppedLogLines func() uint64
 }
 
 // DefaultOptions are the defaults of the flags.
 func DefaultOptions() Options {
 	return Options{
-		FeedWait: time.Second, DirectoryGap: 100 * time.Millisecond, PeerLinks: peers.DefaultLinks, Leave: 3 * time.Second, MetricsPort: 9464,
-		DroppedLines: func() uint64 { return 0 },
+		FeedTimeout: time.Second, MinDirectoryInterval: 100 * time.Millisecond, MaxPeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
+		DroppedLogLines: func() uint64 { return 0 },
 	}
 }
 
@@ -94,7 +94,7 @@
 	var g *Gateway
 	err := c.Invoke(func(r *relay.Relay, reg *backends.Registry, up *upstream.Client, rep *routing.Replica, rec *gatewaymetrics.Recorder, st *store.Client, gr *group, l *late) error {
 		g = &Gateway{started: time.Now(), set: &l.set, log: log, opts: opts, store: st, relay: r, registry: reg, upstream: up, group: gr}
-		reg.SetRegions(set.Regions)
+		reg.SetDomainRegions(set.Regions)
 		return g.run(set, rep, rec)
 	})
 	return g, dig.RootCause(err)
@@ -118,9 +118,9 @@
 		func() clock.Source { return clock.SinceBoot },
 		func(rec *gatewaymetrics.Recorder) *store.Client { return store.New(set.Store, set.LinkMbps, rec) },
 		func(l *late) *upstream.Client {
-			return upstream.New(func(s backends.Server, a backends.Advice, begun time.Duration) {
+			return upstream.New(func(s backends.Server, a backends.Signals, begun time.Duration) {
 				if r := l.relay.Load(); r != nil {
-					r.Advised(s, a, begun)
+					r.HandleSignals(s, a, begun)
 				}
 			})
 		},
@@ -128,21 +128,21 @@
 		newControlCosts,
 		routing.NewReplica,
 		func(rep *routing.Replica, l *late) *backends.Registry {
-			return backends.New(set.FailureDomain, traitsOf(rep, l), func(s backends.Server, n backends.Notice) {
-				log.WithFields(logrus.Fields{"server": s.ID, "born": s.Born, "service": s.Service, "notice": string(n)}).Info("server is leaving")
+			return backends.New(set.FailureDomain, traitsOf(rep, l), func(s backends.Server, n backends.LeaveReason) {
+				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(n)}).Info("server is leaving")
 				if r := l.relay.Load(); r != nil {
-					r.Noticed(s, n)
+					r.HandleLeaving(s, n)
 				}
 			})
 		},
 		func(st *store.Client, reg *backends.Registry, rep *routing.Replica, costs *controlCosts) *group {
 			self := peers.Member{Name: set.VM, Address: peerAddress(set), FailureDomain: set.FailureDomain}
-			return newGroup(self, st, reg, rep, set.LinkMbps, opts.PeerLinks, costs, log)
+			return newGroup(self, st, reg, rep, set.LinkMbps, opts.MaxPeerLinks, costs, log)
 		},
 		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *late) *relay.Relay {
-			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Others: gr, Suspects: gr.suspects})
+			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Peers: gr, Quarantine: gr.suspects})
 			l.relay.Store(r)
-			held := r.Quarantined
+			held := r.CancelQuarantined
 			gr.suspects.held.Store(&held)
 			return r
 		},
@@ -151,7 +151,7 @@
 
 func relayConfig(set *settings.Settings) relay.Config {
 	return relay.Config{
-		RevokeBound: set.Bounds.Revoke, ApplyBound: set.Bounds.ApplyConfig,
+		RevokeTimeout: set.Bounds.Revoke, ApplyTimeout: set.Bounds.ApplyConfig,
 		RetryRatio: set.Bounds.RetryRatio, RetryExtra: set.Bounds.RetryExtra,
 	}
 }
@@ -165,8 +165,8 @@
 // coldWindow is the time in which the platform counts what a cold server gets.
 const coldWindow = time.Second
 
-func traitsOf(rep *routing.Replica, l *late) func(service string) backends.Traits {
-	return func(service string) (t backends.Traits) {
+func traitsOf(rep *routing.Replica, l *late) func(service string) backends.ServiceTraits {
+	return func(service string) (t backends.ServiceTraits) {
 		cfg, _ := rep.Current()
 		if cfg == nil {
 			return t
@@ -177,7 +177,7 @@
 		}
 		bounds := l.set.Load().Bounds
 		t.ColdTime = s.ColdTime
-		t.Cold = pacing.Limit{Rate: s.ColdRate, Most: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
+		t.ColdLimit = pacing.Limit{Rate: s.ColdRate, MaxInWindow: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
 		if s.Engine != nil {
 			t.MemoryTokens = s.Engine.MemoryTokens
 		}
@@ -203,25 +203,25 @@
 	}
 	g.callers = ingress.New(callers, g.relay)
 	rep.OnChange(func(c *routing.Config) { g.callers.SetLimits(c.Limits) })
-	rec.Gauge("kingcup_gateway_in_progress", "Requests without a final answer.", func() float64 { return float64(g.relay.InProgress()) })
-	rec.Gauge("kingcup_gateway_config_version", "Version of the configuration in force.", func() float64 {
+	rec.RegisterGauge("kingcup_gateway_in_progress", "Requests without a final answer.", func() float64 { return float64(g.relay.InProgress()) })
+	rec.RegisterGauge("kingcup_gateway_config_version", "Version of the configuration in force.", func() float64 {
 		c, _ := rep.Current()
 		if c == nil {
 			return 0
 		}
 		return float64(c.Version)
 	})
-	rec.Gauge("kingcup_gateway_config_age_seconds", "Time since the configuration was known to be the newest.", func() float64 {
+	rec.RegisterGauge("kingcup_gateway_config_age_seconds", "Time since the configuration was known to be the newest.", func() float64 {
 		_, confirmed := rep.Current()
 		return (clock.SinceBoot() - confirmed).Seconds()
 	})
-	rec.Gauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
-	rec.Gauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.Live())) })
-	rec.Gauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
-	rec.Gauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
-	rec.Gauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.Limited()) })
-	rec.Gauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.Resting(clock.SinceBoot())) })
-	rec.Gauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLines()) })
+	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.KnownCount() - 1) })
+	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.LiveStates())) })
+	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
+	rec.RegisterGauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
+	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.CountRateLimited()) })
+	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.CountBackingOff(clock.SinceBoot())) })
+	rec.RegisterGauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLogLines()) })
 	if err := g.serveMetrics(set, rec); err != nil {
 		callers.Close()
 		ready.Close()
@@ -231,8 +231,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	g.wg.Go(func() { g.callers.Serve() })
-	op := g.follow(operator.Table, g.opts.FeedWait, 0, g.group.config.sink, g.group.config)
-	g.directory = g.follow(directory.Table, g.opts.FeedWait, g.opts.DirectoryGap, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
+	op := g.follow(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
+	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
 	gateways := g.follow(membersTable, membersWait, membersGap, members{g.group}, sharing{g.group, membersTable})
 	go ingress.NewReady(g.Ready).Serve(ready)
 	g.wg.Go(func() { g.group.links.Run(ctx, links) })
@@ -241,7 +241,7 @@
 	g.wg.Go(func() { gateways.Run(ctx) })
 	g.wg.Go(func() { g.group.join(ctx) })
 	g.wg.Go(func() { g.group.agree(ctx) })
-	g.wg.Go(func() { g.relay.Scout(ctx, g.directory.Away) })
+	g.wg.Go(func() { g.relay.RunProber(ctx, g.directory.IsUnavailable) })
 	g.wg.Go(func() { g.tend(ctx) })
 	g.wg.Go(func() { g.group.logControl(ctx) })
 	g.wg.Go(func() { g.group.suspects.tend(ctx) })
@@ -251,10 +251,10 @@
 // follow copies a table, together with the peers.
 func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, shared follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
-		Name: table, Wait: wait, Gap: gap,
-		Called:   func(r follow.Reason) { g.group.costs.called(table, string(r)) },
-		Restored: func() { g.group.costs.restored(table) },
-		Keep:     g.group.answers[table] != nil,
+		Name: table, PollTimeout: wait, MinCallInterval: gap,
+		OnCall:     func(r follow.Reason) { g.group.costs.called(table, string(r)) },
+		OnRestored: func() { g.group.costs.restored(table) },
+		KeepRows:   g.group.answers[table] != nil,
 	}
 	f := follow.New(cfg, g.store.Table(table), sink, shared, clock.SinceBoot, g.log)
 	g.group.followers[table] = f
@@ -299,8 +299,8 @@
 // The table of gateways says under which requests servers end: one that does not know it
 // would send them on.
 func (g *Gateway) Ready() bool {
-	return !g.stopping.Load() && g.relay.Ready() && g.directory.Filled() &&
-		(g.group.followers[membersTable].Filled() || time.Since(g.started) > tablesPatience)
+	return !g.stopping.Load() && g.relay.Ready() && g.directory.HasTable() &&
+		(g.group.followers[membersTable].HasTable() || time.Since(g.started) > tablesPatience)
 }
 
 // tablesPatience is how long after its start a gateway waits for the table of gateways.
@@ -326,12 +326,12 @@
 	g.stopping.Store(true)
 	g.callers.Stop()
 	g.group.stop()
-	g.relay.EndAt(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.Leave-leaveMargin))
+	g.relay.SetShutdown(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
 	last := g.set.Load().Bounds.Shutdown - endMargin
 	for time.Since(begun) < last {
 		time.Sleep(idlePoll)
-		if time.Since(begun) >= g.opts.Leave && g.relay.InProgress() == 0 {
+		if time.Since(begun) >= g.opts.ShutdownDelay && g.relay.InProgress() == 0 {
 			break
 		}
 	}
@@ -350,7 +350,7 @@
 	if same {
 		return
 	}
-	g.registry.SetRegions(set.Regions)
+	g.registry.SetDomainRegions(set.Regions)
 	g.store.SetAddress(set.Store)
 	g.store.SetLink(set.LinkMbps)
 	g.relay.Configure(relayConfig(set))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -96,12 +96,12 @@
 	b.CopyTime = 100 * time.Millisecond
 	first := s.server(fleet.ModelService, b)
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	got := make(chan reply, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return first.Running() == 1 }, "running")
 	second := s.server(fleet.ModelService, b)
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 2 }, "second listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
 	first.Drain(true)
 	time.AfterFunc(700*time.Millisecond, first.Kill)
 	r := <-got
@@ -120,12 +120,12 @@
 	b.Events = 200
 	first := s.server(fleet.ModelService, b)
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	got := make(chan reply, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return first.Running() == 1 }, "running")
 	s.server(fleet.ModelService, b)
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 2 }, "second listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
 	s.fleet.Store.SetFault(fleet.Reset)
 	first.Drain(false)
 	time.AfterFunc(3*time.Second, first.Kill)
@@ -142,10 +142,10 @@
 	b := s.server(fleet.DeskService, fleet.Behaviour{})
 	c := s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 3 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	a.Drain(true)
 	b.Leave()
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "left")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "left")
 	for range 20 {
 		require.Equal(t, "answer of "+c.ID, n.do(plain(fleet.OncePath)).body)
 	}
@@ -160,13 +160,13 @@
 	a := s.server(fleet.DeskService, fleet.Behaviour{})
 	b := s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 	n.door.SetFault(fleet.Busy)
 	time.Sleep(1500 * time.Millisecond)
 	a.Drain(true)
 	s.fleet.Store.Compact()
 	n.door.SetFault(fleet.Sound)
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "seen")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "seen")
 	require.Equal(t, "answer of "+b.ID, n.do(plain(fleet.OncePath)).body)
 }
 
@@ -183,7 +183,7 @@
 	s.fleet.Store.SetFault(fleet.Sound)
 	n.eventually(n.isReady, "ready again")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 0 }, "taken as gone")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 0 }, "taken as gone")
 }
 
 // A key is taken away while the store turns this VM away; its peer still reads it.
@@ -192,7 +192,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
-	a.eventually(func() bool { return len(a.group.links.Live()) == 1 && len(b.group.links.Live()) == 1 }, "linked")
+	a.eventually(func() bool { return len(a.group.links.LiveStates()) == 1 && len(b.group.links.LiveStates()) == 1 }, "linked")
 	a.eventually(func() bool { return a.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	a.door.SetFault(fleet.Busy)
 	time.Sleep(time.Second)
@@ -216,7 +216,7 @@
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Store.SetFault(fleet.Silent)
 	// A call that waits at the store is still answered, and confirms the keys.
-	time.Sleep(DefaultOptions().FeedWait + testBounds.Revoke)
+	time.Sleep(DefaultOptions().FeedTimeout + testBounds.Revoke)
 	r := n.do(plain(fleet.OncePath))
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.NotEmpty(t, r.header.Get("Retry-After"))
@@ -247,7 +247,7 @@
 	s := newSystem(t)
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c"), s.gateway("vm-d")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.Live()) == len(nodes)-1 }, "linked")
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(nodes)-1 }, "linked")
 	}
 	time.Sleep(1500 * time.Millisecond)
 	before := s.fleet.Store.Calls()
@@ -261,7 +261,7 @@
 	s := newSystem(t)
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
 	c.send(generation(fleet.PlanPath))
 	n.eventually(func() bool { return engine.Running() == 1 }, "running")
@@ -283,7 +283,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{Delay: time.Minute})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 	begun := time.Now()
 	require.Equal(t, http.StatusGatewayTimeout, n.do(plain(fleet.OncePath)).status)
 	require.InDelta(t, 1.5, time.Since(begun).Seconds(), 0.25)
@@ -310,10 +310,10 @@
 			s := newSystem(t)
 			s.server(fleet.DeskService, fleet.Behaviour{Raw: func(c net.Conn, _ *http.Request) { raw(c) }})
 			n := s.gateway("vm-1")
-			n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "listed")
+			n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 			require.Equal(t, http.StatusBadGateway, n.do(plain(fleet.OncePath)).status)
 			good := s.server(fleet.DeskService, fleet.Behaviour{})
-			n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 }, "listed")
+			n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 			for range 10 {
 				r := n.do(plain(fleet.SafePath))
 				require.NoError(t, r.err)
@@ -343,7 +343,7 @@
 		c.Read(buf)
 	}})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 }, "listed")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 	require.Equal(t, "one", n.do(plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", "first")).body)
 	require.Equal(t, "two", n.do(plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", "second")).body)
 }
@@ -387,7 +387,7 @@
 	s.linkMbps = 1
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.Live()) == len(nodes)-1 }, "linked")
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(nodes)-1 }, "linked")
 	}
 	var more []string
 	for i := range 400 {
@@ -396,8 +396,8 @@
 	s.fleet.Configure(fleet.Key, more...)
 	last := nodes[len(nodes)-1]
 	last.eventually(func() bool { return last.do(plain("/extra-399/a")).status == http.StatusOK }, "in force")
-	require.True(t, nodes[0].group.tooLong(follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 40000)}}}}))
-	require.False(t, nodes[0].group.tooLong(follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 500)}}}}))
+	require.True(t, nodes[0].group.tooLong(follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 40000)}}}}))
+	require.False(t, nodes[0].group.tooLong(follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 500)}}}}))
 }
 
 // The platform moves the store to another address and changes a bound while the
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -61,11 +61,11 @@
 	for tries := 0; ctx.Err() == nil; tries++ {
 		err := g.announce(ctx)
 		if err == nil {
-			g.log.WithField("peers", g.links.Known()-1).Info("joined the gateways")
+			g.log.WithField("peers", g.links.KnownCount()-1).Info("joined the gateways")
 			return
 		}
 		g.log.WithError(err).WithField("try", tries+1).Warn("cannot join the gateways yet")
-		wait.For(ctx, joinBackoff.After(tries, rand.Float64()))
+		wait.For(ctx, joinBackoff.Delay(tries, rand.Float64()))
 	}
 }
 
@@ -128,7 +128,7 @@
 func (m members) Reset(rows []follow.Row, _ time.Duration) {
 	requests, gateways := splitRows(rows)
 	m.suspects.read(requests, true)
-	m.links.Learn(m.decodeMembers(gateways))
+	m.links.AddMembers(m.decodeMembers(gateways))
 	if m.role.joined.Load() && !slices.ContainsFunc(gateways, func(r follow.Row) bool { return r.Key == m.self.Name }) {
 		time.AfterFunc(time.Duration(rand.Float64()*float64(rewriteWithin)), m.rewrite)
 	}
@@ -173,10 +173,10 @@
 		written = append(written, row)
 	}
 	if len(gone) > 0 {
-		m.links.Gone(gone)
+		m.links.RemoveMembers(gone)
 	}
 	if len(written) > 0 {
-		m.links.Learn(m.decodeMembers(written))
+		m.links.AddMembers(m.decodeMembers(written))
 	}
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -76,16 +76,16 @@
 	var d net.Dialer
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
-		State: g.state, Receiver: g, Answer: g.answer, Log: log, Forgotten: g.forgotten,
-		Sent: costs.toPeer, MostLinks: mostLinks, Placed: g.placed, Greet: g.suspects.greet,
+		State: g.state, Receiver: g, Answer: g.answer, Log: log, OnForgotten: g.forgotten,
+		OnSent: costs.toPeer, MaxLinks: mostLinks, OnPlaced: g.placed, InitialSuspects: g.suspects.greet,
 	})
 	return g
 }
 
 // placed has the registry know the place of this gateway among the others.
 func (g *group) placed(p cells.Place) {
-	if g.registry.SetPlace(p) {
-		g.log.WithFields(logrus.Fields{"cell": p.Own, "cells": p.Count}).Info("cell of this gateway")
+	if g.registry.SetCell(p) {
+		g.log.WithFields(logrus.Fields{"cell": p.OwnCell, "cells": p.CellCount}).Info("cell of this gateway")
 	}
 }
 
@@ -94,22 +94,22 @@
 	s := &peerv1.State{
 		From:     &peerv1.Member{Name: g.self.Name, Address: g.self.Address, FailureDomain: g.self.FailureDomain},
 		Stopping: g.stopping.Load(), StoreReached: g.reached(),
-		ConfigVersion: g.ownVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].Reading(),
+		ConfigVersion: g.ownVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].IsReading(),
 		Positions: g.positions(), Readers: g.role.list(),
 	}
 	for id, l := range g.registry.Loads() {
 		s.Loads = append(s.Loads, &peerv1.Load{
-			Server: id, Running: uint32(l.Running), Tokens: uint64(max(0, l.Tokens)),
-			Prompt: uint64(max(0, l.Prompt)), Copying: uint64(max(0, l.Copying)), Born: l.Born,
+			Server: id, Running: uint32(l.Running), Tokens: uint64(max(0, l.ExpectedTokens)),
+			Prompt: uint64(max(0, l.PromptTokens)), Copying: uint64(max(0, l.CopyTokens)), Born: l.StartTime,
 		})
 	}
-	for id, l := range g.registry.Losses(clock.SinceBoot()) {
+	for id, l := range g.registry.Statuses(clock.SinceBoot()) {
 		s.Losses = append(s.Losses, lossOf(id, l))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for service, q := range g.queues {
-		s.Queues = append(s.Queues, &peerv1.Queue{Service: service, Waiting: uint32(q.Waiting), Rank: uint32(q.Rank), First: uint32(q.First)})
+		s.Queues = append(s.Queues, &peerv1.Queue{Service: service, Waiting: uint32(q.Waiting), Rank: uint32(q.Rank), First: uint32(q.WaitingAtRank)})
 	}
 	for service, used := range g.used {
 		for _, u := range used.now(clock.SinceBoot()) {
@@ -120,26 +120,26 @@
 }
 
 // pass passes on what a peer has told of servers that is news here.
-func (g *group) pass(peer string, losses map[string]backends.Loss, news []backends.Told) {
+func (g *group) pass(peer string, losses map[string]backends.ServerStatus, news []backends.StatusChange) {
 	for _, t := range news {
-		if !t.Limit {
+		if !t.RateLimitChanged {
 			continue
 		}
-		l := losses[t.ID].Limit
+		l := losses[t.ID].RateLimit
 		g.log.WithFields(logrus.Fields{
-			"server": t.ID, "born": t.Born, "service": t.Service, "peer": peer,
-			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
+			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
+			"named": l.Limited, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
 		}).Info("a peer tells of a server's limit")
 	}
 	if len(news) > 0 {
-		g.links.Nudge()
+		g.links.SendStateNow()
 	}
 }
 
-func lossOf(server string, l backends.Loss) *peerv1.Loss {
-	out := &peerv1.Loss{Server: server, InARow: uint32(l.InARow), Ended: l.Ended, Leaving: l.Leaving, Resting: l.Resting, Born: l.Born}
-	if l.Limit.Known {
-		out.Limit = &peerv1.Limit{Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, AgeMs: l.Limit.Age.Milliseconds()}
+func lossOf(server string, l backends.ServerStatus) *peerv1.Loss {
+	out := &peerv1.Loss{Server: server, InARow: uint32(l.ConsecutiveLosses), Ended: l.Down, Leaving: l.Leaving, Resting: l.BackingOff, Born: l.StartTime}
+	if l.RateLimit.Known {
+		out.Limit = &peerv1.Limit{Named: l.RateLimit.Limited, PerSecond: l.RateLimit.PerSecond, AgeMs: l.RateLimit.Age.Milliseconds()}
 	}
 	return out
 }
@@ -147,17 +147,17 @@
 // mostAge bounds the age of what a peer tells.
 const mostAge = 24 * time.Hour
 
-func lossFrom(l *peerv1.Loss) backends.Loss {
-	out := backends.Loss{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), Born: l.GetBorn()}
+func lossFrom(l *peerv1.Loss) backends.ServerStatus {
+	out := backends.ServerStatus{ConsecutiveLosses: int(l.GetInARow()), Down: l.GetEnded(), Leaving: l.GetLeaving(), BackingOff: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
-		out.Limit = backends.ToldLimit{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
+		out.RateLimit = backends.RateLimitReport{Known: true, Limited: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
 	return out
 }
 
 func (g *group) reached() bool {
 	for _, f := range g.followers {
-		if !f.Reached() {
+		if !f.StoreReached() {
 			return false
 		}
 	}
@@ -167,22 +167,22 @@
 // State implements peers.Receiver.
 func (g *group) State(peer string, s *peerv1.State) {
 	if s == nil {
-		g.registry.SetRemote(peer, nil)
-		g.registry.SetLosses(peer, nil, clock.SinceBoot())
+		g.registry.SetRemoteLoads(peer, nil)
+		g.registry.SetRemoteStatuses(peer, nil, clock.SinceBoot())
 		return
 	}
-	losses := make(map[string]backends.Loss, len(s.GetLosses()))
+	losses := make(map[string]backends.ServerStatus, len(s.GetLosses()))
 	for _, l := range s.GetLosses() {
 		losses[l.GetServer()] = lossFrom(l)
 	}
-	g.pass(peer, losses, g.registry.SetLosses(peer, losses, clock.SinceBoot()))
+	g.pass(peer, losses, g.registry.SetRemoteStatuses(peer, losses, clock.SinceBoot()))
 	loads := make(map[string]backends.Load, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads[l.GetServer()] = backends.Load{
-			Running: int(l.GetRunning()), Tokens: int(l.GetTokens()), Prompt: int(l.GetPrompt()), Copying: int(l.GetCopying()), Born: l.GetBorn(),
+			Running: int(l.GetRunning()), ExpectedTokens: int(l.GetTokens()), PromptTokens: int(l.GetPrompt()), CopyTokens: int(l.GetCopying()), StartTime: l.GetBorn(),
 		}
 	}
-	g.registry.SetRemote(peer, loads)
+	g.registry.SetRemoteLoads(peer, loads)
 	g.role.hear(s.GetReaders())
 	g.positionsHeard(s.GetPositions())
 	g.configNamed(s)
@@ -205,24 +205,24 @@
 	if p.GetTable() == operator.Table {
 		g.config.announced(peer)
 	}
-	f.Offer(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
+	f.ReceivePage(follow.SharedPage{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
-// Known implements relay.Others.
-func (g *group) Known() int { return g.links.Known() }
+// Count implements relay.Others.
+func (g *group) Count() int { return g.links.KnownCount() }
 
-// Taking implements relay.Others.
-func (g *group) Taking() bool {
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return !s.GetStopping() })
+// AcceptingRequests implements relay.Others.
+func (g *group) AcceptingRequests() bool {
+	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return !s.GetStopping() })
 }
 
-// Nudge implements relay.Others.
-func (g *group) Nudge() { g.links.Nudge() }
+// Notify implements relay.Others.
+func (g *group) Notify() { g.links.SendStateNow() }
 
 // stop tells the peers that this gateway is stopping.
 func (g *group) stop() {
 	g.stopping.Store(true)
-	g.links.Nudge()
+	g.links.SendStateNow()
 }
 
 // sharing lets the gateways read a table for each other. It implements
@@ -232,8 +232,8 @@
 	table string
 }
 
-// Reading implements follow.Sharing.
-func (s sharing) Reading() bool { return false }
+// IsPeerReading implements follow.Sharing.
+func (s sharing) IsPeerReading() bool { return false }
 
 // shareTime is the time of a VM's link that passing a page on may take. Beyond it callers
 // would wait behind the page: 64 KB for 28 peers take 1.5 s of a link of 10 Mbit/s.
@@ -245,15 +245,15 @@
 // tooLong reports whether a page would hold up this VM's link, which passes it to every
 // peer, or a peer's: a wide link takes at once what a thin one takes seconds for, longer
 // than a frame may take to be written, and the link would be given up with it.
-func (g *group) tooLong(p follow.Shared) bool {
+func (g *group) tooLong(p follow.SharedPage) bool {
 	size := 0
 	for _, r := range p.Rows {
 		size += len(r.Value) + rowOverhead
 	}
-	if holdsUp(size*g.links.Links(), g.linkMbps) {
+	if holdsUp(size*g.links.LinkCount(), g.linkMbps) {
 		return true
 	}
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return holdsUp(size, s.GetLinkMbps()) })
+	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return holdsUp(size, s.GetLinkMbps()) })
 }
 
 // holdsUp reports whether bytes take a link of some Mbit/s for too long.
@@ -263,7 +263,7 @@
 
 // Share implements follow.Sharing. Of a page that is too long only its revision is
 // told; the peers notice the gap and read it from the store.
-func (s sharing) Share(p follow.Shared) {
+func (s sharing) Share(p follow.SharedPage) {
 	s.role.answered()
 	page := &peerv1.Page{
 		Table: s.table, Since: p.Since.Wire(), Revision: p.Revision.Wire(),
@@ -274,5 +274,5 @@
 		p.Rows = nil
 	}
 	page.Rows = rowsOf(p.Rows)
-	s.links.Spread(page)
+	s.links.BroadcastPage(page)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -58,7 +58,7 @@
 	any atomic.Bool
 
 	mu   sync.Mutex
-	book *quarantine.Book
+	book *quarantine.Tracker
 	// rows are the rows of the store, by request, and due is when a row is to be written.
 	rows map[quarantine.ID]suspectRow
 	due  map[quarantine.ID]time.Time
@@ -68,46 +68,46 @@
 
 func newSuspects(g *group) *suspects {
 	return &suspects{
-		group: g, log: g.log, told: rate.NewLimiter(toldPerSecond, toldAtOnce), book: quarantine.NewBook(quarantine.Default()),
+		group: g, log: g.log, told: rate.NewLimiter(toldPerSecond, toldAtOnce), book: quarantine.NewTracker(quarantine.Default()),
 		rows: make(map[quarantine.ID]suspectRow), due: make(map[quarantine.ID]time.Time),
 	}
 }
 
-var _ relay.Suspects = (*suspects)(nil)
+var _ relay.Quarantine = (*suspects)(nil)
 
-// Any implements relay.Suspects.
-func (s *suspects) Any() bool { return s.any.Load() }
+// HasRecords implements relay.Suspects.
+func (s *suspects) HasRecords() bool { return s.any.Load() }
 
-// Held implements relay.Suspects.
-func (s *suspects) Held(id quarantine.ID) (time.Duration, bool) {
+// Quarantined implements relay.Suspects.
+func (s *suspects) Quarantined(id quarantine.ID) (time.Duration, bool) {
 	now, known := s.group.role.now()
 	if !known {
 		return 0, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Held(id, now)
+	return s.book.Quarantined(id, now)
 }
 
-// Due implements relay.Suspects.
-func (s *suspects) Due(id quarantine.ID) bool {
+// TrialDue implements relay.Suspects.
+func (s *suspects) TrialDue(id quarantine.ID) bool {
 	now, known := s.group.role.now()
 	if !known {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Due(id, now)
+	return s.book.TrialDue(id, now)
 }
 
-// Try implements relay.Suspects.
-func (s *suspects) Try(id quarantine.ID) (tried bool) {
+// StartTrial implements relay.Suspects.
+func (s *suspects) StartTrial(id quarantine.ID) (tried bool) {
 	now, known := s.group.role.now()
 	if !known {
 		return false
 	}
-	s.learn("tried", 0, func(b *quarantine.Book) (c quarantine.Change) {
-		c, tried = b.Try(id, now)
+	s.learn("tried", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
+		c, tried = b.StartTrial(id, now)
 		return c
 	})
 	if tried {
@@ -120,29 +120,29 @@
 func (s *suspects) holds() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Holds()
+	return s.book.QuarantinedCount()
 }
 
-// Near implements relay.Suspects.
-func (s *suspects) Near(id quarantine.ID) bool {
+// NearThreshold implements relay.Suspects.
+func (s *suspects) NearThreshold(id quarantine.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Near(id)
+	return s.book.NearThreshold(id)
 }
 
-// Ended implements relay.Suspects.
-func (s *suspects) Ended(server backends.Server, ran []quarantine.ID) {
+// Crashed implements relay.Suspects.
+func (s *suspects) Crashed(server backends.Server, ran []quarantine.ID) {
 	now, known := s.group.role.now()
 	if !known {
 		s.log.WithField("server", server.ID).Warn("end of a server is not counted, the store's clock is not known")
 		return
 	}
-	s.learn("seen here", 0, func(b *quarantine.Book) quarantine.Change { return b.Ended(lifeHash(server), now, ran) })
+	s.learn("seen here", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(lifeHash(server), now, ran) })
 }
 
 // lifeHash identifies a life of a server among all gateways.
 func lifeHash(s backends.Server) uint64 {
-	return xxhash.Sum64String(s.ID + "/" + strconv.FormatInt(s.Born, 10))
+	return xxhash.Sum64String(s.ID + "/" + strconv.FormatInt(s.StartTime, 10))
 }
 
 // Answered implements relay.Suspects.
@@ -150,7 +150,7 @@
 
 func (s *suspects) absolve(id quarantine.ID, why string) {
 	if now, known := s.group.role.now(); known {
-		s.learn(why, 0, func(b *quarantine.Book) quarantine.Change { return b.Absolve(id, now) })
+		s.learn(why, 0, func(b *quarantine.Tracker) quarantine.Update { return b.Clear(id, now) })
 	}
 }
 
@@ -160,56 +160,56 @@
 	for _, p := range list {
 		records = append(records, recordOf(p))
 	}
-	s.learn("told by "+peer, s.turn(), func(b *quarantine.Book) quarantine.Change { return b.Merge(records) })
+	s.learn("told by "+peer, s.turn(), func(b *quarantine.Tracker) quarantine.Update { return b.Merge(records) })
 }
 
 // turn is when this gateway writes a row that others may write as well.
 func (s *suspects) turn() time.Duration {
-	return saveSoonest + time.Duration(rand.Float64()*float64(s.group.Known())*float64(savePerGateway))
+	return saveSoonest + time.Duration(rand.Float64()*float64(s.group.Count())*float64(savePerGateway))
 }
 
 // learn changes the book, and tells peers, the relay and the store what follows from it;
 // the store after some time.
-func (s *suspects) learn(why string, after time.Duration, change func(*quarantine.Book) quarantine.Change) {
+func (s *suspects) learn(why string, after time.Duration, change func(*quarantine.Tracker) quarantine.Update) {
 	s.mu.Lock()
 	c := change(s.book)
 	s.any.Store(s.book.Len() > 0)
-	for _, id := range slices.Concat(c.Held, c.Freed) {
+	for _, id := range slices.Concat(c.Quarantined, c.Released) {
 		s.schedule(id, after)
 	}
-	for _, r := range c.News {
+	for _, r := range c.Changed {
 		if len(r.Trials) > 0 {
 			s.schedule(r.ID, after)
 		}
 	}
-	evidence := make([]quarantine.Record, 0, len(c.Held))
-	for _, id := range c.Held {
+	evidence := make([]quarantine.Record, 0, len(c.Quarantined))
+	for _, id := range c.Quarantined {
 		evidence = append(evidence, s.book.Record(id))
 	}
 	s.mu.Unlock()
-	s.tell(c.News)
+	s.tell(c.Changed)
 	for _, r := range evidence {
 		s.log.WithFields(logrus.Fields{"content": r.String(), "team": r.Team, "why": why, "ends": ends(r)}).Warn("request is held: servers end under it")
 		if held := s.held.Load(); held != nil {
 			(*held)(r.ID)
 		}
 	}
-	for _, id := range c.Freed {
+	for _, id := range c.Released {
 		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team, "why": why}).Warn("request is not held any more")
 	}
 }
 
 // ends describes the evidence of a record, as the lines on servers that ended name it.
 func ends(r quarantine.Record) (out []string) {
-	for _, e := range r.Ends[:min(len(r.Ends), mostEvidence)] {
-		out = append(out, fmt.Sprintf("%016x at %d ms", e.Server, e.At.Milliseconds()))
+	for _, e := range r.Crashes[:min(len(r.Crashes), mostEvidence)] {
+		out = append(out, fmt.Sprintf("%016x at %d ms", e.Incarnation, e.At.Milliseconds()))
 	}
 	return out
 }
 
 // tell passes records on to the peers, those with most ends first.
 func (s *suspects) tell(news []quarantine.Record) {
-	slices.SortStableFunc(news, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Ends), len(x.Ends)) })
+	slices.SortStableFunc(news, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Crashes), len(x.Crashes)) })
 	out := &peerv1.Suspects{}
 	for _, r := range news {
 		if !s.told.Allow() {
@@ -219,7 +219,7 @@
 		out.Suspects = append(out.Suspects, suspectOf(r))
 	}
 	if len(out.Suspects) > 0 {
-		s.group.links.Tell(out)
+		s.group.links.BroadcastSuspects(out)
 	}
 }
 
@@ -232,7 +232,7 @@
 	if len(list) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(list, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Ends), len(x.Ends)) })
+	slices.SortStableFunc(list, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Crashes), len(x.Crashes)) })
 	out := &peerv1.Suspects{}
 	for _, r := range list[:min(len(list), greeted)] {
 		out.Suspects = append(out.Suspects, suspectOf(r))
@@ -241,17 +241,17 @@
 }
 
 func suspectOf(r quarantine.Record) *peerv1.Suspect {
-	p := &peerv1.Suspect{Team: r.Team, Content: r.Content, AbsolvedMs: r.Absolved.Milliseconds(), TrialsMs: millis(r.Trials)}
-	for _, e := range r.Ends {
-		p.Ends = append(p.Ends, &peerv1.End{Server: e.Server, AtMs: e.At.Milliseconds()})
+	p := &peerv1.Suspect{Team: r.Team, Content: r.Content, AbsolvedMs: r.ClearedAt.Milliseconds(), TrialsMs: millis(r.Trials)}
+	for _, e := range r.Crashes {
+		p.Ends = append(p.Ends, &peerv1.End{Server: e.Incarnation, AtMs: e.At.Milliseconds()})
 	}
 	return p
 }
 
 func recordOf(p *peerv1.Suspect) quarantine.Record {
-	r := quarantine.Record{ID: quarantine.ID{Team: p.GetTeam(), Content: p.GetContent()}, Absolved: time.Duration(p.GetAbsolvedMs()) * time.Millisecond, Trials: fromMillis(p.GetTrialsMs())}
+	r := quarantine.Record{ID: quarantine.ID{Team: p.GetTeam(), Content: p.GetContent()}, ClearedAt: time.Duration(p.GetAbsolvedMs()) * time.Millisecond, Trials: fromMillis(p.GetTrialsMs())}
 	for _, e := range p.GetEnds() {
-		r.Ends = append(r.Ends, quarantine.End{Server: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
+		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
 	}
 	return r
 }
@@ -294,9 +294,9 @@
 	if !known {
 		return
 	}
-	s.learn("expired", 0, func(b *quarantine.Book) quarantine.Change { return b.Expire(now) })
+	s.learn("expired", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Expire(now) })
 	for _, row := range s.expiredRows(now) {
-		if rand.IntN(max(1, s.group.Known())) > 0 {
+		if rand.IntN(max(1, s.group.Count())) > 0 {
 			continue
 		}
 		if err := s.group.store.Remove(ctx, membersTable, suspectKey(row.record.ID), row.revision); err != nil {
@@ -317,7 +317,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range q.book.List(1) {
-		if left, held := q.book.Held(r.ID, now); held {
+		if left, held := q.book.Quarantined(r.ID, now); held {
 			out = append(out, admin.Held{Content: r.String(), Team: r.Team, Ends: ends(r), LeftSeconds: int(left.Seconds())})
 		}
 	}
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -57,12 +57,12 @@
 
 // reads decides for a follower of a table; see readers.Role.Reads.
 func (r *readerRole) reads(now time.Duration, reached bool) bool {
-	look := readers.Look{Now: now, Reached: reached, Crowd: r.group.crowd(), Draw: rand.Float64()}
+	look := readers.Inputs{Now: now, StoreReached: reached, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
-	reads := r.role.Reads(look)
-	r.changed(was, reads, look.Crowd)
+	was := r.role.IsReading()
+	reads := r.role.ShouldRead(look)
+	r.changed(was, reads, look.ProcessCount)
 	return reads
 }
 
@@ -71,18 +71,18 @@
 	if without > 0 && without < joinPatience && !r.joined.Load() {
 		return false
 	}
-	look := readers.Look{Now: now, Reached: true, Crowd: r.group.crowd(), Draw: rand.Float64()}
+	look := readers.Inputs{Now: now, StoreReached: true, ProcessCount: r.group.crowd(), Random: rand.Float64()}
 	switch {
 	case without > 0 && r.first.Load():
-		look.Crowd = 1
+		look.ProcessCount = 1
 	case without > 0:
-		look.Crowd = float64(r.group.links.Known()) * max(0, 1-without.Seconds()/startPatience.Seconds())
+		look.ProcessCount = float64(r.group.links.KnownCount()) * max(0, 1-without.Seconds()/startPatience.Seconds())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
-	turn := r.role.Turn(look)
-	r.changed(was, turn, look.Crowd)
+	was := r.role.IsReading()
+	turn := r.role.MayTryStore(look)
+	r.changed(was, turn, look.ProcessCount)
 	return turn
 }
 
@@ -94,7 +94,7 @@
 	for _, m := range all {
 		list = append(list, readers.Reader{Name: m.Name, FailureDomain: m.FailureDomain, LinkMbps: m.LinkMbps})
 	}
-	first := slices.ContainsFunc(readers.First(list, firstReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
+	first := slices.ContainsFunc(readers.InitialReaders(list, firstReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
 	r.first.Store(first)
 }
 
@@ -111,11 +111,11 @@
 // tables since it began to: until they know, more of them try every 50 ms.
 func (r *readerRole) answered() {
 	now, known := r.now()
-	if !known || now-r.group.answered() >= readers.Lapse {
+	if !known || now-r.group.answered() >= readers.AnswerTimeout {
 		return
 	}
 	r.mu.Lock()
-	reading := r.role.Reading()
+	reading := r.role.IsReading()
 	r.mu.Unlock()
 	if reading && r.told.CompareAndSwap(false, true) {
 		r.spread()
@@ -125,7 +125,7 @@
 // spread has the peers told of the readers at once.
 func (r *readerRole) spread() {
 	r.news.Store(true)
-	r.group.links.Nudge()
+	r.group.links.SendStateNow()
 }
 
 // list is what is told of the readers, in some states.
@@ -141,7 +141,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.role.Readers(now, answered) {
-		out = append(out, &peerv1.Reader{Name: o.Name, FailureDomain: o.FailureDomain, LinkMbps: o.LinkMbps, AnsweredMs: o.Answered.Milliseconds()})
+		out = append(out, &peerv1.Reader{Name: o.Name, FailureDomain: o.FailureDomain, LinkMbps: o.LinkMbps, AnsweredMs: o.AnsweredAt.Milliseconds()})
 	}
 	return out
 }
@@ -156,12 +156,12 @@
 	for _, o := range list {
 		rs = append(rs, readers.Reader{
 			Name: o.GetName(), FailureDomain: o.GetFailureDomain(), LinkMbps: o.GetLinkMbps(),
-			Answered: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
+			AnsweredAt: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
 		})
 	}
 	r.mu.Lock()
 	before := len(r.role.Readers(now, 0))
-	r.role.Hear(rs, now)
+	r.role.AddReports(rs, now)
 	after := len(r.role.Readers(now, 0))
 	r.mu.Unlock()
 	if after > before {
@@ -175,7 +175,7 @@
 func (g *group) answered() time.Duration {
 	at := time.Duration(-1)
 	for _, table := range []string{operator.Table, directory.Table} {
-		if a := g.followers[table].Answered(); at < 0 || a < at {
+		if a := g.followers[table].LastAnswer(); at < 0 || a < at {
 			at = a
 		}
 	}
@@ -185,11 +185,11 @@
 // crowd is how many gateways are in the same place as this one: those that it knows, by the
 // part of its links that it hears something on.
 func (g *group) crowd() float64 {
-	others := g.links.Known() - 1
+	others := g.links.KnownCount() - 1
 	if others == 0 {
 		return 1
 	}
-	heard := float64(len(g.links.Live())) / float64(min(others, g.links.MostLinks))
+	heard := float64(len(g.links.LiveStates())) / float64(min(others, g.links.MaxLinks))
 	return 1 + min(1, heard)*float64(others)
 }
 
@@ -200,11 +200,11 @@
 	}
 }
 
-// Reads implements follow.Sharing.
-func (s sharing) Reads(reached bool) bool { return s.role.reads(s.storeTime(), reached) }
+// IsReader implements follow.Sharing.
+func (s sharing) IsReader(reached bool) bool { return s.role.reads(s.storeTime(), reached) }
 
-// Turn implements follow.Sharing.
-func (s sharing) Turn(without time.Duration) bool { return s.role.turn(s.storeTime(), without) }
+// MayCallStore implements follow.Sharing.
+func (s sharing) MayCallStore(without time.Duration) bool { return s.role.turn(s.storeTime(), without) }
 
 // storeTime is the store's clock, or any steady one while it is not known: a gateway that
 // knows none has heard of no readers.
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -50,7 +50,7 @@
 func reading(nodes []*node) (out []*node) {
 	for _, n := range nodes {
 		n.group.role.mu.Lock()
-		if n.group.role.role.Reading() {
+		if n.group.role.role.IsReading() {
 			out = append(out, n)
 		}
 		n.group.role.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 	const watched = 3 * time.Second
 	for begun := time.Now(); time.Since(begun) < watched; time.Sleep(20 * time.Millisecond) {
-		require.Less(t, oldest(nodes), DefaultOptions().FeedWait+500*time.Millisecond)
+		require.Less(t, oldest(nodes), DefaultOptions().FeedTimeout+500*time.Millisecond)
 	}
 	callers := 0
 	for i, n := range nodes {
@@ -95,13 +95,13 @@
 	}
 	leaving := s.server(fleet.DeskService, fleet.Behaviour{})
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 3 }, "listed")
+		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	}
 	begun := time.Now()
 	leaving.Drain(true)
 	s.fleet.Configure("another key")
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 }, "left")
+		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "left")
 		n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusUnauthorized }, "key refused")
 	}
 	require.Less(t, time.Since(begun), testBounds.DrainServer)
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -29,7 +29,7 @@
 			m.forget(n)
 			return
 		}
-		wait.For(ctx, redial.After(tries, rand.Float64()))
+		wait.For(ctx, redial.Delay(tries, rand.Float64()))
 	}
 }
 
@@ -41,7 +41,7 @@
 		delete(m.book, n.Name)
 	}
 	m.Log.WithField("peer", n.Name).Info("peer is forgotten")
-	go m.Forgotten(n.Member)
+	go m.OnForgotten(n.Member)
 }
 
 // talk dials a member and tells it states and pages until the link breaks.
@@ -83,7 +83,7 @@
 			return err
 		}
 		m.sent(CauseState, len(frame))
-		tick.Reset(period(m.Links()))
+		tick.Reset(period(m.LinkCount()))
 		if first {
 			up()
 			if err := m.greet(send); err != nil {
@@ -120,10 +120,10 @@
 
 // greet tells a peer of suspects when a link to it is up.
 func (m *Manager) greet(send func([]byte) error) error {
-	if m.Greet == nil {
+	if m.InitialSuspects == nil {
 		return nil
 	}
-	s := m.Greet()
+	s := m.InitialSuspects()
 	if s == nil {
 		return nil
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -65,7 +65,7 @@
 		State: func() *peerv1.State {
 			return &peerv1.State{From: &peerv1.Member{Name: self.Name, Address: self.Address, FailureDomain: self.FailureDomain}}
 		},
-		Receiver: e, Log: log, Forgotten: func(Member) {}, MostLinks: DefaultLinks,
+		Receiver: e, Log: log, OnForgotten: func(Member) {}, MaxLinks: DefaultLinks,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -94,14 +94,14 @@
 func TestPeersLinkAndForget(t *testing.T) {
 	a, earsA, _ := begin(t, "a")
 	b, earsB, stopB := begin(t, "b")
-	a.Learn([]Member{b.self, a.self})
+	a.AddMembers([]Member{b.self, a.self})
 	require.Eventually(t, func() bool { return earsA.hears("b") && earsB.hears("a") }, soon, time.Millisecond)
-	require.Equal(t, 2, a.Known())
-	a.Spread(&peerv1.Page{Table: "t"})
+	require.Equal(t, 2, a.KnownCount())
+	a.BroadcastPage(&peerv1.Page{Table: "t"})
 	require.Eventually(t, func() bool { return earsB.heard() == 1 }, soon, time.Millisecond)
 	stopB()
 	require.Eventually(t, func() bool { return !earsA.hears("b") }, soon, time.Millisecond)
-	require.Empty(t, a.Live())
+	require.Empty(t, a.LiveStates())
 }
 
 // A peer whose process hangs takes pages until its windows are full. Telling it
@@ -111,10 +111,10 @@
 	hanging, err := net.Listen("tcp", standin.OwnAddress())
 	require.NoError(t, err)
 	defer hanging.Close()
-	a.Learn([]Member{{Name: "z", Address: hanging.Addr().String()}})
+	a.AddMembers([]Member{{Name: "z", Address: hanging.Addr().String()}})
 	begun := time.Now()
 	for range 10 * frameQueue {
-		a.Spread(&peerv1.Page{Rows: []*peerv1.Row{{Value: make([]byte, 64<<10)}}})
+		a.BroadcastPage(&peerv1.Page{Rows: []*peerv1.Row{{Value: make([]byte, 64<<10)}}})
 	}
 	require.Less(t, time.Since(begun), time.Second)
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -15,7 +15,7 @@
 type attempt struct {
 	*Attempt
 	relay *Relay
-	lease *backends.Lease
+	lease *backends.Reservation
 	// try is its number within the request.
 	try int
 	ctx context.Context
@@ -27,13 +27,13 @@
 // reply is what came of an attempt.
 type reply struct {
 	*attempt
-	answer *Answer
+	answer *Response
 	err    error
 	at     time.Duration
 }
 
 // send makes one attempt at the server of a lease.
-func (r *Relay) send(ctx context.Context, j *job, lease *backends.Lease, a *Attempt) (*offer, error) {
+func (r *Relay) send(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, error) {
 	t, err := r.startAttempt(ctx, j, lease, a)
 	if err != nil {
 		return nil, err
@@ -42,16 +42,16 @@
 }
 
 // startAttempt counts an attempt that is about to be sent. Errors: *Refused.
-func (r *Relay) startAttempt(ctx context.Context, j *job, lease *backends.Lease, a *Attempt) (*attempt, error) {
-	a.Look = func() error { return r.look(j, lease, a) }
-	if err := a.Look(); err != nil {
+func (r *Relay) startAttempt(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*attempt, error) {
+	a.Recheck = func() error { return r.look(j, lease, a) }
+	if err := a.Recheck(); err != nil {
 		return nil, err
 	}
-	if a.From != nil && !r.Registry.TakeTurn(lease, r.Others.SharedClock(), r.Now()) {
-		return nil, &Refused{Why: RefusedBarred, Detail: "limit of " + lease.Server.ID}
+	if a.ResumeFrom != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
+		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
-	a.Begun, a.Left = r.Now(), j.left()
+	a.SentAt, a.Timeout = r.Now(), j.left()
 	a.Priority = -1
 	if j.Generation != nil {
 		a.Priority = j.priority
@@ -67,15 +67,15 @@
 
 // look is the last look before a request goes to a server: what was known when it was chosen, or
 // when the copy was made that the run goes on from, may be so no more.
-func (r *Relay) look(j *job, lease *backends.Lease, a *Attempt) error {
-	if r.Registry.Barred(lease.Server, j.regions) {
-		return &Refused{Why: RefusedBarred, Detail: lease.Server.FailureDomain}
+func (r *Relay) look(j *job, lease *backends.Reservation, a *Attempt) error {
+	if r.Registry.IsIneligible(lease.Server, j.regions) {
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.FailureDomain}
 	}
-	if _, leaving := r.Registry.State(lease.Server); leaving && a.From == nil {
-		return &Refused{Why: RefusedBarred, Detail: lease.Server.ID + " is leaving"}
+	if _, leaving := r.Registry.State(lease.Server); leaving && a.ResumeFrom == nil {
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " is leaving"}
 	}
-	if r.Registry.Rests(lease.Server, r.Now()) {
-		return &Refused{Why: RefusedBarred, Detail: lease.Server.ID + " rests"}
+	if r.Registry.IsBackingOff(lease.Server, r.Now()) {
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " rests"}
 	}
 	return nil
 }
@@ -88,17 +88,17 @@
 }
 
 func isBarred(err error) bool {
-	var refused *Refused
-	return errors.As(err, &refused) && refused.Why == RefusedBarred
+	var refused *NotRunError
+	return errors.As(err, &refused) && refused.Reason == NotRunIneligible
 }
 
 // finishAttempt counts what came of an attempt.
 func (r *Relay) finishAttempt(j *job, p reply) (*offer, error) {
 	lease := p.lease
 	entry := j.log.WithFields(logrus.Fields{
-		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.Tokens,
-		"prompt": lease.Prompt, "of": lease.Of,
-		"waited_ms": (p.Begun - j.arrived).Milliseconds(), "answer_ms": (p.at - p.Begun).Milliseconds(),
+		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.ExpectedTokens,
+		"prompt": lease.PromptTokens, "of": lease.ServerCount,
+		"waited_ms": (p.SentAt - j.arrived).Milliseconds(), "answer_ms": (p.at - p.SentAt).Milliseconds(),
 	})
 	if p.err != nil {
 		p.cut()
@@ -111,9 +111,9 @@
 	}
 	j.ran++
 	j.answering.Store(true)
-	lease.Begun()
-	if p.From == nil {
-		r.prompted(lease.Prompt+j.prompt(), p.at-p.Begun)
+	lease.FinishPrompt()
+	if p.ResumeFrom == nil {
+		r.prompted(lease.PromptTokens+j.prompt(), p.at-p.SentAt)
 	}
 	entry.WithField("status", p.answer.Status).Info("sent")
 	return &offer{lease: lease, answer: p.answer, cut: p.cut}, nil
--- a/internal/relay/cover_test.go
+++ b/internal/relay/cover_test.go
@@ -22,19 +22,19 @@
 		w.server("a", modelService)
 		w.server("b", modelService)
 		old := newSource()
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From == nil {
-				require.NotEmpty(t, a.Backup)
-				require.NotEqual(t, a.Server.Address, a.Backup)
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			if a.ResumeFrom == nil {
+				require.NotEmpty(t, a.StandbyAddress)
+				require.NotEqual(t, a.Server.Address, a.StandbyAddress)
 				go func() {
 					old.write(events(1, 3) + "id: 4\nda")
 					old.breakOff()
 				}()
 				return old.answer(), nil
 			}
-			require.Equal(t, &Copy{Source: a.Server.Address, Handle: "r1"}, a.From)
-			require.Equal(t, w.up.sent[0].Backup, a.Server.Address)
-			require.Equal(t, "3", a.After)
+			require.Equal(t, &KVCopy{Source: a.Server.Address, Handle: "r1"}, a.ResumeFrom)
+			require.Equal(t, w.up.sent[0].StandbyAddress, a.Server.Address)
+			require.Equal(t, "3", a.LastEventID)
 			next := newSource()
 			go func() {
 				next.write(events(4, 6))
@@ -54,9 +54,9 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		w.server("b", modelService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
-			if a.From != nil {
-				return nil, &Refused{Why: RefusedFull, Detail: "no such copy"}
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
+			if a.ResumeFrom != nil {
+				return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 			}
 			src := newSource()
 			go func() {
@@ -66,10 +66,10 @@
 			return src.answer(), nil
 		}
 		require.True(t, w.serve(request("/plan/x")).aborted)
-		cover := w.up.sent[0].Backup
+		cover := w.up.sent[0].StandbyAddress
 		lease := w.registry.Acquire(backends.Query{Service: modelService, Draw: 1}, w.now())
 		require.Equal(t, cover, lease.Server.Address, "the engine that crashed is asked last")
-		require.Empty(t, w.registry.Losses(w.now()))
+		require.Empty(t, w.registry.Statuses(w.now()))
 	})
 }
 
@@ -97,15 +97,15 @@
 				w.server("a", modelService)
 				w.server("b", modelService)
 				w.server("c", modelService)
-				w.registry.SetRemote("vm-2", map[string]backends.Load{
-					"a": {Running: 2, Tokens: tt.used}, "b": {Running: 2, Tokens: tt.used}, "c": {Running: 2, Tokens: tt.full},
+				w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{
+					"a": {Running: 2, ExpectedTokens: tt.used}, "b": {Running: 2, ExpectedTokens: tt.used}, "c": {Running: 2, ExpectedTokens: tt.full},
 				})
 				if tt.crowded {
 					l := w.relay.lane(modelService)
 					w.relay.tellQueue(modelService, l, 1)
 					w.relay.tellQueue(modelService, l, -1)
 				}
-				w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+				w.up.send = func(context.Context, *Attempt) (*Response, error) {
 					src := newSource()
 					go func() {
 						src.write(events(1, 2))
@@ -116,7 +116,7 @@
 				r := request(tt.path)
 				r.Generation = &Generation{PromptTokens: 3000, MaxOutput: tt.max, Hint: tt.max / 2}
 				w.serve(r).whole(t, events(1, 2))
-				require.Equal(t, tt.want, w.up.sent[0].Backup != "")
+				require.Equal(t, tt.want, w.up.sent[0].StandbyAddress != "")
 			})
 		})
 	}
@@ -132,14 +132,14 @@
 		for i := range engines {
 			w.server(fmt.Sprintf("e%02d", i), modelService)
 		}
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			src := newSource()
 			switch {
-			case a.From == nil:
+			case a.ResumeFrom == nil:
 				sources[src] = a.Server.ID
 				go paced(src, 1, 100, 40*time.Millisecond)
 			case !covered:
-				return nil, &Refused{Why: RefusedFull, Detail: "no such copy"}
+				return nil, &NotRunError{Reason: NotRunFull, Detail: "no such copy"}
 			default:
 				go src.w.Close()
 			}
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -32,19 +32,19 @@
 // that may have run asks out of line, as it would hold up the others for the few servers that are
 // left to it. The line is of no use once a server takes any number.
 func (r *Relay) mayAsk(j *job, l *line, w *flow.Waiter) bool {
-	return j.ran > 0 || l.isNext(w, r.Now()) || r.paceOf(j).Open
+	return j.ran > 0 || l.isNext(w, r.Now()) || r.paceOf(j).HasUnlimited
 }
 
 // standInLine has a request wait for its turn where no server takes any number, and refuses it
 // if that comes too late. It returns nil otherwise.
-func (r *Relay) standInLine(j *job, l *line, w *flow.Waiter, p backends.Pace) *Refusal {
-	if !p.Later() {
+func (r *Relay) standInLine(j *job, l *line, w *flow.Waiter, p backends.Availability) *Refusal {
+	if !p.MustWait() {
 		return nil
 	}
 	if j.ran == 0 {
 		l.enter(w)
 	}
-	if turn := l.wait(w, p, r.Now()); r.Now()+turn > w.LastBy {
+	if turn := l.wait(w, p, r.Now()); r.Now()+turn > w.DispatchDeadline {
 		return r.refuseInLine(j, p, turn)
 	}
 	return nil
@@ -62,8 +62,8 @@
 func (l *line) enter(w *flow.Waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.queue.Holds(w) {
-		l.queue.Enter(w)
+	if !l.queue.Contains(w) {
+		l.queue.Add(w)
 	}
 }
 
@@ -74,20 +74,20 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.queue.Leave(w, false, now)
+	l.queue.Remove(w, false, now)
 }
 
 // wait estimates how long a request waits for its turn.
-func (l *line) wait(w *flow.Waiter, p backends.Pace, now time.Duration) time.Duration {
-	if !p.Bounded {
-		return p.Rest
+func (l *line) wait(w *flow.Waiter, p backends.Availability, now time.Duration) time.Duration {
+	if !p.HasRateLimited {
+		return p.BackoffWait
 	}
 	l.mu.Lock()
 	l.queue.SetRate(p.PerSecond)
-	turn := p.Next + l.queue.Wait(w, now)
+	turn := p.RateWait + l.queue.EstimateWait(w, now)
 	l.mu.Unlock()
-	if p.Resting {
-		turn = min(turn, p.Rest)
+	if p.HasBackingOff {
+		turn = min(turn, p.BackoffWait)
 	}
 	return turn
 }
@@ -95,7 +95,7 @@
 // lineWaiter describes a plain request to its line.
 func (r *Relay) lineWaiter(j *job) *flow.Waiter {
 	lastBy := j.arrived + max(j.patience(), r.paceWait(j))
-	return &flow.Waiter{Priority: j.priority, Prompt: 1, Arrived: j.arrived, OnTimeBy: lastBy, LastBy: lastBy}
+	return &flow.Waiter{Priority: j.priority, PromptTokens: 1, Arrived: j.arrived, OnTimeDeadline: lastBy, DispatchDeadline: lastBy}
 }
 
 // latestReturn bounds when a caller is told to come back to servers that name a limit: the limit
@@ -103,12 +103,12 @@
 const latestReturn = 10 * time.Second
 
 // refuseInLine refuses a request that would have its turn too late.
-func (r *Relay) refuseInLine(j *job, p backends.Pace, turn time.Duration) *Refusal {
+func (r *Relay) refuseInLine(j *job, p backends.Availability, turn time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoRoom)
-	if p.Bounded {
+	if p.HasRateLimited {
 		turn = min(turn, latestReturn)
 	}
-	if !f.Run {
+	if !f.MayHaveRun {
 		f.RetryAfter = max(f.RetryAfter, turn+time.Duration(rand.Float64()*float64(returnSpread)))
 	}
 	return f
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -33,8 +33,8 @@
 
 // copied is a copy of a run's memory at a server that counts it.
 type copied struct {
-	Copy
-	lease *backends.Lease
+	KVCopy
+	lease *backends.Reservation
 }
 
 // run is a stream at a server.
@@ -64,7 +64,7 @@
 // canMove reports whether the run can be moved and is lost otherwise.
 func (u *run) canMove() bool {
 	e := u.job.engine
-	return e != nil && e.Moves && u.job.Generation != nil && !u.job.route.Resumable
+	return e != nil && e.SupportsMigration && u.job.Generation != nil && !u.job.route.Resumable
 }
 
 func (u *run) delivered(p progress, id string, now time.Duration) {
@@ -84,7 +84,7 @@
 func (u *run) cutSilent(s backends.Server, since time.Duration) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended || !u.server.SameLife(s) || u.heard > since {
+	if u.ended || !u.server.SameIncarnation(s) || u.heard > since {
 		return false
 	}
 	u.cut()
@@ -109,7 +109,7 @@
 func (u *run) isAt(s backends.Server) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return !u.ended && u.server.SameLife(s)
+	return !u.ended && u.server.SameIncarnation(s)
 }
 
 // host is the id of the server that the run is at.
@@ -124,7 +124,7 @@
 func (u *run) beginMove(from backends.Server) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended || u.moving != nil || !u.server.SameLife(from) {
+	if u.ended || u.moving != nil || !u.server.SameIncarnation(from) {
 		return false
 	}
 	u.moving = make(chan struct{})
@@ -212,7 +212,7 @@
 }
 
 func (r *Relay) evacuateIfLeaving(s backends.Server) {
-	if r.Registry.Ended(s) {
+	if r.Registry.HasRestarted(s) {
 		r.Ended(s)
 		return
 	}
@@ -230,7 +230,7 @@
 	u.mu.Unlock()
 	if cover != nil {
 		// The engine frees it with the run.
-		cover.lease.Done(backends.Unjudged, r.Now())
+		cover.lease.Release(backends.ResultInconclusive, r.Now())
 	}
 	r.mu.Lock()
 	r.unlist(u, server)
@@ -246,8 +246,8 @@
 func (r *Relay) drop(c copied) {
 	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
-	r.Upstream.Drop(ctx, c.Copy)
-	c.lease.Done(backends.Unjudged, r.Now())
+	r.Upstream.DropCopy(ctx, c.KVCopy)
+	c.lease.Release(backends.ResultInconclusive, r.Now())
 }
 
 // Evacuate moves the runs of a server that is leaving. It returns at once.
@@ -319,11 +319,11 @@
 		m.to = copied{lease: lease}
 		_, err := m.transfer(ctx, false)
 		if err == nil {
-			lease.Copied()
+			lease.FinishCopy()
 			return true
 		}
-		lease.Done(backends.Unjudged, m.relay.Now())
-		if !errors.Is(err, ErrNoRoom) {
+		lease.Release(backends.ResultInconclusive, m.relay.Now())
+		if !errors.Is(err, ErrNoCapacity) {
 			return false
 		}
 		m.tried = append(m.tried, lease.Server.ID)
@@ -338,19 +338,19 @@
 // once. By the same view of the loads they would all choose the same few servers:
 // one that joined empty was given four copies, and callers whom others sent there
 // waited for 5 s. So each takes those where it is its turn, as long as they are near.
-func (m *move) target() *backends.Lease {
+func (m *move) target() *backends.Reservation {
 	r := m.relay
 	q := r.query(m.run.job)
-	q.Tokens, q.Tried, q.MostUsed = m.run.memory(), m.tried, copyRoom
-	q.Copy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
-	q.Near = m.from.FailureDomain
+	q.ExpectedTokens, q.Tried, q.MaxMemoryUse = m.run.memory(), m.tried, copyRoom
+	q.ForCopy, q.Spill, q.CopySpeed = true, true, m.run.job.engine.CopySpeed()
+	q.PreferredDomain = m.from.FailureDomain
 	first := q
-	first.Turns, first.Within = r.Others.MoveTurns(m.from.FailureDomain), true
+	first.Turns, first.SameDomainOnly = r.Peers.MigrationTurns(m.from.FailureDomain), true
 	anyRoom := q
-	anyRoom.MostUsed = 0
+	anyRoom.MaxMemoryUse = 0
 	for _, q := range []backends.Query{first, q, anyRoom} {
 		if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
-			r.Others.Nudge()
+			r.Peers.Notify()
 			return lease
 		}
 	}
@@ -381,23 +381,23 @@
 func (m *move) transfer(ctx context.Context, final bool) (took time.Duration, err error) {
 	begun := time.Now()
 	to := m.to.lease.Server
-	handle, err := m.relay.Upstream.Move(ctx, m.from, m.run.job.ID, to.Address, final)
+	handle, err := m.relay.Upstream.CopyRun(ctx, m.from, m.run.job.ID, to.Address, final)
 	took = time.Since(begun)
 	entry := m.run.job.log.WithFields(logrus.Fields{"server": m.from.ID, "to": to.ID, "final": final, "took_ms": took.Milliseconds()})
 	if err != nil {
 		entry.WithError(err).Info("run is not moved")
-		m.relay.Observer.Moved("failed")
+		m.relay.Observer.Migrated("failed")
 	} else {
 		entry.Info("run is copied")
-		m.relay.Observer.Moved("copied")
+		m.relay.Observer.Migrated("copied")
 	}
 	if handle == "" {
 		return took, err
 	}
-	c := copied{Copy: Copy{Source: m.from.Address, Handle: handle}, lease: m.to.lease}
+	c := copied{KVCopy: KVCopy{Source: m.from.Address, Handle: handle}, lease: m.to.lease}
 	if err != nil && final {
 		// The run has stopped and only its server has its memory.
-		c.lease = m.relay.Registry.Rejoin(m.from, m.run.memory())
+		c.lease = m.relay.Registry.ReserveAt(m.from, m.run.memory())
 	}
 	if c.lease != nil && !m.run.addCopy(c) {
 		go m.relay.drop(c)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -38,12 +38,12 @@
 
 // offer is a server's answer, and the lease that counts the request there.
 type offer struct {
-	lease  *backends.Lease
-	answer *Answer
+	lease  *backends.Reservation
+	answer *Response
 	// cut breaks the answer off.
 	cut context.CancelFunc
 	// cover counts the run's standing copy, nil without one.
-	cover *backends.Lease
+	cover *backends.Reservation
 }
 
 // place asks servers until one answers. A server that certainly did not run the
@@ -59,15 +59,15 @@
 			return nil, refusal
 		}
 		if left, held := r.held(j); held {
-			lease.Done(backends.Unjudged, r.Now())
+			lease.Release(backends.ResultInconclusive, r.Now())
 			return nil, j.refuseHeld(left)
 		}
 		if j.reached > 0 && !r.repeat(j.service) {
-			lease.Done(backends.Unjudged, r.Now())
+			lease.Release(backends.ResultInconclusive, r.Now())
 			j.log.WithField("sent", j.sent).Warn("retry budget is used up")
 			return nil, r.refuse(j, ReasonNoRoom)
 		}
-		o, used, err := r.sendRaced(ctx, j, lease, &Attempt{After: after})
+		o, used, err := r.sendRaced(ctx, j, lease, &Attempt{LastEventID: after})
 		if err == nil {
 			return o, nil
 		}
@@ -79,16 +79,16 @@
 
 // passOver judges a failed attempt. It returns nil if another server may be
 // asked.
-func (r *Relay) passOver(ctx context.Context, j *job, lease *backends.Lease, err error) *Refusal {
+func (r *Relay) passOver(ctx context.Context, j *job, lease *backends.Reservation, err error) *Refusal {
 	id := lease.Server.ID
 	j.tried = append(j.tried, id)
-	var refused *Refused
+	var refused *NotRunError
 	if errors.As(err, &refused) {
-		r.Observer.Attempt(j.service, string(refused.Why))
-		lease.Done(resultOf(refused.Why), r.Now())
-		r.unreached(j, refused.Why)
-		if refused.Why == RefusedReplaced {
-			r.Registry.Replaced(lease.Server)
+		r.Observer.AttemptFailed(j.service, string(refused.Reason))
+		lease.Release(resultOf(refused.Reason), r.Now())
+		r.unreached(j, refused.Reason)
+		if refused.Reason == NotRunReplaced {
+			r.Registry.MarkReplaced(lease.Server)
 		}
 		if ctx.Err() != nil || j.left() < leastLeft {
 			return r.refuse(j, ReasonDeadline)
@@ -97,12 +97,12 @@
 	}
 	j.ran++
 	if ctx.Err() != nil {
-		lease.Done(backends.Unjudged, r.Now())
+		lease.Release(backends.ResultInconclusive, r.Now())
 		return r.refuse(j, ReasonDeadline)
 	}
-	r.Observer.Attempt(j.service, "lost")
-	lease.Done(backends.Lost, r.Now())
-	r.Others.Nudge()
+	r.Observer.AttemptFailed(j.service, "lost")
+	lease.Release(backends.ResultLost, r.Now())
+	r.Peers.Notify()
 	r.broke(ctx, j, lease.Server)
 	if !j.mayRepeat() {
 		return r.refuse(j, ReasonLost)
@@ -113,34 +113,34 @@
 // unreached takes back what an attempt counts for that never arrived at a server. Callers
 // would be refused for a budget that protects servers which are not there. Others are told of
 // a server that has ended: each would find out by attempts of its own.
-func (r *Relay) unreached(j *job, why RefusedWhy) {
-	if why == RefusedUnreachable || why == RefusedEnded {
+func (r *Relay) unreached(j *job, why NotRunReason) {
+	if why == NotRunUnreachable || why == NotRunDown {
 		j.reached--
 	}
-	if why == RefusedEnded {
-		r.Others.Nudge()
+	if why == NotRunDown {
+		r.Peers.Notify()
 	}
 }
 
-func resultOf(why RefusedWhy) backends.Result {
+func resultOf(why NotRunReason) backends.Result {
 	switch why {
-	case RefusedFull:
-		return backends.Full
-	case RefusedUnreachable:
-		return backends.Unreachable
-	case RefusedEnded:
-		return backends.Ended
+	case NotRunFull:
+		return backends.ResultFull
+	case NotRunUnreachable:
+		return backends.ResultUnreachable
+	case NotRunDown:
+		return backends.ResultDown
 	}
-	return backends.Unjudged
+	return backends.ResultInconclusive
 }
 
 // mayRepeat reports whether the request may run once more.
 func (j *job) mayRepeat() bool {
-	return j.route.Repeatable() && j.ran < j.route.Servers && j.left() > leastLeft
+	return j.route.Repeatable() && j.ran < j.route.MaxServers && j.left() > leastLeft
 }
 
 // acquire takes a lease on a server, waiting a while for one with room.
-func (r *Relay) acquire(ctx context.Context, j *job) (*backends.Lease, *Refusal) {
+func (r *Relay) acquire(ctx context.Context, j *job) (*backends.Reservation, *Refusal) {
 	if j.engine != nil && j.Generation != nil {
 		return r.acquireEngine(ctx, j)
 	}
@@ -148,14 +148,14 @@
 }
 
 // acquirePlain takes a server for a request that waits for no engine.
-func (r *Relay) acquirePlain(ctx context.Context, j *job) (*backends.Lease, *Refusal) {
+func (r *Relay) acquirePlain(ctx context.Context, j *job) (*backends.Reservation, *Refusal) {
 	l := r.line(j.service)
 	var w *flow.Waiter
 	defer func() { l.leave(w, r.Now()) }()
 	for {
 		if r.mayAsk(j, l, w) {
 			q := r.query(j)
-			q.Tokens, q.Prompt, q.Spill = j.memory(0), j.prompt(), true
+			q.ExpectedTokens, q.PromptTokens, q.Spill = j.memory(0), j.prompt(), true
 			if lease := r.Registry.Acquire(q, r.Now()); lease != nil {
 				return lease, nil
 			}
@@ -164,7 +164,7 @@
 			return nil, refusal
 		}
 		poll, until := roomPoll, j.arrived+j.patience()
-		if pace := r.paceOf(j); pace.Bounded || pace.Resting {
+		if pace := r.paceOf(j); pace.HasRateLimited || pace.HasBackingOff {
 			if j.hasAnswer {
 				return nil, r.refuse(j, ReasonNoRoom)
 			}
@@ -174,7 +174,7 @@
 			if refusal := r.standInLine(j, l, w, pace); refusal != nil {
 				return nil, refusal
 			}
-			poll, until = pacePoll, w.LastBy
+			poll, until = pacePoll, w.DispatchDeadline
 		}
 		if r.Now()+poll > until || j.left() < poll {
 			return nil, r.refuseUnplaced(j)
@@ -188,15 +188,15 @@
 
 // refuseUnplaced refuses a request that found no server in the time that it may wait.
 func (r *Relay) refuseUnplaced(j *job) *Refusal {
-	if ready, _ := r.Registry.Standing(j.service, j.regions); ready == 0 {
+	if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 {
 		return r.refuse(j, ReasonNoServer)
 	}
 	return r.refuse(j, ReasonNoRoom)
 }
 
 // paceOf is at what rate servers take requests like this one.
-func (r *Relay) paceOf(j *job) backends.Pace {
-	return r.Registry.Pace(j.service, j.regions, r.Others.SharedClock(), r.Now())
+func (r *Relay) paceOf(j *job) backends.Availability {
+	return r.Registry.Availability(j.service, j.regions, r.Peers.SharedClock(), r.Now())
 }
 
 // paceWait is how long a request may wait for cold servers from its arrival: half of the time
@@ -207,34 +207,34 @@
 
 // query asks for a server for a request.
 func (r *Relay) query(j *job) backends.Query {
-	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, Clock: r.Others.SharedClock(), Draw: rand.Uint64()}
+	return backends.Query{Service: j.service, Tried: j.tried, Regions: j.regions, SharedTime: r.Peers.SharedClock(), Draw: rand.Uint64()}
 }
 
 // cordoned refuses a request whose servers are all in cordoned failure domains: waiting does
 // not help it. It returns nil otherwise.
 func (r *Relay) cordoned(j *job) *Refusal {
-	ready, cordoned := r.Registry.Standing(j.service, j.regions)
+	ready, cordoned := r.Registry.CountReadyWithin(j.service, j.regions)
 	if ready > 0 || cordoned == 0 {
 		return nil
 	}
 	f := r.refuse(j, ReasonCordoned)
-	if !f.Run {
+	if !f.MayHaveRun {
 		f.RetryAfter = cordonReturn + time.Duration(rand.Float64()*float64(returnSpread))
 	}
 	return f
 }
 
 func (j *job) patience() time.Duration {
-	if j.route.Target <= 0 {
+	if j.route.TargetLatency <= 0 {
 		return defaultPatience
 	}
-	return time.Duration(patienceShare * float64(j.route.Target))
+	return time.Duration(patienceShare * float64(j.route.TargetLatency))
 }
 
 // refuse is the refusal of a request that may have been sent before.
 func (r *Relay) refuse(j *job, why Reason) *Refusal {
-	f := &Refusal{Reason: why, Run: j.ran > 0}
-	if !f.Run {
+	f := &Refusal{Reason: why, MayHaveRun: j.ran > 0}
+	if !f.MayHaveRun {
 		f.RetryAfter = returnBase + time.Duration(rand.Float64()*float64(returnSpread))
 	}
 	return f
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -14,7 +14,7 @@
 
 // mayRace reports whether a request may run at two servers at the same time.
 func (j *job) mayRace() bool {
-	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.Target > 0 && j.ran+1 < j.route.Servers
+	return j.route.Kind == routing.Idempotent && j.engine == nil && j.route.TargetLatency > 0 && j.ran+1 < j.route.MaxServers
 }
 
 // sendRaced makes one attempt. One that may run again goes to a second server as well if the
@@ -23,7 +23,7 @@
 //
 // A server that hangs says nothing: its requests would end with their callers' time, until
 // enough are lost for it to be left. Waiting for its end and repeating then comes too late.
-func (r *Relay) sendRaced(ctx context.Context, j *job, lease *backends.Lease, a *Attempt) (*offer, *backends.Lease, error) {
+func (r *Relay) sendRaced(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, *backends.Reservation, error) {
 	if !j.mayRace() {
 		o, err := r.sendCovered(ctx, j, lease, a)
 		return o, lease, err
@@ -34,7 +34,7 @@
 	}
 	replies := make(chan reply, 2)
 	go func() { replies <- first.run() }()
-	t := time.NewTimer(time.Duration(raceAfter * float64(j.route.Target)))
+	t := time.NewTimer(time.Duration(raceAfter * float64(j.route.TargetLatency)))
 	defer t.Stop()
 	select {
 	case p := <-replies:
@@ -61,7 +61,7 @@
 	return r.finishRaced(j, <-replies)
 }
 
-func (r *Relay) finishRaced(j *job, p reply) (*offer, *backends.Lease, error) {
+func (r *Relay) finishRaced(j *job, p reply) (*offer, *backends.Reservation, error) {
 	o, err := r.finishAttempt(j, p)
 	return o, p.lease, err
 }
@@ -76,12 +76,12 @@
 		return nil
 	}
 	if _, held := r.convicted(j); held || !r.repeat(j.service) {
-		lease.Done(backends.Unjudged, r.Now())
+		lease.Release(backends.ResultInconclusive, r.Now())
 		return nil
 	}
 	second, err := r.startAttempt(ctx, j, lease, &Attempt{})
 	if err != nil {
-		lease.Done(backends.Unjudged, r.Now())
+		lease.Release(backends.ResultInconclusive, r.Now())
 		return nil
 	}
 	j.log.WithField("server", first.Server.ID).WithField("to", lease.Server.ID).Info("silent request goes to a second server as well")
@@ -93,11 +93,11 @@
 	j.ran++
 	j.tried = append(j.tried, slow.Server.ID)
 	slow.cut()
-	result := backends.Unjudged
-	if r.Now()-slow.Begun >= j.route.Target {
-		result = backends.Lost
+	result := backends.ResultInconclusive
+	if r.Now()-slow.SentAt >= j.route.TargetLatency {
+		result = backends.ResultLost
 	}
-	slow.lease.Done(result, r.Now())
+	slow.lease.Release(result, r.Now())
 	go func() {
 		if p := <-replies; p.err == nil {
 			p.answer.Body.Close()
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -17,10 +17,10 @@
 	lifeSilence = 300 * time.Millisecond
 )
 
-// Noticed is told of a server that begins to leave, or that has started again. It
+// HandleLeaving is told of a server that begins to leave, or that has started again. It
 // returns at once.
-func (r *Relay) Noticed(s backends.Server, n backends.Notice) {
-	if n == backends.NoticeRestarted {
+func (r *Relay) HandleLeaving(s backends.Server, n backends.LeaveReason) {
+	if n == backends.LeaveRestarted {
 		r.Ended(s)
 		return
 	}
@@ -44,7 +44,7 @@
 	time.AfterFunc(lifeSign, func() {
 		for _, u := range runs {
 			if u.cutSilent(s, r.Now()-lifeSilence) {
-				u.job.log.WithFields(logrus.Fields{"server": s.ID, "born": s.Born}).Info("stream ended with its server's earlier life")
+				u.job.log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime}).Info("stream ended with its server's earlier life")
 			}
 		}
 	})
--- a/internal/relay/scout.go
+++ b/internal/relay/scout.go
@@ -17,11 +17,11 @@
 	scoutTimeout = 250 * time.Millisecond
 )
 
-// Scout asks the servers that run streams of this process whether they are
+// RunProber asks the servers that run streams of this process whether they are
 // leaving, while away reports that the directory cannot tell. Without it the
 // streams of every server that leaves during an outage of the store are lost. It
 // returns when ctx ends.
-func (r *Relay) Scout(ctx context.Context, away func() bool) {
+func (r *Relay) RunProber(ctx context.Context, away func() bool) {
 	t := time.NewTicker(scoutEvery)
 	defer t.Stop()
 	for {
@@ -41,18 +41,18 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, s := range r.hosts() {
-		if _, leaving := r.Registry.State(s); leaving || r.Registry.Rests(s, r.Now()) {
+		if _, leaving := r.Registry.State(s); leaving || r.Registry.IsBackingOff(s, r.Now()) {
 			continue
 		}
 		wg.Go(func() {
-			leaving, err := r.Upstream.Leaving(ctx, s)
+			leaving, err := r.Upstream.IsLeaving(ctx, s)
 			if err != nil {
 				// A server that is busy or cut off says nothing of its plans.
 				r.Log.WithError(err).WithField("server", s.ID).Debug("server does not report")
 				return
 			}
-			if leaving && r.Registry.Reported(s) {
-				r.Others.Nudge()
+			if leaving && r.Registry.MarkLeaving(s) {
+				r.Peers.Notify()
 			}
 		})
 	}
--- a/internal/standin/engines/engine.go
+++ b/internal/standin/engines/engine.go
@@ -340,30 +340,30 @@
 }
 
 // List implements engine.Engine.
-func (e *Engine) List(context.Context) ([]engine.Running, error) {
+func (e *Engine) List(context.Context) ([]engine.RunningStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
 		return nil, engine.ErrLost
 	}
-	var out []engine.Running
+	var out []engine.RunningStream
 	for id, s := range e.streams {
-		out = append(out, engine.Running{
+		out = append(out, engine.RunningStream{
 			ID: id, Attempt: s.req.Attempt, Team: s.req.Team, RequestID: s.req.RequestID, Model: s.req.Model,
-			Emitted: uint64(len(s.tokens)), Prompt: uint32(len(s.req.Prompt)), MaxTokens: s.req.MaxTokens,
+			Emitted: uint64(len(s.tokens)), PromptBytes: uint32(len(s.req.Prompt)), MaxTokens: s.req.MaxTokens,
 		})
 	}
 	return out, nil
 }
 
 // Load implements engine.Engine.
-func (e *Engine) Load(context.Context) (engine.Load, error) {
+func (e *Engine) Load(context.Context) (engine.Status, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
-		return engine.Load{}, engine.ErrLost
+		return engine.Status{}, engine.ErrLost
 	}
-	l := engine.Load{
+	l := engine.Status{
 		MemoryCapacity: e.cfg.Memory, Preemptions: e.preemptions, ResumesFromPrefix: e.cfg.Resumes,
 		Models: slices.Clone(e.models), Adapters: slices.Clone(e.adapters),
 	}
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -11,7 +11,7 @@
 		}
 		p.unpark(j)
 		p.begin(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
@@ -35,7 +35,7 @@
 		}
 		p.dequeue(t, j)
 		p.begin(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
@@ -57,7 +57,7 @@
 	if ja.Urgent != jb.Urgent {
 		return ja.Urgent
 	}
-	if p.cfg.Off.Shares {
+	if p.cfg.Disabled.Shares {
 		return ja.arrived < jb.arrived
 	}
 	oa := p.over(a, ja.contrib.mean[shareHorizon])
@@ -78,7 +78,7 @@
 	// A borrower that fits above the low mark would be paused in the next
 	// shortage, resumed into the same room and paused again.
 	if borrows {
-		limit *= min(low, 1-p.cfg.Reserve)
+		limit *= min(low, 1-p.cfg.ReserveFraction)
 	}
 	if len(p.running) == 0 {
 		return true
--- a/sched/baseline.go
+++ b/sched/baseline.go
@@ -22,21 +22,21 @@
 	stats Stats
 }
 
-// NewFirstCome admits in order of arrival while memory is free now.
-func NewFirstCome(capacity, maxBatch int, maxWait time.Duration) *Baseline {
+// NewFIFO admits in order of arrival while memory is free now.
+func NewFIFO(capacity, maxBatch int, maxWait time.Duration) *Baseline {
 	return &Baseline{capacity: capacity, maxBatch: maxBatch, maxQueue: maxWait, turn: make(map[string]int)}
 }
 
 // NewRoundRobin is NewFirstCome with one queue for each team, served in turn.
 func NewRoundRobin(capacity, maxBatch int, maxWait time.Duration) *Baseline {
-	b := NewFirstCome(capacity, maxBatch, maxWait)
+	b := NewFIFO(capacity, maxBatch, maxWait)
 	b.roundRobin = true
 	return b
 }
 
-// NewReserve is NewFirstCome with the longest output reserved for every stream.
-func NewReserve(capacity, maxBatch int, maxWait time.Duration, maxTokens int) *Baseline {
-	b := NewFirstCome(capacity, maxBatch, maxWait)
+// NewReserveMaxOutput is NewFirstCome with the longest output reserved for every stream.
+func NewReserveMaxOutput(capacity, maxBatch int, maxWait time.Duration, maxTokens int) *Baseline {
+	b := NewFIFO(capacity, maxBatch, maxWait)
 	b.reserve = maxTokens
 	return b
 }
@@ -44,38 +44,38 @@
 // need is the memory that a job is admitted against.
 func (b *Baseline) need(j *Job) int {
 	if b.reserve == 0 {
-		return j.Context() + 1
+		return j.ContextTokens() + 1
 	}
 	most := b.reserve
 	if j.MaxTokens > 0 {
 		most = min(most, j.MaxTokens)
 	}
-	return j.Prompt + most
+	return j.PromptTokens + most
 }
 
 // Offer implements Policy.
 func (b *Baseline) Offer(now time.Duration, j *Job) Decision {
-	j.arrived, j.emitted, j.state = now, j.Emitted, stateQueued
+	j.arrived, j.emitted, j.state = now, j.EmittedBefore, stateQueued
 	b.queue = append(b.queue, j)
 	b.stats.Queued++
-	return Decision{Verdict: Queue}
+	return Decision{Admission: Queued}
 }
 
 // Adopt implements Policy.
 func (b *Baseline) Adopt(now time.Duration, j *Job) {
-	j.arrived, j.emitted = now, j.Emitted
+	j.arrived, j.emitted = now, j.EmittedBefore
 	b.begin(j)
 }
 
 func (b *Baseline) begin(j *Job) {
 	j.state = stateRunning
-	b.used += j.Context()
+	b.used += j.ContextTokens()
 	b.held += b.need(j)
 	b.stats.Running++
 }
 
 func (b *Baseline) end(j *Job) {
-	b.used -= j.Context()
+	b.used -= j.ContextTokens()
 	b.held -= b.need(j)
 	if b.reserve == 0 {
 		b.held = b.used + b.stats.Running - 1
@@ -129,7 +129,7 @@
 		b.stats.Queued--
 		b.turn[j.Team]++
 		b.begin(j)
-		acts = append(acts, Action{Verb: Start, Job: j})
+		acts = append(acts, Action{Kind: Start, Job: j})
 	}
 	return acts
 }
@@ -140,7 +140,7 @@
 		if late {
 			j.state = stateDone
 			b.stats.Queued--
-			acts = append(acts, Action{Verb: GiveUp, Job: j, RetryAfter: b.maxQueue})
+			acts = append(acts, Action{Kind: Expire, Job: j, RetryAfter: b.maxQueue})
 		}
 		return late
 	})
--- a/sched/config.go
+++ b/sched/config.go
@@ -14,16 +14,16 @@
 	// Sigmas is how many standard deviations above its mean the forecast peak
 	// must stay below capacity.
 	Sigmas float64
-	// Reserve is the fraction of capacity that teams over their share leave
+	// ReserveFraction is the fraction of capacity that teams over their share leave
 	// free for teams under theirs.
-	Reserve float64
-	// Off switches parts off, for ablation.
-	Off Parts
+	ReserveFraction float64
+	// Disabled switches parts off, for ablation.
+	Disabled DisabledFeatures
 }
 
-// Parts are switches for the parts of the policy.
-type Parts struct {
-	Forecast, Shares, Victims, Refusal, Reserve bool
+// DisabledFeatures are switches for the parts of the policy.
+type DisabledFeatures struct {
+	Forecast, Shares, Preemption, Refusal, Reserve bool
 }
 
 // Defaults of Config.
@@ -44,11 +44,11 @@
 	if c.Sigmas == 0 {
 		c.Sigmas = DefaultSigmas
 	}
-	if c.Reserve == 0 {
-		c.Reserve = DefaultReserve
+	if c.ReserveFraction == 0 {
+		c.ReserveFraction = DefaultReserve
 	}
-	if c.Off.Reserve {
-		c.Reserve = 0
+	if c.Disabled.Reserve {
+		c.ReserveFraction = 0
 	}
 	return c
 }
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -15,11 +15,11 @@
 	Weight uint32
 	// Level is the priority class; higher is served first.
 	Level uint32
-	// Prompt and MaxTokens are in tokens; MaxTokens 0 is unbounded.
-	Prompt    int
-	MaxTokens int
-	// Emitted is the number of tokens of an earlier attempt.
-	Emitted int
+	// PromptTokens and MaxTokens are in tokens; MaxTokens 0 is unbounded.
+	PromptTokens int
+	MaxTokens    int
+	// EmittedBefore is the number of tokens of an earlier attempt.
+	EmittedBefore int
 	// Urgent jobs continue a stream whose caller already got tokens.
 	Urgent bool
 
@@ -34,8 +34,8 @@
 	contrib  contribution
 }
 
-// Context is the number of tokens of memory that the job holds when it runs.
-func (j *Job) Context() int { return j.Prompt + j.emitted }
+// ContextTokens is the number of tokens of memory that the job holds when it runs.
+func (j *Job) ContextTokens() int { return j.PromptTokens + j.emitted }
 
 type state uint8
 
@@ -53,40 +53,40 @@
 // Waiting reports whether the job is queued or paused.
 func (j *Job) Waiting() bool { return j.state == stateQueued || j.state == statePaused }
 
-// Verdict is the answer to an offered job.
-type Verdict uint8
+// Admission is the answer to an offered job.
+type Admission uint8
 
 // The verdicts.
 const (
-	// Queue means that a later Start or Refuse action follows.
-	Queue Verdict = iota
-	// Refuse means that the job is forgotten; it did not run.
-	Refuse
+	// Queued means that a later Start or Refuse action follows.
+	Queued Admission = iota
+	// Refused means that the job is forgotten; it did not run.
+	Refused
 )
 
 // Decision answers Offer.
 type Decision struct {
-	Verdict Verdict
+	Admission Admission
 	// RetryAfter says when a refused caller should come back.
 	RetryAfter time.Duration
 }
 
-// Verb is what an Action asks for.
-type Verb uint8
+// ActionKind is what an Action asks for.
+type ActionKind uint8
 
 // The verbs.
 const (
 	// Start the job, or continue it if it was paused.
-	Start Verb = iota
+	Start ActionKind = iota
 	// Pause the job: take it off the engine and keep its tokens.
 	Pause
-	// GiveUp answers a job that never ran as not run.
-	GiveUp
+	// Expire answers a job that never ran as not run.
+	Expire
 )
 
 // Action is one thing for the caller to carry out.
 type Action struct {
-	Verb       Verb
+	Kind       ActionKind
 	Job        *Job
 	RetryAfter time.Duration
 }
