--- a/backends/pace.go
+++ b/backends/pace.go
@@ -29,7 +29,7 @@
 		l = t.ColdLimit
 	}
 	if s.limit.named {
-		l = l.And(pacing.Named(s.limit.perSecond))
+		l = l.Intersect(pacing.FromRateLimit(s.limit.perSecond))
 	}
 	return l
 }
@@ -40,7 +40,7 @@
 	if l.Rate > 0 && !r.inOwnCell(s, of) {
 		return false
 	}
-	return s.pacer.May(r.share(of), l, s.hash, at, now)
+	return s.pacer.CanSend(r.share(of), l, s.hash, at, now)
 }
 
 // TryUseRate counts a request that goes to a server for which no turn was taken when it was
@@ -56,7 +56,7 @@
 	if !r.bears(l.s, bound, of, at, now) {
 		return false
 	}
-	l.s.pacer.Sent(r.share(of), bound, at, now)
+	l.s.pacer.RecordSent(r.share(of), bound, at, now)
 	return true
 }
 
@@ -96,7 +96,7 @@
 			p.rests(rest)
 		case r.inOwnCell(s, len(list)):
 			share := r.share(len(list))
-			p.bounds(share.Part(l), max(rest, s.pacer.Next(share, l, s.hash, at, now)))
+			p.bounds(share.SendRate(l), max(rest, s.pacer.WaitTime(share, l, s.hash, at, now)))
 		}
 	}
 	return p
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -352,7 +352,7 @@
 	}
 	s := list[i]
 	if l := s.bound(r.traits(q.Service), now); l.Rate > 0 {
-		s.pacer.Sent(r.share(len(list)), l, q.SharedTime, now)
+		s.pacer.RecordSent(r.share(len(list)), l, q.SharedTime, now)
 	}
 	return r.lease(s, q, len(list))
 }
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -1,11 +1,13 @@
-// Package pacing bounds what many processes together send to a backend server that takes no
-// more than a certain rate: one that has just started, or that names a limit. It is pure.
+// Package pacing bounds the rate at which many processes together send to a backend server
+// that accepts only a limited rate: one that has just started, or one that sends a rate limit
+// in its responses. The package does no I/O and reads no clock.
 //
-// Few processes have an equal part of the bound each, and use it at once. Of many, each of
-// which may send one request, the sum would be too much at once: there the rate is cut into
-// tickets, numbered on a clock that all share, and rendezvous hashing gives each ticket to
-// one process. Neither way needs a message. Processes that disagree on who is there disagree
-// on the tickets of those only.
+// A small number of processes divide the bound equally, and each may use its quota at any
+// time. With many processes that fails: each may always send one request, and the sum of these
+// would exceed the bound. Then the rate is divided into tickets instead. Tickets are numbered
+// by a clock that all processes share, and rendezvous hashing assigns each ticket to one
+// process. Neither method needs messages. Processes that disagree on which processes exist
+// disagree only on the tickets of the processes in question.
 package pacing
 
 import (
@@ -14,38 +16,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limit is what a server takes of all processes together.
+// Limit is what a server accepts from all processes together.
 type Limit struct {
-	// Rate is the requests a second that it takes for long, 0 for no bound.
+	// Rate is the average rate in requests per second, 0 for no bound.
 	Rate float64
-	// MaxInWindow is the most requests in any span of Window.
+	// MaxInWindow is the maximum number of requests in any span of Window.
 	MaxInWindow float64
 	Window      time.Duration
-	// Lasting keeps what is sent for long to Rate, where Most would allow more.
-	Lasting bool
+	// RateIsStrict makes Rate a bound on the long-term average even where MaxInWindow would
+	// allow more.
+	RateIsStrict bool
 }
 
 const (
-	// namedWindow, namedOverage and namedTolerance are the platform's bound for a server that
-	// names a limit: so many times the limit, and so many requests more, in a window.
-	namedWindow    = 4 * time.Second
-	namedOverage   = 1.5
-	namedTolerance = 5
-	// leastNamed is the requests a second that are sent at the least. Only an answer says that
-	// a limit has ended, and a server that gets nothing gives none.
-	leastNamed = 0.1
+	// The platform allows a server that sends a rate limit at most rateLimitOverage times that
+	// rate plus rateLimitTolerance requests in any span of rateLimitWindow.
+	rateLimitWindow    = 4 * time.Second
+	rateLimitOverage   = 1.5
+	rateLimitTolerance = 5
+	// minRateLimit is the lowest rate in requests per second, whatever the server's rate limit.
+	// Only a response can remove a rate limit, and a server that gets no requests sends none.
+	minRateLimit = 0.1
 )
 
-// Named is the bound on a server that names a limit of so many requests a second.
-func Named(perSecond float64) Limit {
+// FromRateLimit returns the limit for a server that sends a rate limit, in requests per second.
+func FromRateLimit(perSecond float64) Limit {
 	return Limit{
-		Rate: max(perSecond, leastNamed), Lasting: true,
-		MaxInWindow: namedOverage*perSecond*namedWindow.Seconds() + namedTolerance, Window: namedWindow,
+		Rate: max(perSecond, minRateLimit), RateIsStrict: true,
+		MaxInWindow: rateLimitOverage*perSecond*rateLimitWindow.Seconds() + rateLimitTolerance, Window: rateLimitWindow,
 	}
 }
 
-// And is a bound that keeps both.
-func (l Limit) And(o Limit) Limit {
+// Intersect returns a limit that satisfies both l and o.
+func (l Limit) Intersect(o Limit) Limit {
 	switch {
 	case l.Rate <= 0:
 		return o
@@ -53,24 +56,26 @@
 		return l
 	}
 	return Limit{
-		Rate: min(l.Rate, o.Rate), Lasting: l.Lasting || o.Lasting,
+		Rate: min(l.Rate, o.Rate), RateIsStrict: l.RateIsStrict || o.RateIsStrict,
 		MaxInWindow: min(l.MaxInWindow, o.MaxInWindow), Window: max(l.Window, o.Window),
 	}
 }
 
-// SharedTime is a steady clock that all processes share, as one of them knows it.
+// SharedTime is a point of time on a monotonic clock that all processes share. Known is false
+// if this process doesn't know the shared time.
 type SharedTime struct {
 	Now   time.Duration
 	Known bool
 }
 
-// Share is this process's part among those that send to the same servers.
+// Share is this process's share of the limits of servers that several processes send to. A nil
+// Share is that of a process that sends alone.
 type Share struct {
 	self   uint64
 	others []uint64
 }
 
-// NewShare returns the part of a process among others.
+// NewShare returns the share of the process self among the other processes.
 func NewShare(self string, others []string) *Share {
 	s := &Share{self: xxhash.Sum64String(self), others: make([]uint64, 0, len(others))}
 	for _, name := range others {
@@ -79,7 +84,7 @@
 	return s
 }
 
-// count is the number of processes; a nil share is of one.
+// count returns the number of processes, this one included.
 func (s *Share) count() int {
 	if s == nil {
 		return 1
@@ -88,61 +93,65 @@
 }
 
 const (
-	// usable is the part of the bound that is given out: requests that are sent in two
+	// usableFraction is the fraction of MaxInWindow that is used. Requests that are sent in two
 	// windows may arrive in one.
-	usable = 0.9
-	// leastPart is the part of the rate that equal parts must give for long, leastLasting that
-	// where nothing beyond the rate makes up for it.
-	leastPart    = 0.5
-	leastLasting = 0.8
-	// burstTime is the time whose part of a lasting rate may be sent at once: requests come in
-	// bursts, and those that wait ask each few ms.
+	usableFraction = 0.9
+	// minEqualFraction is the fraction of Rate that equal quotas must sustain; otherwise
+	// tickets are used. minStrictFraction applies where the rate is strict, since there nothing
+	// above the rate makes up for the loss.
+	minEqualFraction  = 0.5
+	minStrictFraction = 0.8
+	// burstTime determines how much of a strict rate may be sent at once: what the rate allows
+	// in that time. Requests arrive in bursts, and waiting requests try again every few
+	// milliseconds.
 	burstTime = 100 * time.Millisecond
 )
 
-// part is what each process may send: some requests at once, and so many a second.
-type part struct {
+// quota is what each process may send: a burst of requests at once, and a rate in requests per
+// second.
+type quota struct {
 	burst, perSecond float64
 }
 
-// equalPart is what each process may send where all have the same part, false where there are
-// too many for that.
-func (s *Share) equalPart(l Limit) (part, bool) {
+// equalQuota returns the quota of each process if all get the same one. It returns false if
+// there are too many processes for that.
+func (s *Share) equalQuota(l Limit) (quota, bool) {
 	n, window := float64(s.count()), l.Window.Seconds()
-	together := (usable*l.MaxInWindow - n) / window
-	least := leastPart
+	combined := (usableFraction*l.MaxInWindow - n) / window
+	minFraction := minEqualFraction
 	burst := 1.0
-	if l.Lasting {
-		together, least = min(together, l.Rate), leastLasting
-		burst = max(1, min(together*burstTime.Seconds(), usable*l.MaxInWindow-window*together)/n)
+	if l.RateIsStrict {
+		combined, minFraction = min(combined, l.Rate), minStrictFraction
+		burst = max(1, min(combined*burstTime.Seconds(), usableFraction*l.MaxInWindow-window*combined)/n)
 	}
-	return part{burst, together / n}, together >= least*l.Rate
+	return quota{burst, combined / n}, combined >= minFraction*l.Rate
 }
 
-// Part is the requests a second that this process may send for long.
-func (s *Share) Part(l Limit) float64 {
-	if part, ok := s.equalPart(l); ok {
-		return part.perSecond
+// SendRate returns the average rate at which this process may send, in requests per second.
+func (s *Share) SendRate(l Limit) float64 {
+	if quota, ok := s.equalQuota(l); ok {
+		return quota.perSecond
 	}
 	return l.Rate / float64(s.count())
 }
 
-// mine reports whether a ticket of a server, by the hash of its name, is this process's.
-func (s *Share) mine(server uint64, ticket int64) bool {
+// owns reports whether a ticket of a server belongs to this process. server is the hash of the
+// server's name.
+func (s *Share) owns(server uint64, ticket int64) bool {
 	if s.count() == 1 {
 		return true
 	}
-	place := mix(server ^ mix(uint64(ticket)))
-	own := mix(s.self ^ place)
+	key := mix(server ^ mix(uint64(ticket)))
+	own := mix(s.self ^ key)
 	for _, o := range s.others {
-		if score := mix(o ^ place); score > own || score == own && o < s.self {
+		if score := mix(o ^ key); score > own || score == own && o < s.self {
 			return false
 		}
 	}
 	return true
 }
 
-// mix spreads the bits of a number (the finalizer of splitmix64).
+// mix distributes the bits of a number (the finalizer of splitmix64).
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -150,52 +159,53 @@
 	return x ^ x>>31
 }
 
-// Pacer is what this process has sent to one server. The zero value has sent nothing. It is
-// for one goroutine at a time.
+// Pacer records what this process has sent to one server. The zero value has sent nothing. It
+// is not safe for concurrent use.
 type Pacer struct {
-	// spent counts what was sent of the equal part, less what has come back until at.
-	spent float64
-	at    time.Duration
-	// used is when the last ticket that was used ended, on the shared clock.
-	used time.Duration
-}
-
-// May reports whether a request may be sent to a server, by the hash of its name, now. A
-// process that does not know the clock that tickets go by sends nothing where there are
-// tickets: its part is another's.
-func (p *Pacer) May(s *Share, l Limit, server uint64, shared SharedTime, now time.Duration) bool {
+	// level is the level of a leaky bucket at the time updated: each request adds one, and the
+	// equal quota's rate drains it.
+	level   float64
+	updated time.Duration
+	// usedUntil is the end of the last ticket that was used, on the shared clock.
+	usedUntil time.Duration
+}
+
+// CanSend reports whether a request may be sent to a server now. server is the hash of the
+// server's name. Where tickets are used, a process that doesn't know the shared time sends
+// nothing, since the current ticket may belong to another process.
+func (p *Pacer) CanSend(s *Share, l Limit, server uint64, shared SharedTime, now time.Duration) bool {
 	if l.Rate <= 0 {
 		return true
 	}
-	if part, ok := s.equalPart(l); ok {
-		return p.left(part, now) <= part.burst-1
+	if quota, ok := s.equalQuota(l); ok {
+		return p.levelAt(quota, now) <= quota.burst-1
 	}
 	t, known := s.ticket(l, shared, now)
-	return known && !p.hasUsed(t) && s.mine(server, t.number)
+	return known && !p.hasUsed(t) && s.owns(server, t.number)
 }
 
-// lookAhead is how many tickets are looked through for the next of this process.
-const lookAhead = 64
+// ticketLookahead is how many tickets are searched for the next one of this process.
+const ticketLookahead = 64
 
-// Next is how long it is until a request may be sent, at the least.
-func (p *Pacer) Next(s *Share, l Limit, server uint64, shared SharedTime, now time.Duration) time.Duration {
+// WaitTime returns the minimum time until a request may be sent.
+func (p *Pacer) WaitTime(s *Share, l Limit, server uint64, shared SharedTime, now time.Duration) time.Duration {
 	if l.Rate <= 0 {
 		return 0
 	}
-	if part, ok := s.equalPart(l); ok {
-		over := max(0, p.left(part, now)-(part.burst-1))
-		return time.Duration(over / part.perSecond * float64(time.Second))
+	if quota, ok := s.equalQuota(l); ok {
+		excess := max(0, p.levelAt(quota, now)-(quota.burst-1))
+		return time.Duration(excess / quota.perSecond * float64(time.Second))
 	}
 	t, known := s.ticket(l, shared, now)
 	if !known {
-		return time.Duration(float64(time.Second) / s.Part(l))
+		return time.Duration(float64(time.Second) / s.SendRate(l))
 	}
 	if s.count() == 1 {
 		shared.Now = now
 	}
 	span := t.until - t.from
-	for range lookAhead {
-		if !p.hasUsed(t) && s.mine(server, t.number) {
+	for range ticketLookahead {
+		if !p.hasUsed(t) && s.owns(server, t.number) {
 			return max(0, t.from-shared.Now)
 		}
 		t = ticket{t.number + 1, t.until, t.until + span}
@@ -203,33 +213,34 @@
 	return t.from - shared.Now
 }
 
-// Sent notes that a request was sent.
-func (p *Pacer) Sent(s *Share, l Limit, shared SharedTime, now time.Duration) {
-	if part, ok := s.equalPart(l); ok {
-		p.spent, p.at = p.left(part, now)+1, now
+// RecordSent records that a request was sent.
+func (p *Pacer) RecordSent(s *Share, l Limit, shared SharedTime, now time.Duration) {
+	if quota, ok := s.equalQuota(l); ok {
+		p.level, p.updated = p.levelAt(quota, now)+1, now
 		return
 	}
 	if t, known := s.ticket(l, shared, now); known {
-		p.used = t.until
+		p.usedUntil = t.until
 	}
 }
 
-// hasUsed reports whether a request was sent in the time of a ticket. Rates change and the
-// shared clock may fall: a time beyond the ticket's is of another rate or of before the fall.
-func (p *Pacer) hasUsed(t ticket) bool { return t.from < p.used && p.used <= t.until }
+// hasUsed reports whether a request was sent with a ticket. usedUntil may lie after the ticket:
+// then it stems from another rate, or from before the shared clock went back, and doesn't count.
+func (p *Pacer) hasUsed(t ticket) bool { return t.from < p.usedUntil && p.usedUntil <= t.until }
 
-// left is what was sent and has not come back.
-func (p *Pacer) left(o part, now time.Duration) float64 {
-	return max(0, p.spent-(now-p.at).Seconds()*o.perSecond)
+// levelAt returns the level of the leaky bucket at a time.
+func (p *Pacer) levelAt(q quota, now time.Duration) float64 {
+	return max(0, p.level-(now-p.updated).Seconds()*q.perSecond)
 }
 
-// ticket lets one process send one request in a span of the shared clock.
+// ticket allows one process to send one request within a span of the shared clock.
 type ticket struct {
 	number      int64
 	from, until time.Duration
 }
 
-// ticket is the one that is valid now; a process that is alone needs no shared clock.
+// ticket returns the ticket that is valid now, and whether it is known. A process that
+// sends alone needs no shared time.
 func (s *Share) ticket(l Limit, shared SharedTime, now time.Duration) (ticket, bool) {
 	if s.count() == 1 {
 		shared = SharedTime{Now: now, Known: true}
