--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -12,53 +12,55 @@
 	"kingcupplank.example/kingcup/subset"
 )
 
-// The load of the tests: gateways before engines whose memory is full to two thirds. An
-// engine reads one prompt after the other, 112 tokens between two steps of those that run,
-// 15 ms in all, and a generation that finds no memory waits there.
+// The simulated workload: gateways in front of engines whose memory is two thirds full. An
+// engine reads one prompt after the other, 112 tokens between two steps of the running
+// generations, which take 15 ms together. A generation that finds no free memory waits at the
+// engine.
 const (
 	gateways, engines = 103, 144
-	mostLinks         = 32
+	maxLinks          = 32
 	engineMemory      = 33_000
 	promptTokens      = 2700
-	promptSpeed       = 7_500 // tokens a second
+	promptSpeed       = 7_500 // tokens per second
 	outputTokens      = 470
-	// Three of five generations are long; the others end with their first tokens.
-	longLasts = 8 * time.Second
-	longOf5   = 3
-	arrivals  = 200 // a second, over all gateways
-	played    = 20 * time.Second
-	// lateAfter is what a target of 1.5 s leaves to wait before a prompt is read.
+	// Three of five generations are long. The others end with their first tokens.
+	longDuration = 8 * time.Second
+	longOf5      = 3
+	arrivals     = 200 // per second, over all gateways
+	simTime      = 20 * time.Second
+	// lateAfter is how long a prompt may wait before it is read to meet a target of 1.5 s.
 	lateAfter = 1100 * time.Millisecond
-	// heardAfter is how long what a gateway tells takes to its peers.
-	heardAfter = 20 * time.Millisecond
-	// Every replacedEvery so many engines are reclaimed and empty ones come in their place.
-	replacedEvery, replaced = 3300 * time.Millisecond, 24
-	// promptWait is the most that a prompt may find before it, by what is known.
+	// reportDelay is how long a gateway's report takes to reach its peers.
+	reportDelay = 20 * time.Millisecond
+	// Every replaceInterval, this many engines are reclaimed and replaced by empty ones.
+	replaceInterval, replaceCount = 3300 * time.Millisecond, 24
+	// promptWait is the maximum known time until the server has read the prompts before a new one.
 	promptWait = 500 * time.Millisecond
 )
 
-// engine is a backend server of the play.
+// engine is a simulated backend server.
 type engine struct {
 	used   int
 	idleAt time.Duration
-	// waiting are the generations that find no memory.
+	// waiting are the generations for which there is no free memory.
 	waiting []*generation
 }
 
-// generation is one that was sent to an engine.
+// generation is a generation that was sent to an engine.
 type generation struct {
-	gateway int
-	lease   *Reservation
-	sent    time.Duration
-	memory  int
-	lasts   time.Duration
+	gateway     int
+	reservation *Reservation
+	sent        time.Duration
+	memory      int
+	duration    time.Duration
 }
 
-// fleet plays gateways that choose engines by what they hear of each other.
+// fleet simulates gateways that choose engines by what they know from each other's reports.
 type fleet struct {
-	rng     *rand.Rand
-	regs    []*Registry
-	heard   [][]int
+	rng  *rand.Rand
+	regs []*Registry
+	// linked are the indexes of the gateways that each gateway reports to.
+	linked  [][]int
 	engines map[string]*engine
 	events  map[time.Duration][]func()
 	servers []Server
@@ -67,7 +69,7 @@
 	late    int
 }
 
-func newFleet(linked func(self subset.Item, all []subset.Item) (links []subset.Item, place cells.Place)) *fleet {
+func newFleet(linksOf func(self subset.Item, all []subset.Item) (links []subset.Item, place cells.Place)) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(5, 9)), engines: make(map[string]*engine), events: make(map[time.Duration][]func())}
 	var all []subset.Item
 	index := make(map[string]int)
@@ -77,25 +79,25 @@
 		all = append(all, it)
 	}
 	for range engines {
-		f.start()
+		f.startEngine()
 	}
-	f.heard = make([][]int, gateways)
+	f.linked = make([][]int, gateways)
 	for i, self := range all {
 		r := New(self.FailureDomain, func(string) ServiceTraits { return ServiceTraits{MemoryTokens: engineMemory} }, func(Server, LeaveReason) {})
 		r.ReplaceAll(f.servers, 0, 0)
 		others := append(append([]subset.Item{}, all[:i]...), all[i+1:]...)
-		links, place := linked(self, others)
+		links, place := linksOf(self, others)
 		r.SetCell(place)
 		for _, l := range links {
-			f.heard[i] = append(f.heard[i], index[l.Name])
+			f.linked[i] = append(f.linked[i], index[l.Name])
 		}
 		f.regs = append(f.regs, r)
 	}
 	return f
 }
 
-// start adds an engine.
-func (f *fleet) start() {
+// startEngine adds an engine.
+func (f *fleet) startEngine() {
 	f.servers = append(f.servers, Server{ID: fmt.Sprintf("i-%d", f.started), Service: svc, FailureDomain: fmt.Sprint("z", f.started%6), Slots: 24})
 	f.started++
 }
@@ -103,9 +105,9 @@
 // replace reclaims some engines and starts as many.
 func (f *fleet) replace(now time.Duration) {
 	f.rng.Shuffle(len(f.servers), func(i, j int) { f.servers[i], f.servers[j] = f.servers[j], f.servers[i] })
-	f.servers = f.servers[replaced:]
-	for range replaced {
-		f.start()
+	f.servers = f.servers[replaceCount:]
+	for range replaceCount {
+		f.startEngine()
 	}
 	for _, r := range f.regs {
 		r.ReplaceAll(f.servers, 0, now)
@@ -119,11 +121,11 @@
 	f.events[when] = append(f.events[when], do)
 }
 
-// tell has the peers of a gateway hear of its load.
-func (f *fleet) tell(i int, now time.Duration) {
+// report sends a gateway's loads to its peers.
+func (f *fleet) report(i int, now time.Duration) {
 	loads := f.regs[i].Loads()
-	f.at(now+heardAfter, func() {
-		for _, j := range f.heard[i] {
+	f.at(now+reportDelay, func() {
+		for _, j := range f.linked[i] {
 			f.regs[j].SetRemoteLoads(fmt.Sprint(i), loads)
 		}
 	})
@@ -133,49 +135,49 @@
 	f.sent++
 	g := &generation{gateway: f.rng.IntN(gateways), sent: now, memory: promptTokens}
 	if f.rng.IntN(5) < longOf5 {
-		g.memory, g.lasts = promptTokens+outputTokens, longLasts
+		g.memory, g.duration = promptTokens+outputTokens, longDuration
 	}
 	f.place(g, now)
 }
 
-// place has the gateway choose an engine; one that gets none tries again in a while.
+// place makes the gateway choose an engine. If there is none, it tries again later.
 func (f *fleet) place(g *generation, now time.Duration) {
-	g.lease = f.regs[g.gateway].Acquire(Query{
+	g.reservation = f.regs[g.gateway].Acquire(Query{
 		Service: svc, ExpectedTokens: g.memory, PromptTokens: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
 		MaxPromptPending: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
 	}, now)
-	if g.lease == nil {
+	if g.reservation == nil {
 		f.at(now+5*tick, func() { f.place(g, now+5*tick) })
 		return
 	}
-	f.tell(g.gateway, now)
-	e := f.engine(g.lease.Server.ID)
+	f.report(g.gateway, now)
+	e := f.engine(g.reservation.Server.ID)
 	e.waiting = append(e.waiting, g)
-	f.admit(e, now)
-	if g.lasts > 0 {
-		f.cover(g, now)
+	f.startWaiting(e, now)
+	if g.duration > 0 {
+		f.addStandby(g, now)
 	}
 }
 
-// cover has a long generation's memory kept at a second engine, where half of the memory is
-// free by what is known.
-func (f *fleet) cover(g *generation, now time.Duration) {
+// addStandby keeps a standby copy of a long generation's memory at a second engine, if one is
+// known to have half of its memory free.
+func (f *fleet) addStandby(g *generation, now time.Duration) {
 	l := f.regs[g.gateway].Acquire(Query{
-		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, ForCopy: true, CopySpeed: 18_000,
-		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.lease.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
+		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.reservation.Server.ID}, ForCopy: true, CopySpeed: 18_000,
+		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.reservation.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
 	}, now)
 	if l == nil {
 		return
 	}
-	f.tell(g.gateway, now)
+	f.report(g.gateway, now)
 	e := f.engine(l.Server.ID)
 	e.used += g.memory
 	f.at(now+time.Second, l.FinishCopy)
-	f.at(now+g.lasts, func() {
-		l.Release(ResultInconclusive, now+g.lasts)
-		f.tell(g.gateway, now+g.lasts)
+	f.at(now+g.duration, func() {
+		l.Release(ResultInconclusive, now+g.duration)
+		f.report(g.gateway, now+g.duration)
 		e.used -= g.memory
-		f.admit(e, now+g.lasts)
+		f.startWaiting(e, now+g.duration)
 	})
 }
 
@@ -186,39 +188,39 @@
 	return f.engines[id]
 }
 
-// admit begins what the engine has memory for.
-func (f *fleet) admit(e *engine, now time.Duration) {
+// startWaiting starts the waiting generations for which the engine has memory.
+func (f *fleet) startWaiting(e *engine, now time.Duration) {
 	for len(e.waiting) > 0 && e.used+e.waiting[0].memory <= engineMemory {
 		g := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.used += g.memory
-		begins := max(now, e.idleAt)
-		if begins-g.sent > lateAfter {
+		start := max(now, e.idleAt)
+		if start-g.sent > lateAfter {
 			f.late++
 		}
-		first := begins + time.Duration(promptTokens*int(time.Second)/promptSpeed)
-		e.idleAt = first
-		f.at(first, func() {
-			g.lease.FinishPrompt()
-			f.tell(g.gateway, first)
+		firstToken := start + time.Duration(promptTokens*int(time.Second)/promptSpeed)
+		e.idleAt = firstToken
+		f.at(firstToken, func() {
+			g.reservation.FinishPrompt()
+			f.report(g.gateway, firstToken)
 		})
-		f.at(first+g.lasts, func() {
-			g.lease.Release(ResultOK, first+g.lasts)
-			f.tell(g.gateway, first+g.lasts)
+		f.at(firstToken+g.duration, func() {
+			g.reservation.Release(ResultOK, firstToken+g.duration)
+			f.report(g.gateway, firstToken+g.duration)
 			e.used -= g.memory
-			f.admit(e, first+g.lasts)
+			f.startWaiting(e, firstToken+g.duration)
 		})
 	}
 }
 
-// play returns the part of the generations that begin late.
-func (f *fleet) play() float64 {
-	for now := time.Duration(0); now < played; now += tick {
+// run returns the fraction of the generations that start late.
+func (f *fleet) run() float64 {
+	for now := time.Duration(0); now < simTime; now += tick {
 		for i := 0; i < len(f.events[now]); i++ {
 			f.events[now][i]()
 		}
 		delete(f.events, now)
-		if now%replacedEvery == 0 {
+		if now%replaceInterval == 0 {
 			f.replace(now)
 		}
 		for range f.rng.IntN(2*arrivals/100 + 1) {
@@ -228,28 +230,29 @@
 	return float64(f.late) / float64(f.sent)
 }
 
-// Callers wait for their first token although most engines have nothing to read: their
-// gateway hears a third of the others, and the engine that looks idle to it was given two
-// prompts by gateways unseen. Where all that send to an engine hear each other at most five
-// in a hundred may begin late; with the same number of links, drawn from all, it is more
+// Guards against callers waiting for their first token although most engines have no prompt to
+// read. That happens if a gateway receives reports from only a third of the others: an engine
+// that looks idle to it has got two prompts from gateways that it doesn't know of. Where all
+// gateways that send to an engine receive each other's reports, at most five in a hundred
+// generations may start late. With the same number of links, drawn from all gateways, it is more
 // than twice as many.
-func TestGatewaysOfACellDoNotMeetAtEngines(t *testing.T) {
+func TestGatewaysOfACellDoNotCollideAtEngines(t *testing.T) {
 	divided := newFleet(func(self subset.Item, all []subset.Item) ([]subset.Item, cells.Place) {
-		return cells.Links(self, all, mostLinks)
+		return cells.Links(self, all, maxLinks)
 	})
-	inCells := divided.play()
+	inCells := divided.run()
 	partial := newFleet(func(self subset.Item, all []subset.Item) ([]subset.Item, cells.Place) {
-		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, CellCount: 1}
+		return subset.Pick(self.Name, self.FailureDomain, all, maxLinks+6), cells.Place{Self: self.Name, CellCount: 1}
 	})
-	drawn := partial.play()
+	drawn := partial.run()
 	t.Logf("late: %.3f in cells, %.3f with links drawn from all", inCells, drawn)
 	require.LessOrEqual(t, inCells, 0.05)
 	require.Greater(t, drawn, 2*inCells)
 }
 
-// A cell has no engine with room, others have. Its requests go there rather than wait, but
-// only those that have waited: what is sent there by others is not known.
-func TestCellWithoutRoomSpills(t *testing.T) {
+// If no engine of a cell has capacity, its requests go to other cells rather than wait. Only
+// requests that have waited do so, since the load that other cells put there is not known.
+func TestCellWithoutCapacitySpills(t *testing.T) {
 	r, _ := newRegistry()
 	const count = 2
 	var all []Server
--- a/backends/cordon.go
+++ b/backends/cordon.go
@@ -7,22 +7,22 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// SetDomainRegions says which region each failure domain is in.
-func (r *Registry) SetDomainRegions(regions map[string]string) {
+// SetDomainRegions sets the region of each failure domain.
+func (r *Registry) SetDomainRegions(domainRegions map[string]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.regions = regions
+	r.domainRegions = domainRegions
 }
 
-// SetCordoned says which failure domains get nothing, and returns those that get requests
-// again. Their servers have lost their caches meanwhile, and say so only with their next
-// heartbeat: until then they count as cold.
-func (r *Registry) SetCordoned(domains []string, now time.Duration) (back []string) {
+// SetCordoned sets the failure domains whose servers get no requests. It returns, sorted, those
+// that get requests again. Their servers have lost their caches meanwhile and will report that
+// only with their next heartbeat, so they count as cold for the service's ColdTime.
+func (r *Registry) SetCordoned(domains []string, now time.Duration) (uncordoned []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for domain := range r.cordoned {
 		if !slices.Contains(domains, domain) {
-			back = append(back, domain)
+			uncordoned = append(uncordoned, domain)
 		}
 	}
 	r.cordoned = make(map[string]bool, len(domains))
@@ -30,18 +30,18 @@
 		r.cordoned[domain] = true
 	}
 	for _, s := range r.servers {
-		if slices.Contains(back, s.FailureDomain) {
+		if slices.Contains(uncordoned, s.FailureDomain) {
 			s.coldUntil = max(s.coldUntil, now+r.traits(s.Service).ColdTime)
 		}
 	}
-	slices.Sort(back)
-	return back
+	slices.Sort(uncordoned)
+	return uncordoned
 }
 
-// IsIneligible reports whether a server must get no request that must stay in some regions,
-// whatever the request has there.
-func (r *Registry) IsIneligible(s Server, within routing.Regions) bool {
+// IsIneligible reports whether a server must get no request that must stay in some regions, even
+// if the request's state is at that server.
+func (r *Registry) IsIneligible(s Server, regions routing.Regions) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cordoned[s.FailureDomain] || !within.Allows(r.regions[s.FailureDomain])
+	return r.cordoned[s.FailureDomain] || !regions.Allows(r.domainRegions[s.FailureDomain])
 }
--- a/backends/load.go
+++ b/backends/load.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Load is requests at a server.
+// Load is the load that requests put on a server.
 type Load struct {
+	// Running is the number of requests.
 	Running int
-	// ExpectedTokens is the memory that they are expected to need.
+	// ExpectedTokens is the memory in tokens that they are expected to need.
 	ExpectedTokens int
-	// PromptTokens is the prompt tokens of those that have not begun to answer: what a
-	// new request has to wait for.
+	// PromptTokens is the number of prompt tokens of the requests that the server has not begun
+	// to answer. A new request waits until they are read.
 	PromptTokens int
-	// CopyTokens is the tokens of memory that are being copied to the server: a further
-	// copy waits on its link behind them.
+	// CopyTokens is the number of tokens of memory that are being copied to the server. A further
+	// copy waits for them on the server's link.
 	CopyTokens int
-	// StartTime is the life of the server that has the load, see Server.
+	// StartTime identifies the incarnation of the server that has the load, see Server.
 	StartTime int64
 }
 
@@ -25,38 +26,40 @@
 	return Load{Running: l.Running - o.Running, ExpectedTokens: l.ExpectedTokens - o.ExpectedTokens, PromptTokens: l.PromptTokens - o.PromptTokens, CopyTokens: l.CopyTokens - o.CopyTokens}
 }
 
-// load is what is known of a server's load, here and at other processes.
+// load returns the known load of a server: that of this process and of all others. mu must be
+// held.
 func (r *Registry) load(s *server) Load {
-	return s.own.plus(r.told[life{s.ID, s.StartTime}])
+	return s.ownLoad.plus(r.remoteSums[incarnation{s.ID, s.StartTime}])
 }
 
-// life is one start of a server.
-type life struct {
-	id   string
-	born int64
+// incarnation identifies an incarnation of a server.
+type incarnation struct {
+	id        string
+	startTime int64
 }
 
-// addTold adds what a process tells of its loads to the sums, or takes it back; mu is held.
-func (r *Registry) addTold(loads map[string]Load, sign func(sum, l Load) Load) {
+// addRemote adds a process's loads to remoteSums, or subtracts them, as given by op. mu must be
+// held.
+func (r *Registry) addRemote(loads map[string]Load, op func(sum, l Load) Load) {
 	for id, l := range loads {
-		of := life{id, l.StartTime}
-		sum := sign(r.told[of], l)
+		key := incarnation{id, l.StartTime}
+		sum := op(r.remoteSums[key], l)
 		if sum == (Load{}) {
-			delete(r.told, of)
+			delete(r.remoteSums, key)
 		} else {
-			r.told[of] = sum
+			r.remoteSums[key] = sum
 		}
 	}
 }
 
-// Loads is this process's load, by server.
+// Loads returns the load that this process puts on each server, by server id.
 func (r *Registry) Loads() map[string]Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]Load)
 	for id, s := range r.servers {
-		if s.own.Running > 0 {
-			l := s.own
+		if s.ownLoad.Running > 0 {
+			l := s.ownLoad
 			l.StartTime = s.StartTime
 			out[id] = l
 		}
@@ -64,167 +67,173 @@
 	return out
 }
 
-// SetRemoteLoads replaces what another process has told of its load; nil forgets it.
+// SetRemoteLoads replaces the loads that another process has reported, by server id; nil removes
+// them.
 func (r *Registry) SetRemoteLoads(process string, loads map[string]Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.addTold(r.remote[process], Load.minus)
+	r.addRemote(r.remoteLoads[process], Load.minus)
 	if loads == nil {
-		delete(r.remote, process)
+		delete(r.remoteLoads, process)
 		return
 	}
-	r.remote[process] = loads
-	r.addTold(loads, Load.plus)
+	r.remoteLoads[process] = loads
+	r.addRemote(loads, Load.plus)
 }
 
 const (
-	// lossesFor is how long lost connections in a row are held against a server that
-	// is not asked any more: as long as against one that cannot be reached.
-	lossesFor = lostFor
-	// tooManyLosses are the lost connections in a row, by all processes together, from
-	// which a server is asked last. One in forty answers lost by chance gives less than
-	// one at a time.
-	tooManyLosses = 3
-	// ownLosses are those of this process alone from which it is: one that is cut off
-	// from its peers has to find out by itself.
-	ownLosses = 2
-	// leftAgain is the time within which a server that loses requests again is left for
-	// twice as long, leftDoublings how often. One that goes down and up by turns costs
-	// callers their answers each time that it is tried while it is down.
-	leftAgain     = 10 * time.Second
-	leftDoublings = 2
-	// believedLosses bounds what one process is believed: it may be cut off alone from
-	// a sound server.
-	believedLosses = 2
+	// lossAvoidTime is how long a server is avoided for consecutive losses, and how long losses
+	// count after the last one. It is the same as for a server that can't be reached.
+	lossAvoidTime = unreachableAvoidTime
+	// lossThreshold is the number of consecutive losses, over all processes, from which a server
+	// is avoided. If one in forty answers is lost by chance, fewer than one loss counts at a time.
+	lossThreshold = 3
+	// ownLossThreshold is the same for the losses of this process alone. A process that is cut
+	// off from its peers must detect a bad server by itself.
+	ownLossThreshold = 2
+	// relapseTime is the time within which a server that loses requests again is avoided for
+	// twice as long as before. maxAvoidDoublings bounds the doublings. A server that goes down
+	// and up repeatedly costs callers their answers each time that it is tried while it is down.
+	relapseTime       = 10 * time.Second
+	maxAvoidDoublings = 2
+	// maxPeerLosses bounds the losses that are counted from one peer, which may itself be cut
+	// off from a healthy server.
+	maxPeerLosses = 2
 )
 
-// ServerStatus is what is wrong with a server: requests that it has lost in a row, its end, what it says
-// of itself.
+// ServerStatus is what a process reports to its peers about a server that has a problem.
 type ServerStatus struct {
+	// ConsecutiveLosses is the number of recent consecutive requests that got no answer, or none
+	// for far too long.
 	ConsecutiveLosses int
-	// Down says that it listens no more, Leaving that it has said itself that it will end.
+	// Down reports that the server refuses connections. Leaving reports that the server itself
+	// has announced that it will end.
 	Down, Leaving bool
-	// BackingOff says that it has asked the process for rest.
+	// BackingOff reports that the server has asked the process to send nothing for now.
 	BackingOff bool
-	// RateLimit is what is known of its limit.
+	// RateLimit is what the process knows of the server's rate limit.
 	RateLimit RateLimitReport
-	// StartTime is the life of the server that lost them, see Server.
+	// StartTime identifies the incarnation of the server that this is about, see Server.
 	StartTime int64
 }
 
-// Statuses tells what is wrong with servers: requests that were lost in a row of late, without an
-// answer or far too long without one, their ends, and what they say of themselves.
+// Statuses returns the status of each server that has a problem, by server id.
 func (r *Registry) Statuses(now time.Duration) map[string]ServerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]ServerStatus)
 	for id, s := range r.servers {
-		l := ServerStatus{ConsecutiveLosses: s.lostInARow(now), Down: now < s.endedUntil, Leaving: s.reported && !s.gone, BackingOff: now < s.restUntil, RateLimit: s.limit.told(now), StartTime: s.StartTime}
-		if l.ConsecutiveLosses > 0 || l.Down || l.Leaving || l.BackingOff || l.RateLimit.Known {
-			out[id] = l
+		status := ServerStatus{ConsecutiveLosses: s.consecutiveLosses(now), Down: now < s.downUntil, Leaving: s.selfReported && !s.gone, BackingOff: now < s.backoffUntil, RateLimit: s.rateLimit.report(now), StartTime: s.StartTime}
+		if status.ConsecutiveLosses > 0 || status.Down || status.Leaving || status.BackingOff || status.RateLimit.Known {
+			out[id] = status
 		}
 	}
 	return out
 }
 
-// StatusChange is news that another process has told of a server.
+// StatusChange is a change of a server's status that another process has reported.
 type StatusChange struct {
 	Server
-	// RateLimitChanged reports that it is of its limit.
+	// RateLimitChanged reports that the server's rate limit has started or was removed. Otherwise
+	// the server has begun to leave.
 	RateLimitChanged bool
 }
 
-// SetRemoteStatuses replaces what another process has told of what is wrong with servers; nil forgets
-// it. It returns the servers of which is news that they name a limit, or none, or that they are
-// leaving: others have to be told at once, as who hears this process need not hear that one.
+// SetRemoteStatuses replaces the statuses that another process has reported, by server id; nil
+// removes them. It returns the servers that turn out to be leaving, or whose rate limit has
+// started or was removed. The caller must forward these changes at once, since a process that
+// receives messages from this one may not receive them from that other process.
 //
-// While the directory is away only those that run something on a server ask whether it is
-// leaving; the others would go on sending runs and copies there.
-func (r *Registry) SetRemoteStatuses(process string, losses map[string]ServerStatus, now time.Duration) (news []StatusChange) {
+// While the directory is unavailable, only processes that run something on a server ask it
+// whether it is leaving. Without these reports the others would continue to send runs and copies
+// there.
+func (r *Registry) SetRemoteStatuses(process string, peerStatuses map[string]ServerStatus, now time.Duration) (changes []StatusChange) {
 	r.mu.Lock()
-	if len(losses) == 0 {
-		delete(r.losses, process)
+	if len(peerStatuses) == 0 {
+		delete(r.peerStatuses, process)
 	} else {
-		r.losses[process] = losses
+		r.peerStatuses[process] = peerStatuses
 	}
-	var left []leave
-	for id, l := range losses {
+	var events []leaveEvent
+	for id, status := range peerStatuses {
 		s := r.servers[id]
-		if s == nil || s.StartTime != l.StartTime {
+		if s == nil || s.StartTime != status.StartTime {
 			continue
 		}
-		leavingNews := l.Leaving && !s.gone && !s.reported
-		if l.Leaving {
-			left = s.report(left, NoticeTold)
+		leavingChanged := status.Leaving && !s.gone && !s.selfReported
+		if status.Leaving {
+			events = s.markLeaving(events, LeavePeerReported)
 		}
-		if limitNews := s.limit.hear(l.RateLimit, now); limitNews || leavingNews {
-			news = append(news, StatusChange{Server: s.Server, RateLimitChanged: limitNews})
+		if rateLimitChanged := s.rateLimit.merge(status.RateLimit, now); rateLimitChanged || leavingChanged {
+			changes = append(changes, StatusChange{Server: s.Server, RateLimitChanged: rateLimitChanged})
 		}
 	}
 	r.mu.Unlock()
-	r.tell(left)
-	return news
+	r.notifyLeaving(events)
+	return changes
 }
 
-// losing reports whether a server is left for what it has lost, by what all processes
-// have seen. A server that resets costs each caller whose request must not run twice
-// its answer: if each of thirty processes had to find out by itself, again every
-// second, a hundred of them would lose it. mu is held.
-func (r *Registry) losing(s *server, now time.Duration) bool {
-	if now < s.leftUntil {
+// avoidForLosses reports whether a server is avoided for its losses, over all processes. A
+// server that resets connections costs each caller whose request must not run twice its answer.
+// If each of thirty processes had to find out by itself, again every second, a hundred callers
+// would lose their answers. mu must be held.
+func (r *Registry) avoidForLosses(s *server, now time.Duration) bool {
+	if now < s.lossAvoidUntil {
 		return true
 	}
-	own := s.lostInARow(now)
+	own := s.consecutiveLosses(now)
 	sum := own
-	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.StartTime == s.StartTime {
-			sum += min(believedLosses, l.ConsecutiveLosses)
+	for _, peerStatuses := range r.peerStatuses {
+		if status := peerStatuses[s.ID]; status.StartTime == s.StartTime {
+			sum += min(maxPeerLosses, status.ConsecutiveLosses)
 		}
 	}
-	if own < ownLosses && sum < tooManyLosses {
+	if own < ownLossThreshold && sum < lossThreshold {
 		return false
 	}
-	s.leave(now)
+	s.avoid(now)
 	return true
 }
 
-// ended reports whether a server is taken not to listen, by what any process has seen: a
-// refused connection is certain. It is asked again only once nobody says so any more; ended
-// ones look least used, and each request would try one after the other. mu is held.
-func (r *Registry) ended(s *server, now time.Duration) bool {
-	if now < s.endedUntil {
+// isDown reports whether a server is known to refuse connections, to this process or any other:
+// a refused connection is conclusive. The server is tried again only once no process reports it
+// any more. Servers that are down look least loaded, so otherwise each request would try one
+// after the other. mu must be held.
+func (r *Registry) isDown(s *server, now time.Duration) bool {
+	if now < s.downUntil {
 		return true
 	}
-	for _, losses := range r.losses {
-		if l := losses[s.ID]; l.Down && l.StartTime == s.StartTime {
+	for _, peerStatuses := range r.peerStatuses {
+		if status := peerStatuses[s.ID]; status.Down && status.StartTime == s.StartTime {
 			return true
 		}
 	}
 	return false
 }
 
-// IsDown reports whether a server is taken not to listen.
+// IsDown reports whether a server is known to refuse connections.
 func (r *Registry) IsDown(id string, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
-	return s != nil && r.ended(s, now)
+	return s != nil && r.isDown(s, now)
 }
 
-// MarkDown notes that a server listens no more, and reports whether that is news.
+// MarkDown records that a server refuses connections. It reports whether that was not known
+// before.
 func (r *Registry) MarkDown(gone Server, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.current(gone)
-	if s == nil || s.gone || r.ended(s, now) {
+	if s == nil || s.gone || r.isDown(s, now) {
 		return false
 	}
-	s.end(now)
+	s.markDown(now)
 	return true
 }
 
-// CountRequestsAtLeaving counts, by process, the requests at servers of a failure domain that are
-// leaving. Those of this process have the name self.
+// CountRequestsAtLeaving counts, by process, the requests at the servers of a failure domain that are
+// leaving. Requests of this process are counted under the name self.
 func (r *Registry) CountRequestsAtLeaving(self, domain string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,10 +242,10 @@
 		if s.FailureDomain != domain || !s.Leaving && !s.gone {
 			continue
 		}
-		if s.own.Running > 0 {
-			out[self] += s.own.Running
+		if s.ownLoad.Running > 0 {
+			out[self] += s.ownLoad.Running
 		}
-		for process, loads := range r.remote {
+		for process, loads := range r.remoteLoads {
 			if l := loads[id]; l.Running > 0 && l.StartTime == s.StartTime {
 				out[process] += l.Running
 			}
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// BenchmarkAcquireAmongTold: a choice among 43 servers with what 22 other processes tell of each took
-// 50 us, with their sums kept 11.
-func BenchmarkAcquireAmongTold(b *testing.B) {
+// BenchmarkAcquireWithRemoteLoads: a choice among 43 servers with loads that 22 other processes
+// report for each takes 11 us. Without remoteSums it took 50 us.
+func BenchmarkAcquireWithRemoteLoads(b *testing.B) {
 	r := New("z", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 21900} }, func(Server, LeaveReason) {})
 	for i := range 43 {
 		r.Put(Server{ID: fmt.Sprint("s-", i), Service: svc, FailureDomain: "z", Slots: 24}, 0)
@@ -31,9 +31,9 @@
 	}
 }
 
-// What is kept of the others' loads is the sum of what each told last, for the life of the
-// server that it told of, in whatever order it came.
-func TestSumOfToldLoads(t *testing.T) {
+// The load counted for other processes is the sum of the last report of each, per incarnation of
+// the server, for any order of reports.
+func TestSumOfRemoteLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New("z", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 		processes, servers := []string{"vm-1", "vm-2", "vm-3"}, []string{"a", "b"}
@@ -55,14 +55,14 @@
 			last[p] = loads
 		}
 		for _, id := range servers {
-			for _, born := range []int64{0, 1} {
+			for _, startTime := range []int64{0, 1} {
 				var want Load
 				for _, loads := range last {
-					if l := loads[id]; l.StartTime == born {
+					if l := loads[id]; l.StartTime == startTime {
 						want = want.plus(l)
 					}
 				}
-				require.Equal(t, want, r.load(&server{Server: Server{ID: id, StartTime: born}}))
+				require.Equal(t, want, r.load(&server{Server: Server{ID: id, StartTime: startTime}}))
 			}
 		}
 	})
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -1,7 +1,7 @@
-// Package backends keeps what a process believes of the backend servers: which
-// exist, which are leaving, how loaded they are and how well they answer.
+// Package backends keeps what a process knows of the backend servers: which exist, which are
+// leaving, how loaded they are and how well they answer.
 //
-// A Registry is safe for concurrent use; its lock is a leaf.
+// A Registry is safe for concurrent use. No other lock is acquired while its lock is held.
 package backends
 
 import (
@@ -17,172 +17,177 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// ServiceTraits are what is known of all servers of a service.
+// ServiceTraits are the properties that all servers of a service have in common.
 type ServiceTraits struct {
-	// MemoryTokens is the memory of a server, 0 where a service has no engines.
+	// MemoryTokens is the memory of a server in tokens, 0 if the service has no engines.
 	MemoryTokens int
-	// ColdTime is how long a server is cold after its start, Cold what it bears meanwhile.
+	// ColdTime is how long a server is cold after its start. ColdLimit is what a cold server
+	// accepts.
 	ColdTime  time.Duration
 	ColdLimit pacing.Limit
 }
 
 const (
-	// lapseGrace is how long an entry that lapsed during an outage of the
-	// directory is still used after its return: the platform promises that
-	// servers which live have registered again by then.
-	lapseGrace = 2 * time.Second
-	// outageFrom is the silence of the directory from which a missing entry may
-	// have lapsed without its server having ended.
-	outageFrom = time.Second
-	// fullFor is how long a server that refused for lack of room is ranked last.
-	// Engines free a slot every 100 to 200 ms when full; shorter asks it again in
-	// vain, and each refusal uses the shared retry budget.
-	fullFor = 250 * time.Millisecond
-	// lostFor is how long a server that could not be reached is ranked last; it is
-	// the order of a restart.
-	lostFor = 1 * time.Second
-	// healthGain is the weight of the newest answer in a server's failure rate;
-	// about the last ten answers count.
-	healthGain = 0.1
-	// lossGain is the same for a connection that broke without an answer, which is
-	// far rarer at a sound server than an error. With the gain of errors each gateway
-	// lost five requests to a server that resets before it avoided it.
+	// lapsedGracePeriod is how long an entry that lapsed during an outage of the directory is
+	// still used after the directory is available again. The platform promises that live
+	// servers have registered again by then.
+	lapsedGracePeriod = 2 * time.Second
+	// minOutage is the duration of a directory outage from which a missing entry may have lapsed
+	// although its server is still running.
+	minOutage = time.Second
+	// fullAvoidTime is how long a server that refused a request for lack of capacity is ranked
+	// last. Full engines free a slot every 100 to 200 ms. A shorter time would ask the server
+	// again in vain, and each refusal uses the shared retry budget.
+	fullAvoidTime = 250 * time.Millisecond
+	// unreachableAvoidTime is how long a server that could not be reached is ranked last; it is
+	// on the order of a restart.
+	unreachableAvoidTime = 1 * time.Second
+	// answerGain is the weight of the latest answer in a server's failure rate, an exponentially
+	// weighted average over about the last ten answers.
+	answerGain = 0.1
+	// lossGain is the weight of a connection that broke without an answer, which is far rarer at
+	// a healthy server than an error. With answerGain instead, each gateway lost five requests
+	// at a server that resets connections before it avoided that server.
 	lossGain = 0.4
-	// healthHalfLife is the time in which an old failure rate halves. A server that
-	// gets no requests for its failures would otherwise never be tried again.
-	healthHalfLife = 5 * time.Second
+	// failureHalfLife is the time in which an old failure rate halves. Otherwise a server that
+	// gets no requests because of its failures would never be tried again.
+	failureHalfLife = 5 * time.Second
 )
 
-// Registry holds the servers. Times are of one steady clock, given by callers.
+// Registry holds the servers. All times are points on one monotonic clock and are passed in by
+// the callers.
 type Registry struct {
-	domain string
-	traits func(service string) ServiceTraits
-	policy placement.Policy
-	copies placement.Policy
+	domain     string
+	traits     func(service string) ServiceTraits
+	policy     placement.Policy
+	copyPolicy placement.Policy
 
 	mu      sync.Mutex
 	servers map[string]*server
-	// endings are the servers that have gone of late, by id.
-	endings map[string]ending
-	// remote are the loads that other processes have told of, by process and
-	// server.
-	remote map[string]map[string]Load
-	// told are the sums of those, by the life of a server.
-	told map[life]Load
-	// losses are the lost requests that other processes have told of, likewise.
-	losses map[string]map[string]ServerStatus
-	// lists caches the servers of each service, scratch their descriptions.
-	lists   map[string][]*server
-	scratch []placement.Server
-	leaving func(Server, LeaveReason)
-	// cell is this process's of count cells.
-	cell, count int
-	// inCell and inAll are this process's part of what cold servers bear, among those of its
-	// cell and among all.
-	inCell, inAll *pacing.Share
-	// cordoned are the failure domains that get nothing, regions those that domains are in.
-	cordoned map[string]bool
-	regions  map[string]string
+	// departures are the servers that have recently gone, by id.
+	departures map[string]departure
+	// remoteLoads are the loads that other processes have reported, by process and server.
+	remoteLoads map[string]map[string]Load
+	// remoteSums are the sums of remoteLoads over all processes, by incarnation of the server.
+	remoteSums map[incarnation]Load
+	// peerStatuses are what other processes have reported of servers, by process and server.
+	peerStatuses map[string]map[string]ServerStatus
+	// lists caches the servers of each service. scratch is reused for their descriptions.
+	lists     map[string][]*server
+	scratch   []placement.Server
+	onLeaving func(Server, LeaveReason)
+	// cell is the index of this process's cell, cellCount the number of cells.
+	cell, cellCount int
+	// cellShare and globalShare are this process's share of the rate that servers accept, among
+	// the processes of its cell and among all processes.
+	cellShare, globalShare *pacing.Share
+	// cordoned are the failure domains whose servers get no requests. domainRegions maps each
+	// failure domain to its region.
+	cordoned      map[string]bool
+	domainRegions map[string]string
 }
 
 // LeaveReason says why a server is taken to be leaving.
 type LeaveReason string
 
-// The notices.
+// The reasons.
 const (
-	NoticeDraining LeaveReason = "draining"
-	NoticeVanished LeaveReason = "entry vanished"
-	NoticeReplaced LeaveReason = "another server has its address"
-	NoticeReported LeaveReason = "its own report"
-	// NoticeTold is told of a server whose report another process has seen.
-	NoticeTold LeaveReason = "its own report to a peer"
-	// LeaveRestarted is told of the life that has ended; its runs ended with it.
+	LeaveDraining      LeaveReason = "draining"
+	LeaveEntryVanished LeaveReason = "entry vanished"
+	LeaveReplaced      LeaveReason = "another server has its address"
+	LeaveSelfReported  LeaveReason = "its own report"
+	// LeavePeerReported is used if another process has received the server's own report.
+	LeavePeerReported LeaveReason = "its own report to a peer"
+	// LeaveRestarted is used for an incarnation that has ended. Its runs ended with it.
 	LeaveRestarted LeaveReason = "started again"
 )
 
-// New returns an empty registry of a process in domain. leaving is told once of
-// each server that begins to leave; it is called without the lock.
-func New(domain string, traits func(service string) ServiceTraits, leaving func(Server, LeaveReason)) *Registry {
+// New returns an empty registry of a process in a failure domain. onLeaving is called once for
+// each server that begins to leave. It is called without the registry's lock.
+func New(domain string, traits func(service string) ServiceTraits, onLeaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
-		domain: domain, traits: traits, leaving: leaving,
-		policy: placement.Direct(), copies: placement.CopyTarget(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
+		domain: domain, traits: traits, onLeaving: onLeaving,
+		policy: placement.Direct(), copyPolicy: placement.CopyTarget(), servers: make(map[string]*server), departures: make(map[string]departure), remoteLoads: make(map[string]map[string]Load), remoteSums: make(map[incarnation]Load), peerStatuses: make(map[string]map[string]ServerStatus),
 		lists: make(map[string][]*server),
 	}
 }
 
-type leave struct {
-	s Server
-	n LeaveReason
+// leaveEvent is a call of onLeaving that is due once the lock is released.
+type leaveEvent struct {
+	server Server
+	reason LeaveReason
 }
 
-func (r *Registry) tell(left []leave) {
-	for _, l := range left {
-		r.leaving(l.s, l.n)
+func (r *Registry) notifyLeaving(events []leaveEvent) {
+	for _, e := range events {
+		r.onLeaving(e.server, e.reason)
 	}
 }
 
-// ReplaceAll replaces the directory. outage is how long it was silent before.
+// ReplaceAll replaces the directory. outage is how long the directory was unavailable before.
 func (r *Registry) ReplaceAll(list []Server, outage, now time.Duration) {
 	r.mu.Lock()
-	left := r.reset(list, outage, now)
+	events := r.replaceAll(list, outage, now)
 	r.mu.Unlock()
-	r.tell(left)
+	r.notifyLeaving(events)
 }
 
-// reset replaces the directory; mu is held.
-func (r *Registry) reset(list []Server, outage, now time.Duration) (left []leave) {
+// replaceAll replaces the directory. mu must be held.
+func (r *Registry) replaceAll(list []Server, outage, now time.Duration) (events []leaveEvent) {
 	listed := make(map[string]bool, len(list))
 	for _, s := range list {
 		listed[s.ID] = true
-		left = r.put(left, s, now)
+		events = r.put(events, s, now)
 	}
 	for id, s := range r.servers {
 		if !listed[id] {
-			left = r.vanish(left, s, outage, now)
+			events = r.removeEntry(events, s, outage, now)
 		}
 	}
-	return left
+	return events
 }
 
 // Put adds or changes a server.
 func (r *Registry) Put(s Server, now time.Duration) {
 	r.mu.Lock()
-	left := r.put(nil, s, now)
+	events := r.put(nil, s, now)
 	r.mu.Unlock()
-	r.tell(left)
+	r.notifyLeaving(events)
 }
 
-// put takes an entry. A new life of a server replaces the earlier one with all that is
-// believed of it: failures, a notice to leave and loads of the earlier life would keep
-// callers away from a sound server, or hold its new runs for the old ones. An entry of
-// an earlier life, written late, says nothing of the present one.
-func (r *Registry) put(left []leave, s Server, now time.Duration) []leave {
-	r.unlist()
+// put adds or changes a server. mu must be held.
+//
+// A new incarnation of a server replaces the earlier one with everything known of it. Failures,
+// a leaving state and loads of the earlier incarnation would keep requests away from a healthy
+// server, or mix up its new runs with the old ones. An entry of an earlier incarnation that
+// arrives late is ignored.
+func (r *Registry) put(events []leaveEvent, s Server, now time.Duration) []leaveEvent {
+	r.dropLists()
 	old := r.servers[s.ID]
 	switch {
 	case s.Unreadable:
 		if old != nil {
-			old.withheld = true
+			old.excluded = true
 		}
-		return left
+		return events
 	case old != nil && !s.SameIncarnation(old.Server):
 		if s.StartTime < old.StartTime {
-			return left
+			return events
 		}
-		left = append(left, leave{old.Server, LeaveRestarted})
+		events = append(events, leaveEvent{old.Server, LeaveRestarted})
 		old = nil
 	}
 	if old == nil {
 		old = &server{hash: cells.Hash(s.ID)}
 		r.servers[s.ID] = old
-		// An entry that lags brings back no server that was about to end when it went.
-		e, ended := r.endings[s.ID]
-		s.Leaving = s.Leaving || ended && e.Leaving && e.SameIncarnation(s)
+		// A stale entry must not bring back a server that was leaving when it went.
+		d, departed := r.departures[s.ID]
+		s.Leaving = s.Leaving || departed && d.Leaving && d.SameIncarnation(s)
 	}
-	return old.update(left, s, now)
+	return old.update(events, s, now)
 }
 
-// current returns what is known of the life that s describes, nil if that has ended.
+// current returns the record of the incarnation that s describes, nil if there is none.
 func (r *Registry) current(s Server) *server {
 	if known := r.servers[s.ID]; known != nil && known.SameIncarnation(s) {
 		return known
@@ -190,196 +195,201 @@
 	return nil
 }
 
-// Remove notes that a server's entry has vanished. outage is how long the
-// directory had been silent before it said so.
+// Remove records that a server's entry has vanished. outage is how long the directory was
+// unavailable before that was known.
 func (r *Registry) Remove(id string, outage, now time.Duration) {
 	r.mu.Lock()
-	var left []leave
+	var events []leaveEvent
 	if s := r.servers[id]; s != nil {
-		left = r.vanish(nil, s, outage, now)
+		events = r.removeEntry(nil, s, outage, now)
 	}
 	r.mu.Unlock()
-	r.tell(left)
+	r.notifyLeaving(events)
 }
 
-func (r *Registry) vanish(left []leave, s *server, outage, now time.Duration) []leave {
-	if s.gone || s.suspectUntil > 0 && now < s.suspectUntil {
-		return left
+// removeEntry records that a server's entry has vanished. After an outage the server is still
+// used for lapsedGracePeriod, see Expire. mu must be held.
+func (r *Registry) removeEntry(events []leaveEvent, s *server, outage, now time.Duration) []leaveEvent {
+	if s.gone || s.missingUntil > 0 && now < s.missingUntil {
+		return events
 	}
-	if outage > outageFrom && !s.Leaving && s.suspectUntil == 0 {
-		s.suspectUntil = now + lapseGrace
-		return left
+	if outage > minOutage && !s.Leaving && s.missingUntil == 0 {
+		s.missingUntil = now + lapsedGracePeriod
+		return events
 	}
 	s.gone = true
-	r.noteEnding(s, now)
-	r.unlist()
+	r.recordDeparture(s, now)
+	r.dropLists()
 	if !s.Leaving {
-		left = append(left, leave{s.Server, NoticeVanished})
+		events = append(events, leaveEvent{s.Server, LeaveEntryVanished})
 	}
-	if s.own.Running == 0 {
+	if s.ownLoad.Running == 0 {
 		r.forget(s)
 	}
-	return left
+	return events
 }
 
-// forget drops a server that is gone, unless a later life has its place. mu is held.
+// forget drops a server that is gone, unless a later incarnation has replaced it. mu must be
+// held.
 func (r *Registry) forget(s *server) {
 	if r.servers[s.ID] == s {
 		delete(r.servers, s.ID)
 	}
 }
 
-// Expire turns entries whose grace has passed into gone ones; call it now and
-// then.
+// Expire removes servers whose entry is still missing after lapsedGracePeriod, and forgets old
+// departures. It must be called periodically.
 func (r *Registry) Expire(now time.Duration) {
 	r.mu.Lock()
-	var left []leave
+	var events []leaveEvent
 	for _, s := range r.servers {
-		if s.suspectUntil > 0 && now >= s.suspectUntil {
-			left = r.vanish(left, s, 0, now)
+		if s.missingUntil > 0 && now >= s.missingUntil {
+			events = r.removeEntry(events, s, 0, now)
 		}
 	}
-	r.expireEndings(now)
+	r.expireDepartures(now)
 	r.mu.Unlock()
-	r.tell(left)
+	r.notifyLeaving(events)
 }
 
-// MarkReplaced notes that another server answers at a server's address.
+// MarkReplaced records that another server answers at a server's address.
 func (r *Registry) MarkReplaced(gone Server) {
 	r.mu.Lock()
 	s := r.current(gone)
-	news := s != nil && !s.gone
-	var left []leave
-	if news {
+	changed := s != nil && !s.gone
+	var events []leaveEvent
+	if changed {
 		s.gone, s.replaced = true, true
-		r.unlist()
-		left = append(left, leave{s.Server, NoticeReplaced})
+		r.dropLists()
+		events = append(events, leaveEvent{s.Server, LeaveReplaced})
 	}
 	r.mu.Unlock()
-	r.tell(left)
+	r.notifyLeaving(events)
 }
 
-// MarkLeaving notes that a server itself says that it is leaving, and reports whether that is
-// news.
+// MarkLeaving records that a server itself has reported that it is leaving. It reports whether
+// the server was not known to be leaving before.
 func (r *Registry) MarkLeaving(leaving Server) bool {
 	r.mu.Lock()
-	var left []leave
+	var events []leaveEvent
 	if s := r.current(leaving); s != nil {
-		left = s.report(nil, NoticeReported)
+		events = s.markLeaving(nil, LeaveSelfReported)
 	}
 	r.mu.Unlock()
-	r.tell(left)
-	return len(left) > 0
+	r.notifyLeaving(events)
+	return len(events) > 0
 }
 
-// Query asks for a server.
+// Query says what kind of server a request needs.
 type Query struct {
 	Service string
-	// ExpectedTokens is the memory that the request is expected to need at its peak, PromptTokens
-	// the prompt tokens that a server has to read before it answers.
+	// ExpectedTokens is the memory in tokens that the request is expected to need at its peak.
+	// PromptTokens is the number of prompt tokens that a server has to read before it answers.
 	ExpectedTokens, PromptTokens int
-	// PromptSpeed is the prompt tokens a second that servers read.
+	// PromptSpeed is the rate at which servers read prompts, in tokens per second.
 	PromptSpeed float64
-	// MaxMemoryUse bounds the part of its memory that the server may have in use, the
-	// request included, MostPrompt the prompt tokens that it reads before; 0 is no
-	// bound.
+	// MaxMemoryUse bounds the fraction of its memory that the server may have in use,
+	// including this request. MaxPromptPending bounds the prompt tokens that the server reads
+	// before this request's. 0 is no bound.
 	MaxMemoryUse     float64
 	MaxPromptPending int
-	// MaxServiceMemoryUse bounds the part of the memory that all servers of the service have in
-	// use together; 0 is no bound.
+	// MaxServiceMemoryUse bounds the fraction of their memory that all servers of the
+	// service have in use together, 0 is no bound.
 	MaxServiceMemoryUse float64
-	// Tried are the servers that are not to be asked again.
+	// Tried are the ids of servers that must not be chosen again.
 	Tried []string
-	// PreferredDomain is the failure domain to prefer, the process's own if empty; Within drops
-	// all others.
+	// PreferredDomain is the failure domain to prefer, by default the process's own.
+	// SameDomainOnly excludes servers of all other failure domains.
 	PreferredDomain string
 	SameDomainOnly  bool
-	// Regions are where the request may run.
+	// Regions are the regions in which the request may run.
 	Regions routing.Regions
-	// SharedTime is what cold servers are shared out by.
+	// SharedTime is the current time on the clock that all processes share. It decides which
+	// process may send to a server with a bounded rate.
 	SharedTime pacing.SharedTime
-	// Turns bounds the choice to servers where it is this process's turn, nil for
-	// all.
+	// Turns limits the choice to servers that this process may use in the current period, nil
+	// for all.
 	Turns *flow.Turns
-	// Spill lets servers of other cells be taken where the own one has none with room.
-	// What is sent there by others is not known.
+	// Spill allows servers of other cells where the process's own cell has none with capacity.
+	// What processes of other cells send there is not known here.
 	Spill bool
-	// ForCopy asks for a server to copy a run's memory to; CopySpeed is the tokens of
-	// memory a second that a server's link takes.
+	// ForCopy asks for a server to copy a run's memory to. CopySpeed is the rate in tokens of
+	// memory per second that a server's link transfers.
 	ForCopy   bool
 	CopySpeed float64
-	// Draw is random.
+	// Draw is a random number that seeds the choice.
 	Draw uint64
 }
 
-// Acquire picks a server and counts the request as running there until the
-// lease is done. It returns nil if no server can take the request.
+// Acquire picks a server and counts the request as running there until the reservation is
+// released. It returns nil if no server can accept the request.
 func (r *Registry) Acquire(q Query, now time.Duration) *Reservation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	views, list := r.views(q, now)
-	near := q.PreferredDomain
-	if near == "" {
-		near = r.domain
+	preferred := q.PreferredDomain
+	if preferred == "" {
+		preferred = r.domain
 	}
-	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.ExpectedTokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.SameDomainOnly, Regions: q.Regions, CopySpeed: q.CopySpeed}
-	divided := cells.IsDivided(len(views), r.count)
+	req := &placement.Request{FailureDomain: preferred, Tried: q.Tried, Tokens: q.ExpectedTokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.SameDomainOnly, Regions: q.Regions, CopySpeed: q.CopySpeed}
+	divided := cells.IsDivided(len(views), r.cellCount)
 	if divided {
 		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
 	if q.MaxServiceMemoryUse > 0 && placement.MemoryUtilization(req, views) > q.MaxServiceMemoryUse {
 		return nil
 	}
-	draws := r.draws(len(views))
+	drawCount := r.drawCount(len(views))
 	if divided {
-		draws = max(2, draws/r.count)
+		drawCount = max(2, drawCount/r.cellCount)
 	}
 	if q.Turns != nil {
-		// Nobody else takes these servers now.
-		req.IsOwnTurn, req.Reserved, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
+		// No other process uses these servers in this period, so the best of all is chosen.
+		req.IsOwnTurn, req.Reserved, drawCount = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
 	}
 	policy := r.policy
 	if q.ForCopy {
-		policy = r.copies
+		policy = r.copyPolicy
 	}
-	i := policy.BestOf(draws, req, views, q.Draw)
+	i := policy.BestOf(drawCount, req, views, q.Draw)
 	if i < 0 && divided && q.Spill {
 		req.IsCandidate = nil
-		i = policy.BestOf(draws, req, views, q.Draw)
+		i = policy.BestOf(drawCount, req, views, q.Draw)
 	}
 	if i < 0 {
 		return nil
 	}
 	s := list[i]
-	if l := s.bound(r.traits(q.Service), now); l.Rate > 0 {
+	if l := s.pacingLimit(r.traits(q.Service), now); l.Rate > 0 {
 		s.pacer.RecordSent(r.share(len(list)), l, q.SharedTime, now)
 	}
-	return r.lease(s, q, len(list))
+	return r.reserve(s, q, len(list))
 }
 
-// SetCell says which of how many cells this process is in, and which others send to the same
-// servers. It reports whether the cell is news.
+// SetCell sets the cell of this process, the number of cells and the other processes that send
+// to the same servers. It reports whether the cell or the number of cells has changed.
 func (r *Registry) SetCell(p cells.Place) bool {
-	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
+	cellShare, globalShare := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := r.cell != p.OwnCell || r.count != p.CellCount
-	r.cell, r.count = p.OwnCell, p.CellCount
-	r.inCell, r.inAll = inCell, inAll
-	return news
+	changed := r.cell != p.OwnCell || r.cellCount != p.CellCount
+	r.cell, r.cellCount = p.OwnCell, p.CellCount
+	r.cellShare, r.globalShare = cellShare, globalShare
+	return changed
 }
 
-// drawsPerProcess is the servers that each of the processes which choose at the same
-// time draws, as a multiple of the servers there are for each.
+// drawsPerProcess is how many servers each process draws when all choose at the same time, as
+// a multiple of the number of servers per process.
 const drawsPerProcess = 5
 
-// draws is how many servers a choice is made among. Loads of other processes are
-// some 100 ms old; if all took the best of all they would meet at the same one.
-func (r *Registry) draws(servers int) int {
-	return max(2, (drawsPerProcess*servers+len(r.remote))/(len(r.remote)+1))
+// drawCount returns the number of randomly drawn servers among which a choice is made. Loads
+// reported by other processes are about 100 ms old. If every process chose the best of all
+// servers, all would choose the same one.
+func (r *Registry) drawCount(servers int) int {
+	return max(2, (drawsPerProcess*servers+len(r.remoteLoads))/(len(r.remoteLoads)+1))
 }
 
-// views describes the servers of a service to a policy. The result is valid until
+// views describes the servers of a service for a placement policy. The result is valid until
 // mu is released.
 func (r *Registry) views(q Query, now time.Duration) ([]placement.Server, []*server) {
 	list := r.listed(q.Service)
@@ -387,27 +397,28 @@
 	r.scratch = r.scratch[:0]
 	for _, s := range list {
 		load := r.load(s)
-		// A copy of a run leads to requests that cannot wait for their turn.
-		paced := q.ForCopy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.SharedTime, now)
+		// A run that is resumed from its copy can't wait for the rate limit, so rate-limited
+		// servers get no copies.
+		paced := q.ForCopy && s.rateLimit.limited || !r.canSend(s, s.pacingLimit(traits, now), len(list), q.SharedTime, now)
 		r.scratch = append(r.scratch, placement.Server{
-			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.regions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
+			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.domainRegions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
 			Running: load.Running, Slots: s.Slots,
 			MemoryForecast: uint64(max(0, load.ExpectedTokens)), PromptPending: max(0, load.PromptTokens), CopyPending: max(0, load.CopyTokens), MemoryTotal: uint64(traits.MemoryTokens),
-			FailureRate: s.failureRate(now), Avoid: now < s.avoidUntil || s.suspectUntil > 0 || r.losing(s, now) || r.restsElsewhere(s), BackingOff: now < s.restUntil, Cold: now < s.coldUntil, Paced: paced, Down: r.ended(s, now),
+			FailureRate: s.failureRate(now), Avoid: now < s.avoidUntil || s.missingUntil > 0 || r.avoidForLosses(s, now) || r.backsOffElsewhere(s), BackingOff: now < s.backoffUntil, Cold: now < s.coldUntil, Paced: paced, Down: r.isDown(s, now),
 		})
 	}
 	return r.scratch, list
 }
 
-// listed returns the servers of a service in the order of their ids, so that equal
-// draws give equal choices.
+// listed returns the usable servers of a service, sorted by id so that equal draws give equal
+// choices.
 func (r *Registry) listed(service string) []*server {
 	list, ok := r.lists[service]
 	if ok {
 		return list
 	}
 	for _, s := range r.servers {
-		if s.Service == service && !s.gone && !s.withheld {
+		if s.Service == service && !s.gone && !s.excluded {
 			list = append(list, s)
 		}
 	}
@@ -416,23 +427,23 @@
 	return list
 }
 
-// unlist drops the lists; the directory has changed. mu is held.
-func (r *Registry) unlist() { clear(r.lists) }
+// dropLists drops the cached lists after a change of the directory. mu must be held.
+func (r *Registry) dropLists() { clear(r.lists) }
 
-// CountReady counts the servers of a service that take requests.
+// CountReady counts the servers of a service that accept requests.
 func (r *Registry) CountReady(service string) int {
 	ready, _ := r.CountReadyWithin(service, nil)
 	return ready
 }
 
-// CountReadyWithin counts the servers of a service that take requests which must stay in some
-// regions, and those that would if they were not cordoned.
-func (r *Registry) CountReadyWithin(service string, within routing.Regions) (ready, cordoned int) {
+// CountReadyWithin counts the servers of a service that accept requests which must stay in some
+// regions, and those that would accept them if they were not cordoned.
+func (r *Registry) CountReadyWithin(service string, regions routing.Regions) (ready, cordoned int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
 		switch {
-		case s.Service != service || s.gone || s.withheld || s.Leaving || !within.Allows(r.regions[s.FailureDomain]):
+		case s.Service != service || s.gone || s.excluded || s.Leaving || !regions.Allows(r.domainRegions[s.FailureDomain]):
 		case r.cordoned[s.FailureDomain]:
 			cordoned++
 		default:
@@ -442,7 +453,7 @@
 	return ready, cordoned
 }
 
-// State tells whether a server is listed and whether it is leaving.
+// State reports whether a server is listed and whether it is leaving.
 func (r *Registry) State(of Server) (listed, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -453,7 +464,7 @@
 	return !s.gone, s.Leaving || s.gone
 }
 
-// HasRestarted reports whether a later life of the server is known.
+// HasRestarted reports whether a later incarnation of the server is known.
 func (r *Registry) HasRestarted(s Server) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -8,48 +8,48 @@
 	"pgregory.net/rapid"
 )
 
-func bornAt(id string, born int64) Server {
+func startedAt(id string, startTime int64) Server {
 	s := entry(id)
-	s.StartTime = born
+	s.StartTime = startTime
 	return s
 }
 
-// A server crashes and starts again under its id. Callers must be sent to it at once:
-// what was believed of its earlier life (leaving, failures, refusals, lost requests, the
-// load of all processes) says nothing of the new one, and would keep them away.
-func TestNewLifeIsBelievedAfresh(t *testing.T) {
-	r, notices := newRegistry()
-	r.ReplaceAll([]Server{bornAt("a", 100)}, 0, 0)
+// A server crashes and restarts under its id. It must get requests at once: what was known of its
+// earlier incarnation (leaving, failures, refusals, lost requests, the load of all processes) says
+// nothing of the new one, and would keep requests away.
+func TestNewIncarnationStartsFresh(t *testing.T) {
+	r, calls := newRegistry()
+	r.ReplaceAll([]Server{startedAt("a", 100)}, 0, 0)
 	for range 3 {
 		r.Acquire(Query{Service: svc}, 0).Release(ResultLost, 0)
 	}
-	held := r.Acquire(Query{Service: svc, ExpectedTokens: 20000, PromptTokens: 9000}, 0)
+	earlier := r.Acquire(Query{Service: svc, ExpectedTokens: 20000, PromptTokens: 9000}, 0)
 	r.SetRemoteLoads("vm-2", map[string]Load{"a": {Running: 5, ExpectedTokens: 20000, PromptTokens: 9000, StartTime: 100}})
 	r.SetRemoteStatuses("vm-2", map[string]ServerStatus{"a": {ConsecutiveLosses: 2, StartTime: 100}}, 0)
-	r.MarkLeaving(bornAt("a", 100))
+	r.MarkLeaving(startedAt("a", 100))
 	require.Zero(t, r.CountReady(svc))
 
-	r.Put(bornAt("a", 200), 0)
-	require.Equal(t, []told{{"a", NoticeReported}, {"a", LeaveRestarted}}, *notices)
+	r.Put(startedAt("a", 200), 0)
+	require.Equal(t, []leaveCall{{"a", LeaveSelfReported}, {"a", LeaveRestarted}}, *calls)
 	require.Equal(t, 1, r.CountReady(svc))
-	lease := r.Acquire(Query{Service: svc, ExpectedTokens: 9000, PromptTokens: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
-	require.NotNil(t, lease, "nothing of the earlier load is counted")
-	require.Equal(t, Load{}, lease.Load)
+	reservation := r.Acquire(Query{Service: svc, ExpectedTokens: 9000, PromptTokens: 3000, MaxMemoryUse: 0.9, MaxPromptPending: 100}, 0)
+	require.NotNil(t, reservation, "nothing of the earlier load is counted")
+	require.Equal(t, Load{}, reservation.Load)
 	require.Empty(t, r.Statuses(0))
-	held.Release(ResultLost, 0)
-	require.Empty(t, r.Statuses(0), "a request of the earlier life that ends late says nothing of this one")
+	earlier.Release(ResultLost, 0)
+	require.Empty(t, r.Statuses(0), "a request of the earlier incarnation that ends late says nothing of this one")
 	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 9000, PromptTokens: 3000, StartTime: 200}}, r.Loads())
 }
 
-// Messages of a server's earlier life arrive late: an entry that was written before its
-// crash, its report, a refusal at its old address. Each would take the server that now
-// runs out of use, or bring back an address that is gone.
-func TestLateMessagesOfAnEarlierLifeChangeNothing(t *testing.T) {
-	r, notices := newRegistry()
-	old, now := bornAt("a", 100), bornAt("a", 200)
-	now.Address = "elsewhere:1"
+// Messages of a server's earlier incarnation arrive late: an entry that was written before its
+// crash, its report, a refusal at its old address. Each could take the running server out of use,
+// or bring back an address that is gone.
+func TestLateMessagesOfAnEarlierIncarnationChangeNothing(t *testing.T) {
+	r, calls := newRegistry()
+	old, current := startedAt("a", 100), startedAt("a", 200)
+	current.Address = "elsewhere:1"
 	r.ReplaceAll([]Server{old}, 0, 0)
-	r.Put(now, 0)
+	r.Put(current, 0)
 	late := old
 	late.Leaving = true
 	r.Put(late, 0)
@@ -57,58 +57,58 @@
 	r.MarkLeaving(old)
 	r.MarkReplaced(old)
 	require.Nil(t, r.ReserveAt(old, 100))
-	require.Equal(t, []told{{"a", LeaveRestarted}}, *notices)
+	require.Equal(t, []leaveCall{{"a", LeaveRestarted}}, *calls)
 	require.True(t, r.HasRestarted(old))
-	require.False(t, r.HasRestarted(now))
+	require.False(t, r.HasRestarted(current))
 	require.Equal(t, "elsewhere:1", r.Acquire(Query{Service: svc}, 0).Server.Address)
 }
 
-// An entry vanishes while requests run at its server, as behind a cut, and is written
-// again by the same life. The server took no requests any more until the directory was
-// read anew; it must take them at once. One that has left stays away.
-func TestServerWhoseEntryIsBackTakesRequests(t *testing.T) {
+// An entry vanishes while requests run at its server, as in a network partition, and is written
+// again by the same incarnation. The server must get requests again at once, and not only after
+// the directory is read anew. A server that has left stays away.
+func TestServerWhoseEntryIsBackGetsRequests(t *testing.T) {
 	r, _ := newRegistry()
 	r.ReplaceAll([]Server{entry("a")}, 0, 0)
-	held := r.Acquire(Query{Service: svc}, 0)
+	running := r.Acquire(Query{Service: svc}, 0)
 	r.Remove("a", 0, 0)
 	require.Zero(t, r.CountReady(svc))
 	r.Put(entry("a"), 0)
 	require.Equal(t, 1, r.CountReady(svc))
-	held.Release(ResultOK, 0)
+	running.Release(ResultOK, 0)
 	require.Equal(t, "a", r.pick(t, 0))
 
-	held = r.Acquire(Query{Service: svc}, 0)
+	running = r.Acquire(Query{Service: svc}, 0)
 	r.MarkReplaced(entry("a"))
 	r.Put(entry("a"), 0)
 	require.Zero(t, r.CountReady(svc), "another server is at its address")
-	held.Release(ResultOK, 0)
+	running.Release(ResultOK, 0)
 }
 
-// Another writer spoils the entry of a server in use: it gets no more requests until a
-// readable one comes, and its runs are left where they are.
-func TestUnreadableEntryWithholdsItsServer(t *testing.T) {
-	r, notices := newRegistry()
+// The entry of a server in use is overwritten by something unreadable. The server gets no more
+// requests until a readable entry arrives, and its runs stay where they are.
+func TestUnreadableEntryExcludesItsServer(t *testing.T) {
+	r, calls := newRegistry()
 	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
-	held := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-	defer held.Release(ResultOK, 0)
+	running := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
+	defer running.Release(ResultOK, 0)
 	r.Put(Server{ID: "a", Unreadable: true}, 0)
 	r.Put(Server{ID: "never heard of", Unreadable: true}, 0)
 	require.Equal(t, 1, r.CountReady(svc))
 	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0))
 	r.ReplaceAll([]Server{{ID: "a", Unreadable: true}, entry("b")}, 0, 0)
-	require.Empty(t, *notices)
+	require.Empty(t, *calls)
 	r.Put(entry("a"), 0)
 	require.Equal(t, 2, r.CountReady(svc))
 }
 
-// Whatever order entries of several lives arrive in, the newest life heard of is the
-// one in use, and unless it leaves it takes requests.
-func TestNewestLifeWins(t *testing.T) {
+// For any order of entries of several incarnations, the newest known incarnation is in use, and
+// it gets requests unless it is leaving.
+func TestNewestIncarnationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New("zone-1", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 30000} }, func(Server, LeaveReason) {})
 		newest, leaves := int64(0), false
 		for range rapid.IntRange(1, 12).Draw(t, "entries") {
-			s := bornAt("a", rapid.Int64Range(1, 5).Draw(t, "born"))
+			s := startedAt("a", rapid.Int64Range(1, 5).Draw(t, "born"))
 			s.Leaving = rapid.Bool().Draw(t, "leaving")
 			if s.StartTime > newest {
 				newest, leaves = s.StartTime, false
@@ -116,12 +116,12 @@
 			leaves = leaves || s.StartTime == newest && s.Leaving
 			r.Put(s, time.Second)
 		}
-		lease := r.Acquire(Query{Service: svc}, time.Second)
+		reservation := r.Acquire(Query{Service: svc}, time.Second)
 		if leaves {
-			require.Nil(t, lease)
+			require.Nil(t, reservation)
 			return
 		}
-		require.NotNil(t, lease)
-		require.Equal(t, newest, lease.Server.StartTime)
+		require.NotNil(t, reservation)
+		require.Equal(t, newest, reservation.Server.StartTime)
 	})
 }
--- a/backends/restore.go
+++ b/backends/restore.go
@@ -5,56 +5,57 @@
 	"time"
 )
 
-// endedFor is how long a server that has gone is not believed to be back by an old copy of
-// the directory. The platform writes what has happened since within two seconds, and copies
-// are some seconds old.
-const endedFor = 15 * time.Second
+// departureMemory is how long a server that has gone is remembered, so that an old copy of the
+// directory doesn't bring it back. Copies are some seconds old, and the platform writes what has
+// happened since then within two seconds.
+const departureMemory = 15 * time.Second
 
-// ending is a server that has gone.
-type ending struct {
+// departure is a server that has gone.
+type departure struct {
 	Server
 	at time.Duration
 }
 
-// noteEnding remembers a server that has gone; mu is held.
-func (r *Registry) noteEnding(s *server, now time.Duration) {
-	r.endings[s.ID] = ending{s.Server, now}
+// recordDeparture remembers a server that has gone. mu must be held.
+func (r *Registry) recordDeparture(s *server, now time.Duration) {
+	r.departures[s.ID] = departure{s.Server, now}
 }
 
-// Restore replaces the directory by an old copy of it. outage is how long it was silent
-// before.
+// Restore replaces the directory by an old copy of it. outage is how long the directory was
+// unavailable before.
 //
-// Servers that have gone since the copy was made are in it, and would get requests; they are
-// withheld until their entry is written again, or for as long as they are remembered. Those
-// that have joined since are not in it, and stay for a while, as after an outage.
+// The copy contains servers that have gone since it was made. They would get requests, so they
+// are excluded until their entry is written again, or until departureMemory has passed. The copy
+// lacks servers that have joined since. They stay in use for a grace period, as after an outage.
 func (r *Registry) Restore(list []Server, outage, now time.Duration) {
 	r.mu.Lock()
-	left := r.reset(list, outage, now)
+	events := r.replaceAll(list, outage, now)
 	for _, s := range list {
-		r.withholdEnded(s, now)
+		r.excludeDeparted(s, now)
 	}
 	r.mu.Unlock()
-	r.tell(left)
+	r.notifyLeaving(events)
 }
 
-// withholdEnded withholds a server that has gone since the copy was made; mu is held.
-func (r *Registry) withholdEnded(s Server, now time.Duration) {
-	e, ended := r.endings[s.ID]
+// excludeDeparted excludes a server if it has gone since the copy was made. mu must be held.
+func (r *Registry) excludeDeparted(s Server, now time.Duration) {
+	d, departed := r.departures[s.ID]
 	known := r.servers[s.ID]
-	if !ended || known == nil || !known.SameIncarnation(e.Server) || now-e.at >= endedFor {
+	if !departed || known == nil || !known.SameIncarnation(d.Server) || now-d.at >= departureMemory {
 		return
 	}
-	known.withheld, known.withheldUntil = true, e.at+endedFor
-	r.unlist()
+	known.excluded, known.excludedUntil = true, d.at+departureMemory
+	r.dropLists()
 }
 
-// expireEndings forgets servers that have gone long ago; mu is held.
-func (r *Registry) expireEndings(now time.Duration) {
-	maps.DeleteFunc(r.endings, func(_ string, e ending) bool { return now-e.at >= endedFor })
+// expireDepartures forgets old departures and ends the exclusion of servers because of them. mu
+// must be held.
+func (r *Registry) expireDepartures(now time.Duration) {
+	maps.DeleteFunc(r.departures, func(_ string, d departure) bool { return now-d.at >= departureMemory })
 	for _, s := range r.servers {
-		if s.withheldUntil > 0 && now >= s.withheldUntil {
-			s.withheld, s.withheldUntil = false, 0
-			r.unlist()
+		if s.excludedUntil > 0 && now >= s.excludedUntil {
+			s.excluded, s.excludedUntil = false, 0
+			r.dropLists()
 		}
 	}
 }
--- a/backends/server.go
+++ b/backends/server.go
@@ -9,148 +9,157 @@
 
 // Server is a backend server as the directory lists it.
 type Server struct {
-	// ID names the server. One that starts again may keep it.
+	// ID identifies the server. A server that restarts may keep its id.
 	ID string
-	// StartTime is when this life of the server began, in Unix milliseconds of its own
-	// clock, 0 if it does not say. A later one under the same id knows nothing of what
-	// the server held before.
+	// StartTime is when this incarnation of the server started, in Unix milliseconds of the
+	// server's own clock, 0 if unknown. A later incarnation with the same id has none of the
+	// earlier one's state.
 	StartTime     int64
 	Service       string
 	Address       string
 	FailureDomain string
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the server runs at once.
 	Slots int
-	// Leaving is set once the server has said that it will end.
+	// Leaving is set once the server has announced that it will end.
 	Leaving bool
 	// ColdFor is how much longer the server is slow after its start.
 	ColdFor time.Duration
-	// Unreadable marks an entry that names no server to use. Only its ID is known.
+	// Unreadable marks an entry that can't be decoded. Only its ID is known, and the server must
+	// not be used.
 	Unreadable bool
 }
 
-// SameIncarnation reports whether both describe one start of one server, as far as they say.
+// SameIncarnation reports whether both describe the same incarnation of a server. An unknown
+// StartTime matches any other.
 func (s Server) SameIncarnation(o Server) bool {
 	return s.ID == o.ID && (s.StartTime == o.StartTime || s.StartTime == 0 || o.StartTime == 0)
 }
 
+// server is a backend server with what this process knows of it. It is guarded by Registry.mu.
 type server struct {
 	Server
-	// hash places the server in a cell.
+	// hash determines the server's cell.
 	hash uint64
-	// gone is set when the entry has vanished or another start of the server
-	// answers at its address.
+	// gone is set when the entry has vanished or another incarnation of the server answers at
+	// its address.
 	gone bool
-	// reported is set when the server itself says that it leaves, in a report or an answer:
-	// others are told, as the directory may not tell them.
-	reported bool
-	// replaced is set when another server has answered at its address; its entry does
-	// not bring it back.
+	// selfReported is set when the server itself has reported that it is leaving, in a report or
+	// a response. This is forwarded to peers, as the directory may not tell them.
+	selfReported bool
+	// replaced is set when another server has answered at its address. Its entry then doesn't
+	// bring it back.
 	replaced bool
-	// withheld is set while the entry cannot be read.
-	withheld bool
-	// withheldUntil is when a server that an old copy of the directory has brought back is
-	// believed, 0 for none.
-	withheldUntil time.Duration
-	// suspectUntil is when a vanished entry counts as gone.
-	suspectUntil time.Duration
-	// coldUntil is when the server is warm, pacer what was sent to it while it took a bounded
-	// rate.
-	coldUntil  time.Duration
-	pacer      pacing.Pacer
+	// excluded is set while the server must not be used because its entry can't be read or comes
+	// from an old copy of the directory.
+	excluded bool
+	// excludedUntil is when a server that an old copy of the directory has brought back is used
+	// again, 0 if there is no such time.
+	excludedUntil time.Duration
+	// missingUntil is when a missing entry counts as gone, 0 if the entry is not missing.
+	missingUntil time.Duration
+	// coldUntil is when the server is no longer cold. pacer records what was sent to it while it
+	// accepted only a bounded rate.
+	coldUntil time.Duration
+	pacer     pacing.Pacer
+	// avoidUntil is until when the server is ranked last because it was full or unreachable.
 	avoidUntil time.Duration
-	own        Load
+	ownLoad    Load
+	// failures is the failure rate as of failuresAt, an exponentially weighted average.
 	failures   float64
-	judged     time.Duration
-	// lost counts the requests lost in a row, the last at lostAt.
-	lost   int
-	lostAt time.Duration
-	// left counts how often the server was left for its losses, leftUntil is when it is
-	// tried again.
-	left      int
-	leftUntil time.Duration
-	// limit is what the server says that it takes, unreadableAdvice is set once it has said
-	// something of itself that means nothing.
-	limit            limit
-	unreadableAdvice bool
-	// restUntil is until when the server has asked this process for rest.
-	restUntil time.Duration
-	// endedUntil is until when the server is taken not to listen.
-	endedUntil time.Duration
+	failuresAt time.Duration
+	// losses counts the consecutive requests that were lost, the last one at lastLossAt.
+	losses     int
+	lastLossAt time.Duration
+	// avoidances counts how often in succession the server was avoided for its losses.
+	// lossAvoidUntil is when it is tried again.
+	avoidances     int
+	lossAvoidUntil time.Duration
+	// rateLimit is the rate limit that the server sends. invalidSeen is set once the server has
+	// sent an invalid header.
+	rateLimit   rateLimit
+	invalidSeen bool
+	// backoffUntil is until when the server has asked this process to send nothing.
+	backoffUntil time.Duration
+	// downUntil is until when the server is taken to refuse connections.
+	downUntil time.Duration
 }
 
-// lose notes a request without an answer.
-func (s *server) lose(now time.Duration) {
-	s.lost, s.lostAt = s.lostInARow(now)+1, now
-	s.judge(1, lossGain, now)
+// recordLoss records a request that got no answer.
+func (s *server) recordLoss(now time.Duration) {
+	s.losses, s.lastLossAt = s.consecutiveLosses(now)+1, now
+	s.recordAnswer(1, lossGain, now)
 }
 
-func (s *server) lostInARow(now time.Duration) int {
-	if now-s.lostAt >= lossesFor {
+// consecutiveLosses returns the number of consecutive losses, 0 if the last one is too long ago.
+func (s *server) consecutiveLosses(now time.Duration) int {
+	if now-s.lastLossAt >= lossAvoidTime {
 		return 0
 	}
-	return s.lost
+	return s.losses
 }
 
-// leave has the server left alone for a while, for longer each time that it is soon again.
-func (s *server) leave(now time.Duration) {
-	if s.leftUntil == 0 || now-s.leftUntil > leftAgain {
-		s.left = 0
+// avoid has the server avoided for some time, which doubles if the last time was recent.
+func (s *server) avoid(now time.Duration) {
+	if s.lossAvoidUntil == 0 || now-s.lossAvoidUntil > relapseTime {
+		s.avoidances = 0
 	}
-	s.leftUntil = now + lossesFor<<min(s.left, leftDoublings)
-	s.left++
+	s.lossAvoidUntil = now + lossAvoidTime<<min(s.avoidances, maxAvoidDoublings)
+	s.avoidances++
 }
 
-// end notes that the server listens no more. Attempts that were made before are no news.
-func (s *server) end(now time.Duration) {
-	if now < s.endedUntil {
+// markDown records that the server refuses connections. Attempts that began before it was known
+// to be down change nothing.
+func (s *server) markDown(now time.Duration) {
+	if now < s.downUntil {
 		return
 	}
-	s.leave(now)
-	s.endedUntil = s.leftUntil
+	s.avoid(now)
+	s.downUntil = s.lossAvoidUntil
 }
 
-// report notes that the server is leaving by its own word.
-func (s *server) report(left []leave, n LeaveReason) []leave {
+// markLeaving records that the server itself has reported that it is leaving.
+func (s *server) markLeaving(events []leaveEvent, reason LeaveReason) []leaveEvent {
 	if s.gone {
-		return left
+		return events
 	}
-	s.reported = true
+	s.selfReported = true
 	if s.Leaving {
-		return left
+		return events
 	}
 	s.Leaving = true
-	return append(left, leave{s.Server, n})
+	return append(events, leaveEvent{s.Server, reason})
 }
 
-// failureRate is the share of failures as it stood, faded by its age.
+// failureRate returns the failure rate, decayed by its age.
 func (s *server) failureRate(now time.Duration) float64 {
 	if s.failures == 0 {
 		return 0
 	}
-	return s.failures * math.Exp2(-float64(now-s.judged)/float64(healthHalfLife))
+	return s.failures * math.Exp2(-float64(now-s.failuresAt)/float64(failureHalfLife))
 }
 
-// judge notes one more answer, with its weight.
-func (s *server) judge(failed, gain float64, now time.Duration) {
+// recordAnswer adds an answer to the failure rate. failed is 1 for a failure and 0 otherwise,
+// gain is the weight of the answer.
+func (s *server) recordAnswer(failed, gain float64, now time.Duration) {
 	s.failures = s.failureRate(now)*(1-gain) + failed*gain
-	s.judged = now
+	s.failuresAt = now
 }
 
-// update takes an entry of the same life. A server whose entry had vanished and is
-// back takes requests again; one that has said that it leaves does not.
-func (o *server) update(left []leave, s Server, now time.Duration) []leave {
-	news := s.Leaving && !o.Leaving && !o.gone
+// update applies an entry of the same incarnation. A server whose entry had vanished and is back
+// accepts requests again, unless it has reported that it is leaving.
+func (o *server) update(events []leaveEvent, s Server, now time.Duration) []leaveEvent {
+	beginsToLeave := s.Leaving && !o.Leaving && !o.gone
 	s.Leaving = s.Leaving || o.Leaving
 	if s.StartTime == 0 {
 		s.StartTime = o.StartTime
 	}
 	o.Server = s
 	o.gone = o.gone && (o.replaced || s.Leaving)
-	o.withheld, o.withheldUntil = false, 0
-	o.suspectUntil = 0
+	o.excluded, o.excludedUntil = false, 0
+	o.missingUntil = 0
 	o.coldUntil = now + s.ColdFor
-	if news {
-		left = append(left, leave{s, NoticeDraining})
+	if beginsToLeave {
+		events = append(events, leaveEvent{s, LeaveDraining})
 	}
-	return left
+	return events
 }
