--- a/routing/change.go
+++ b/routing/change.go
@@ -5,40 +5,41 @@
 	"strings"
 )
 
-// RouteID names a route within a version.
+// RouteID identifies a route within a version.
 type RouteID struct{ Host, Prefix string }
 
-// Change leads from one version to another.
+// Change is the difference between two versions of the configuration.
 type Change struct {
-	// Base is the version that it begins at; 0 is nothing, and the change then holds
-	// the whole version.
+	// Base is the version that the change starts from, Version the one that it results in. If
+	// Base is 0, the change starts from an empty configuration and contains the whole version.
 	Base, Version uint64
-	// Limits, Services and Keyed are those of the later version, whole: they are few.
+	// Limits, Services and KeysRequired are those of Version, in full since they are small.
 	Limits       Limits
 	Services     []*Service
 	KeysRequired bool
-	// DropRoutes goes before Set.
+	// DropRoutes is applied before SetRoutes.
 	DropRoutes []RouteID
 	SetRoutes  []*Route
-	// DropTeams goes before SetTeams.
+	// DropTeams is applied before SetTeams.
 	DropTeams []string
 	SetTeams  []*Team
 }
 
-// Size counts the rows that a change touches.
+// Size returns the number of rows that the change affects.
 func (ch *Change) Size() int {
 	return len(ch.DropRoutes) + len(ch.SetRoutes) + len(ch.DropTeams) + len(ch.SetTeams)
 }
 
-// comparedAtOnce is how many routes are compared without a pause: 1 ms of a whole core.
-const comparedAtOnce = 1024
+// routesPerPause is how many routes are compared between two calls of pause. That takes 1 ms of
+// a whole core.
+const routesPerPause = 1024
 
-// diffRoutes notes what leads from c's routes to a list. Of two routes with the same
-// host and prefix the first one holds.
-func (ch *Change) diffRoutes(c *Config, routes []*Route, pause func()) {
+// diffRoutes adds the changes that lead from the routes of base to a list of routes. If several
+// routes of the list have the same host and prefix, the first one is used.
+func (ch *Change) diffRoutes(base *Config, routes []*Route, pause func()) {
 	listed := make(map[RouteID]bool, len(routes))
 	for i, r := range routes {
-		if i%comparedAtOnce == comparedAtOnce-1 {
+		if i%routesPerPause == routesPerPause-1 {
 			pause()
 		}
 		id := RouteID{strings.ToLower(r.Host), r.Prefix}
@@ -46,16 +47,16 @@
 			continue
 		}
 		listed[id] = true
-		if old, ok := c.routes.Get(routeKey(r.Host, r.Prefix)); !ok || !old.equal(r) {
+		if old, ok := base.routes.Get(routeKey(r.Host, r.Prefix)); !ok || !old.equal(r) {
 			ch.SetRoutes = append(ch.SetRoutes, r)
 		}
 	}
-	for it, i := c.routes.Root().Iterator(), 0; ; i++ {
+	for it, i := base.routes.Root().Iterator(), 0; ; i++ {
 		_, old, ok := it.Next()
 		if !ok {
 			return
 		}
-		if i%comparedAtOnce == comparedAtOnce-1 {
+		if i%routesPerPause == routesPerPause-1 {
 			pause()
 		}
 		if id := (RouteID{strings.ToLower(old.Host), old.Prefix}); !listed[id] {
@@ -64,15 +65,16 @@
 	}
 }
 
-func (ch *Change) diffTeams(c *Config, teams []*Team) {
+// diffTeams adds the changes that lead from the teams of base to a list of teams.
+func (ch *Change) diffTeams(base *Config, teams []*Team) {
 	listed := make(map[string]bool, len(teams))
 	for _, t := range teams {
 		listed[t.Name] = true
-		if old, ok := c.teams.Get([]byte(t.Name)); !ok || !old.equal(t) {
+		if old, ok := base.teams.Get([]byte(t.Name)); !ok || !old.equal(t) {
 			ch.SetTeams = append(ch.SetTeams, t)
 		}
 	}
-	for it := c.teams.Root().Iterator(); ; {
+	for it := base.teams.Root().Iterator(); ; {
 		_, old, ok := it.Next()
 		if !ok {
 			return
@@ -83,16 +85,16 @@
 	}
 }
 
-// taken are the keys in force at c that the change takes away.
-func (ch *Change) taken(c *Config) (keys []string) {
+// revokedKeys returns the keys that are valid in base and that the change removes.
+func (ch *Change) revokedKeys(base *Config) (keys []string) {
 	kept := make(map[string]bool)
 	for _, t := range ch.SetTeams {
 		for _, key := range t.Keys {
 			kept[key] = true
 		}
 	}
-	take := func(name string) {
-		old, ok := c.teams.Get([]byte(name))
+	addRevoked := func(name string) {
+		old, ok := base.teams.Get([]byte(name))
 		if !ok {
 			return
 		}
@@ -104,49 +106,50 @@
 	}
 	if ch.Base != 0 {
 		for _, name := range ch.DropTeams {
-			take(name)
+			addRevoked(name)
 		}
 		for _, t := range ch.SetTeams {
-			take(t.Name)
+			addRevoked(t.Name)
 		}
 		return keys
 	}
-	for it := c.teams.Root().Iterator(); ; {
+	for it := base.teams.Root().Iterator(); ; {
 		_, old, ok := it.Next()
 		if !ok {
 			return keys
 		}
-		take(old.Name)
+		addRevoked(old.Name)
 	}
 }
 
-// Join is the change that does what two do, one after the other.
-func Join(first, second *Change) *Change {
+// Compose returns a single change that has the effect of first followed by second.
+func Compose(first, second *Change) *Change {
 	out := *second
 	out.Base = first.Base
-	out.DropRoutes, out.SetRoutes = joined(first.DropRoutes, second.DropRoutes, first.SetRoutes, second.SetRoutes, func(r *Route) RouteID {
+	out.DropRoutes, out.SetRoutes = composeRows(first.DropRoutes, second.DropRoutes, first.SetRoutes, second.SetRoutes, func(r *Route) RouteID {
 		return RouteID{strings.ToLower(r.Host), r.Prefix}
 	})
-	out.DropTeams, out.SetTeams = joined(first.DropTeams, second.DropTeams, first.SetTeams, second.SetTeams, func(t *Team) string { return t.Name })
+	out.DropTeams, out.SetTeams = composeRows(first.DropTeams, second.DropTeams, first.SetTeams, second.SetTeams, func(t *Team) string { return t.Name })
 	return &out
 }
 
-// joined keeps of rows the last that was said.
-func joined[K comparable, R any](drop1, drop2 []K, set1, set2 []R, key func(R) K) (drop []K, set []R) {
-	later := make(map[K]bool, len(drop2)+len(set2))
+// composeRows merges the rows of two successive changes. For a row that both affect, the second
+// change wins.
+func composeRows[K comparable, R any](drop1, drop2 []K, set1, set2 []R, key func(R) K) (drop []K, set []R) {
+	inSecond := make(map[K]bool, len(drop2)+len(set2))
 	for _, k := range drop2 {
-		later[k] = true
+		inSecond[k] = true
 	}
 	for _, r := range set2 {
-		later[key(r)] = true
+		inSecond[key(r)] = true
 	}
 	for _, k := range drop1 {
-		if !later[k] {
+		if !inSecond[k] {
 			drop = append(drop, k)
 		}
 	}
 	for _, r := range set1 {
-		if !later[key(r)] {
+		if !inSecond[key(r)] {
 			set = append(set, r)
 		}
 	}
--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// atOnce makes no pauses.
-func atOnce() {}
+// noPause is a pause function that does nothing.
+func noPause() {}
 
-// drawContent draws a small version, so that versions share routes, teams and keys.
+// drawContent draws a random version that is small, so that versions share routes, teams and keys.
 func drawContent(t *rapid.T, version uint64) Content {
 	c := Content{Version: version, KeysRequired: true, Services: []*Service{{Name: "s"}}}
 	for i := range 6 {
@@ -36,7 +36,7 @@
 			c.Teams = append(c.Teams, team)
 		}
 	}
-	// A key has one holder.
+	// Only one team holds a key.
 	held := make(map[string]bool)
 	for _, team := range c.Teams {
 		var own []string
@@ -50,10 +50,10 @@
 	return c
 }
 
-// requireSame asks two versions for all that drawContent may draw.
+// requireSame compares two versions for everything that drawContent may draw.
 func requireSame(t require.TestingT, want, got *Config) {
 	require.Equal(t, want.Version, got.Version)
-	require.Equal(t, want.Routes(), got.Routes())
+	require.Equal(t, want.RouteCount(), got.RouteCount())
 	for i := range 6 {
 		host, path := fmt.Sprint("h", i%2), fmt.Sprintf("/%d/x", i)
 		require.Equal(t, want.Match(host, path), got.Match(host, path))
@@ -64,19 +64,19 @@
 	}
 }
 
-// A process follows versions by changes, misses some, and is brought up to date by a
-// joined change or by the whole. In every case it must have exactly what the operator
-// wrote: a route that is missing refuses callers, a key that stayed is still served.
+// A process follows versions by changes, misses some, and catches up by a composed change or by
+// a whole version. In every case it must have exactly what the operator wrote: a missing route
+// would refuse callers, and a key that was not removed would still be accepted.
 func TestChangesLeadToWhatWasWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reader, follower := NewReplica(), NewReplica()
+		ahead, follower := NewReplica(), NewReplica()
 		for v := range rapid.IntRange(1, 12).Draw(t, "versions") {
 			content := drawContent(t, uint64(v+1))
-			require.True(t, reader.Put(content, atOnce))
+			require.True(t, ahead.Put(content, noPause))
 			if rapid.IntRange(0, 2).Draw(t, "missed") == 0 {
 				continue
 			}
-			ch := reader.ChangeSince(follower.Version())
+			ch := ahead.ChangeSince(follower.Version())
 			head := *ch
 			head.DropRoutes, head.SetRoutes = nil, nil
 			u, err := follower.Begin(&head)
@@ -89,17 +89,17 @@
 			require.True(t, ok)
 			got, _ := follower.Current()
 			requireSame(t, New(content), got)
-			require.Nil(t, reader.ChangeSince(follower.Version()))
+			require.Nil(t, ahead.ChangeSince(follower.Version()))
 		}
 	})
 }
 
-// A change of another version, or an older one that was delayed, changes nothing.
-func TestChangeOfAnotherVersionIsRefused(t *testing.T) {
+// A change that starts from another version, or a delayed older one, changes nothing.
+func TestChangeFromAnotherVersionIsRejected(t *testing.T) {
 	r := NewReplica()
-	require.True(t, r.Put(Content{Version: 4, Routes: []*Route{{Host: "h", Prefix: "/a/"}}}, atOnce))
+	require.True(t, r.Put(Content{Version: 4, Routes: []*Route{{Host: "h", Prefix: "/a/"}}}, noPause))
 	_, err := r.Begin(&Change{Base: 3, Version: 5})
-	require.ErrorIs(t, err, ErrBase)
+	require.ErrorIs(t, err, ErrBaseMismatch)
 	late, err := r.Begin(&Change{Base: 4, Version: 5})
 	require.NoError(t, err)
 	old, err := r.Begin(&Change{Base: 0, Version: 4})
@@ -107,8 +107,8 @@
 	ok, err := r.Commit(old)
 	require.NoError(t, err)
 	require.False(t, ok)
-	require.False(t, r.Put(Content{Version: 3}, atOnce))
-	require.True(t, r.Put(Content{Version: 6, Routes: []*Route{{Host: "h", Prefix: "/a/"}}}, atOnce))
+	require.False(t, r.Put(Content{Version: 3}, noPause))
+	require.True(t, r.Put(Content{Version: 6, Routes: []*Route{{Host: "h", Prefix: "/a/"}}}, noPause))
 	ok, err = r.Commit(late)
 	require.NoError(t, err)
 	require.False(t, ok)
@@ -116,15 +116,15 @@
 	require.NotNil(t, c.Match("h", "/a/b"))
 }
 
-// A key is removed in a version with many routes, and only its teams have come in. The
-// key must be refused from then on, while routes and other keys stay as they were: a
-// version is in force whole or not at all. When the transfer fails and a later version
-// has the key again, it holds again.
+// A key is removed in a version with many routes, of which only the teams have arrived. The key
+// must be rejected from then on, while routes and other keys stay as they were: apart from
+// revoked keys, a version is in force as a whole or not at all. If the transfer fails and a later
+// version contains the key again, it is valid again.
 func TestRevocationDoesNotWaitForRoutes(t *testing.T) {
 	r := NewReplica()
 	old, extra := &Route{Host: "h", Prefix: "/a/"}, &Route{Host: "h", Prefix: "/b/"}
 	both := []*Team{{Name: "t", Keys: []string{"kept", "taken"}}}
-	r.Put(Content{Version: 1, Routes: []*Route{old}, Teams: both, KeysRequired: true}, atOnce)
+	r.Put(Content{Version: 1, Routes: []*Route{old}, Teams: both, KeysRequired: true}, noPause)
 	_, err := r.Begin(&Change{Version: 2, SetTeams: []*Team{{Name: "t", Keys: []string{"kept", "new"}}}})
 	require.NoError(t, err)
 	c, _ := r.Current()
@@ -133,15 +133,15 @@
 	require.NotNil(t, c.TeamByKey("kept"))
 	require.Nil(t, c.TeamByKey("new"))
 	require.NotNil(t, c.Match("h", "/a/x"))
-	r.Put(Content{Version: 3, Routes: []*Route{old, extra}, Teams: both, KeysRequired: true}, atOnce)
+	r.Put(Content{Version: 3, Routes: []*Route{old, extra}, Teams: both, KeysRequired: true}, noPause)
 	c, _ = r.Current()
 	require.NotNil(t, c.TeamByKey("taken"))
 	require.NotNil(t, c.Match("h", "/b/x"))
 }
 
-// One host's name begins another's, and a path goes on behind a prefix: neither may
-// lead to a route of others.
-func TestHostsAreApart(t *testing.T) {
+// Guards against a request matching a route of another host whose name is a prefix of its own
+// host's, and against a path matching a prefix only in part.
+func TestHostsAreSeparate(t *testing.T) {
 	c := New(Content{Version: 1, Routes: []*Route{{Name: "short", Host: "h", Prefix: "/a/"}, {Name: "long", Host: "h", Prefix: "/a/b/"}, {Name: "other", Host: "h.example", Prefix: "/"}}})
 	require.Equal(t, "short", c.Match("H", "/a/c").Name)
 	require.Equal(t, "long", c.Match("h", "/a/b/").Name)
@@ -150,14 +150,14 @@
 	require.Nil(t, c.Match("h.examples", "/a/"))
 }
 
-// A route that differs from the one before in one field only must be seen as changed: it
-// would stay as it was at every gateway that follows by changes.
-func TestEveryFieldOfARouteCounts(t *testing.T) {
-	requireFieldsCount(t, func(a, b *Route) bool { return a.equal(b) })
-	requireFieldsCount(t, func(a, b *Team) bool { return a.equal(b) })
+// A route or team that differs from the one before in a single field must count as changed.
+// Otherwise it would stay as it was at every gateway that follows by changes.
+func TestEveryFieldIsCompared(t *testing.T) {
+	requireFieldsCompared(t, func(a, b *Route) bool { return a.equal(b) })
+	requireFieldsCompared(t, func(a, b *Team) bool { return a.equal(b) })
 }
 
-func requireFieldsCount[T any](t *testing.T, equal func(a, b *T) bool) {
+func requireFieldsCompared[T any](t *testing.T, equal func(a, b *T) bool) {
 	t.Helper()
 	for i := range reflect.TypeFor[T]().NumField() {
 		var a, b T
@@ -178,7 +178,8 @@
 	}
 }
 
-func grown(n int) (routes []*Route) {
+// manyRoutes returns n routes of four hosts.
+func manyRoutes(n int) (routes []*Route) {
 	for i := range n {
 		routes = append(routes, &Route{
 			Name: fmt.Sprint("r-", i), Host: fmt.Sprintf("h%d.example", i%4), Prefix: fmt.Sprintf("/p%d/", i*7919),
@@ -188,13 +189,12 @@
 	return routes
 }
 
-// BenchmarkChange: putting 100 routes more in force, on configurations of 1,000, 5,000
-// and 20,000 routes. Building all tables anew took 0.076, 0.34 and 1.7 ms, growing
-// with the configuration; a change takes 0.16 to 0.17 ms on
-// each of them.
+// BenchmarkChange: adding 100 routes to configurations of 1,000, 5,000 and 20,000 routes.
+// Building all tables anew took 0.076, 0.34 and 1.7 ms, growing with the configuration. A change
+// takes 0.16 to 0.17 ms on each of them.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20000} {
-		all := grown(n + 100)
+		all := manyRoutes(n + 100)
 		base := New(Content{Version: 1, Routes: all[:n]})
 		ch := &Change{Base: 1, Version: 2, SetRoutes: all[n:]}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -207,12 +207,12 @@
 	}
 }
 
-// BenchmarkMatch: finding a route among 1,000, 5,000 and 20,000 took 0.36, 1.6 and
-// 65 µs by trying the prefixes of the host one by one; in a tree it takes 0.22, 0.34 and
-// 0.83 µs, most of it for memory that is not in the cache.
+// BenchmarkMatch: finding a route among 1,000, 5,000 and 20,000 took 0.36, 1.6 and 65 µs by trying
+// the prefixes of the host one by one. In a tree it takes 0.22, 0.34 and 0.83 µs, most of it for
+// memory that is not in the cache.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20000} {
-		routes := grown(n)
+		routes := manyRoutes(n)
 		c := New(Content{Version: 1, Routes: routes})
 		paths := make([]string, len(routes))
 		for i, r := range routes {
@@ -230,15 +230,15 @@
 	}
 }
 
-// BenchmarkNext: what a process that reads the whole row pays to find what has changed:
-// 1.6, 8 and 33 ms.
-func BenchmarkNext(b *testing.B) {
+// BenchmarkWithContent: a process that reads a whole version takes 1.6, 8 and 33 ms to find what
+// has changed.
+func BenchmarkWithContent(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20000} {
-		base := New(Content{Version: 1, Routes: grown(n)})
-		content := Content{Version: 2, Routes: grown(n + 100)}
+		base := New(Content{Version: 1, Routes: manyRoutes(n)})
+		content := Content{Version: 2, Routes: manyRoutes(n + 100)}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				base.Next(content, atOnce)
+				base.WithContent(content, noPause)
 			}
 		})
 	}
--- a/routing/config.go
+++ b/routing/config.go
@@ -8,8 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBase says that a change does not begin at the version that it was applied to.
-var ErrBase = errors.New("change of another version")
+// ErrBaseMismatch is returned if a change starts from another version than the one that it is
+// applied to.
+var ErrBaseMismatch = errors.New("change starts from another version")
 
 // Content is a whole version, as an operator writes it.
 type Content struct {
@@ -18,18 +19,18 @@
 	Routes   []*Route
 	Services []*Service
 	Teams    []*Team
-	// KeysRequired says that the configuration names teams, so that routes which are not
+	// KeysRequired reports that the configuration contains teams, so that routes which are not
 	// public need a key.
 	KeysRequired bool
 }
 
 // Config is one version of the configuration.
 type Config struct {
-	Version  uint64
-	Limits   Limits
-	keyed    bool
-	services map[string]*Service
-	// routes are by routeKey, teams by name; keys leads from a key to its holder.
+	Version      uint64
+	Limits       Limits
+	keysRequired bool
+	services     map[string]*Service
+	// routes are indexed by routeKey, teams by name. keys maps each key to the team that holds it.
 	routes *iradix.Tree[*Route]
 	teams  *iradix.Tree[*Team]
 	keys   *iradix.Tree[*Team]
@@ -37,16 +38,15 @@
 
 // New builds a version from its whole content.
 func New(c Content) *Config {
-	next, _ := empty().Next(c, func() {})
-	return next
+	config, _ := empty().WithContent(c, func() {})
+	return config
 }
 
 func empty() *Config {
 	return &Config{routes: iradix.New[*Route](), teams: iradix.New[*Team](), keys: iradix.New[*Team]()}
 }
 
-// hostEnd stands between host and path in a key: no host may be the beginning of
-// another's key.
+// hostEnd separates host and path in a key, so that no host is a prefix of another host's key.
 const hostEnd = 0
 
 func routeKey(host, path string) []byte { return appendRouteKey(nil, host, path) }
@@ -57,34 +57,35 @@
 	return append(key, path...)
 }
 
-// usualKey is the length in bytes up to which a lookup allocates nothing.
-const usualKey = 256
+// stackKeyBytes is the length in bytes up to which a lookup key needs no heap allocation.
+const stackKeyBytes = 256
 
 // Match returns the route of the host with the longest prefix of path, or nil.
 func (c *Config) Match(host, path string) *Route {
-	var key [usualKey]byte
+	var key [stackKeyBytes]byte
 	_, r, _ := c.routes.Root().LongestPrefix(appendRouteKey(key[:0], host, path))
 	return r
 }
 
-// Service returns a service, or nil.
+// Service returns the service with a name, or nil.
 func (c *Config) Service(name string) *Service { return c.services[name] }
 
-// NeedsKey reports whether requests of a route must bear a team's key.
-func (c *Config) NeedsKey(r *Route) bool { return c.keyed && !r.Public }
+// NeedsKey reports whether requests of a route need a team's key.
+func (c *Config) NeedsKey(r *Route) bool { return c.keysRequired && !r.Public }
 
-// TeamByKey returns the holder of a key, or nil.
+// TeamByKey returns the team that holds a key, or nil.
 func (c *Config) TeamByKey(key string) *Team {
 	t, _ := c.keys.Get([]byte(key))
 	return t
 }
 
-// Routes counts the routes.
-func (c *Config) Routes() int { return c.routes.Len() }
+// RouteCount returns the number of routes.
+func (c *Config) RouteCount() int { return c.routes.Len() }
 
-// Next is the version with a content, and the change that leads there. What is equal
-// in both is shared. pause is called between parts of a long comparison.
-func (c *Config) Next(content Content, pause func()) (*Config, *Change) {
+// WithContent returns the version with a content, and the change that leads from c to it. The
+// two versions share what is equal in both. pause is called at intervals during a long
+// comparison.
+func (c *Config) WithContent(content Content, pause func()) (*Config, *Change) {
 	ch := &Change{
 		Base: c.Version, Version: content.Version, Limits: content.Limits,
 		Services: content.Services, KeysRequired: content.KeysRequired,
@@ -93,12 +94,12 @@
 	ch.diffTeams(c, content.Teams)
 	next, err := c.Apply(ch)
 	if err != nil {
-		panic("routing: a change does not apply to its own base: " + err.Error())
+		panic("routing: change does not apply to the version that it was made from: " + err.Error())
 	}
 	return next, ch
 }
 
-// Apply is the version that a change leads to. Errors: ErrBase.
+// Apply returns the version that a change results in. Errors: ErrBaseMismatch.
 func (c *Config) Apply(ch *Change) (*Config, error) {
 	u, err := c.begin(ch)
 	if err != nil {
@@ -108,8 +109,8 @@
 	return u.config(), nil
 }
 
-// applyTeams takes all keys of changed teams away before it gives any: a key may have
-// passed from one team to another.
+// applyTeams returns the teams and keys after a change. It removes all keys of changed teams
+// before it adds any, since a key may have moved from one team to another.
 func (c *Config) applyTeams(ch *Change) (teams, keys *iradix.Tree[*Team]) {
 	t, k := c.teams.Txn(), c.keys.Txn()
 	drop := func(name string) {
@@ -138,8 +139,8 @@
 	return t.Commit(), k.Commit()
 }
 
-// without is the same version with keys taken away.
-func (c *Config) without(keys []string) *Config {
+// withoutKeys returns the same version without some keys.
+func (c *Config) withoutKeys(keys []string) *Config {
 	txn := c.keys.Txn()
 	for _, key := range keys {
 		txn.Delete([]byte(key))
@@ -149,9 +150,9 @@
 	return &next
 }
 
-// whole is the change that leads from nothing to the version.
-func (c *Config) whole() *Change {
-	ch := &Change{Version: c.Version, Limits: c.Limits, KeysRequired: c.keyed}
+// fullChange returns the change that leads from an empty configuration to this version.
+func (c *Config) fullChange() *Change {
+	ch := &Change{Version: c.Version, Limits: c.Limits, KeysRequired: c.keysRequired}
 	for _, s := range c.services {
 		ch.Services = append(ch.Services, s)
 	}
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Regions are the regions that requests must stay in. Nil allows all; an empty list allows
-// none, as where a route and a team have no region in common.
+// Regions are the regions that requests must stay in. A nil list allows all regions. An empty
+// list allows none, as when a route and a team have no region in common.
 type Regions []string
 
-// Allows reports whether a request may go to a region. One that is not known is no region of
-// a list.
+// Allows reports whether a request may go to a region. An unknown region, which is the empty
+// string, is allowed only by a nil list.
 func (r Regions) Allows(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// Intersect are the regions that both lists allow.
+// Intersect returns the regions that both lists allow.
 func (r Regions) Intersect(o Regions) Regions {
 	if r == nil {
 		return o
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a request leaving its regions because route and team each bind it and share
-// none: no list and an empty one are not the same.
-func TestRouteAndTeamBothBind(t *testing.T) {
+// Guards against a request leaving its regions if route and team both restrict it but have no
+// region in common: a nil list and an empty one differ.
+func TestRegionsOfRouteAndTeamBothApply(t *testing.T) {
 	regions := rapid.Custom(func(t *rapid.T) Regions {
 		if rapid.Bool().Draw(t, "free") {
 			return nil
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestUnknownRegionIsNone(t *testing.T) {
+func TestUnknownRegionIsAllowedOnlyByNil(t *testing.T) {
 	require.True(t, Regions(nil).Allows(""))
 	require.False(t, Regions{"a"}.Allows(""))
 	require.False(t, Regions{}.Allows("a"))
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -7,46 +7,46 @@
 	"github.com/pkg/errors"
 )
 
-// Replica is a process's view of the configuration in force. Its version never falls,
-// and it knows how long ago the view was last confirmed. It is safe for concurrent use;
-// lookups never wait for a version that is being built. Lock order: updates, mu.
+// Replica is a process's copy of the configuration in force. Its version never goes back, and it
+// records when it was last confirmed to be the newest. It is safe for concurrent use. Lookups
+// never wait for a version that is being built. Lock order: updates, mu.
 type Replica struct {
-	// updates is held by whoever builds a version.
+	// updates is held while a version is built and put in force.
 	updates sync.Mutex
-	// history are the last changes, oldest first, each from the version before.
+	// history are the latest changes, oldest first. Each starts from the version before it.
 	history []*Change
 
 	mu sync.Mutex
-	// whole is the newest version as a whole; config is the same, but for keys that a
-	// later version takes away.
-	whole, config *Config
-	confirmed     time.Duration
-	changed       func(*Config)
+	// newest is the newest complete version. inForce is the same version, but without keys that
+	// a later version removes.
+	newest, inForce *Config
+	confirmed       time.Duration
+	onChange        func(*Config)
 }
 
 const (
-	// historyLength is how many changes are kept for processes that are behind. At 430
-	// changes a day a process that is sixteen behind has been away for an hour; it gets
-	// the whole version.
-	historyLength = 16
-	// historyShare bounds the rows of all kept changes against those of a version:
-	// beyond it a whole version is smaller.
-	historyShare = 0.5
+	// maxHistory is how many changes are kept for processes that are behind. At 430 changes a
+	// day, a process that is sixteen changes behind has been away for an hour, and gets the whole
+	// version.
+	maxHistory = 16
+	// maxHistoryFraction bounds the rows of all kept changes as a fraction of the routes of a
+	// version. Beyond it a whole version is smaller.
+	maxHistoryFraction = 0.5
 )
 
 // NewReplica returns an empty replica.
 func NewReplica() *Replica { return &Replica{} }
 
-// OnChange sets who is told of each new version, one at a time.
-func (r *Replica) OnChange(changed func(*Config)) {
+// OnChange sets the function that is called with each new version. Calls don't overlap.
+func (r *Replica) OnChange(onChange func(*Config)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.changed = changed
+	r.onChange = onChange
 }
 
-// Put takes a whole version unless one as new is in force, and reports whether it did.
-// An answer that was delayed on its way may bear an older version; taking it would bring
-// back routes and keys that were removed. pause is called between parts of the work.
+// Put puts a whole version in force unless the version in force is the same or newer. It reports
+// whether it did. A delayed response may contain an older version, which would bring back
+// routes and keys that were removed. pause is called at intervals during the work.
 func (r *Replica) Put(content Content, pause func()) bool {
 	r.updates.Lock()
 	defer r.updates.Unlock()
@@ -54,15 +54,15 @@
 	if base.Version >= content.Version {
 		return false
 	}
-	next, ch := base.Next(content, pause)
+	next, ch := base.WithContent(content, pause)
 	r.install(next, ch)
 	return true
 }
 
-// Begin starts an update by a change whose routes are still to come. It takes away at
-// once the keys that the later version does not have: the routes of a large version must
-// not hold up a revocation. Nothing else of that version is in force before all of it is.
-// Errors: ErrBase.
+// Begin starts an update by a change whose routes are still to come. It revokes at once the keys
+// that the later version does not have, so that a revocation doesn't wait for the routes of a
+// large version. Nothing else of the later version is in force before it is complete.
+// Errors: ErrBaseMismatch.
 func (r *Replica) Begin(ch *Change) (*Update, error) {
 	r.updates.Lock()
 	defer r.updates.Unlock()
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	if base.Version < ch.Version {
-		r.revoke(ch.taken(base))
+		r.revoke(ch.revokedKeys(base))
 	}
 	return u, nil
 }
@@ -83,11 +83,12 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.config = r.config.without(keys)
+	r.inForce = r.inForce.withoutKeys(keys)
 }
 
-// Commit puts the version of an update in force. It reports false if a version as new is
-// in force. Errors: ErrBase, if another version was put in force since the update began.
+// Commit puts the version of an update in force. It returns false if the version in force is the
+// same or newer. Errors: ErrBaseMismatch, if another version was put in force since the update
+// began.
 func (r *Replica) Commit(u *Update) (bool, error) {
 	r.updates.Lock()
 	defer r.updates.Unlock()
@@ -96,23 +97,24 @@
 		return false, nil
 	}
 	if u.Base != 0 && u.base != base {
-		return false, errors.Wrapf(ErrBase, "from %d, in force is %d", u.Base, base.Version)
+		return false, errors.Wrapf(ErrBaseMismatch, "base is %d, version in force is %d", u.Base, base.Version)
 	}
 	r.install(u.config(), u.Change)
 	return true, nil
 }
 
-// base is the newest version as a whole; updates is held.
+// base returns the version that changes apply to: the newest complete one, or an empty one before
+// the first. updates must be held.
 func (r *Replica) base() *Config {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.whole == nil {
+	if r.newest == nil {
 		return empty()
 	}
-	return r.whole
+	return r.newest
 }
 
-// install puts a version in force; updates is held.
+// install puts a version in force and adds its change to the history. updates must be held.
 func (r *Replica) install(next *Config, ch *Change) {
 	if ch.Base == 0 {
 		r.history = nil
@@ -122,21 +124,22 @@
 	rows := 0
 	for i := len(r.history) - 1; i >= 0; i-- {
 		rows += r.history[i].Size()
-		if len(r.history)-i > historyLength || float64(rows) > historyShare*float64(next.Routes()) && i < len(r.history)-1 {
+		if len(r.history)-i > maxHistory || float64(rows) > maxHistoryFraction*float64(next.RouteCount()) && i < len(r.history)-1 {
 			r.history = r.history[i+1:]
 			break
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.whole, r.config = next, next
-	if r.changed != nil {
-		r.changed(next)
+	r.newest, r.inForce = next, next
+	if r.onChange != nil {
+		r.onChange(next)
 	}
 }
 
-// ChangeSince is the change from a version to the newest, nil if they are the same or there is
-// none. Behind the history it is the whole version.
+// ChangeSince returns the change from a version to the newest one, nil if that version is the
+// newest or there is none. If the version is older than the history, the change contains the
+// whole newest version.
 func (r *Replica) ChangeSince(version uint64) *Change {
 	r.updates.Lock()
 	defer r.updates.Unlock()
@@ -149,36 +152,36 @@
 		if out == nil {
 			out = r.history[i]
 		} else {
-			out = Join(r.history[i], out)
+			out = Compose(r.history[i], out)
 		}
 		if out.Base == version {
 			return out
 		}
 	}
-	return newest.whole()
+	return newest.fullChange()
 }
 
-// Version is the newest version, 0 before the first.
+// Version returns the newest version, 0 before the first.
 func (r *Replica) Version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.whole == nil {
+	if r.newest == nil {
 		return 0
 	}
-	return r.whole.Version
+	return r.newest.Version
 }
 
-// Confirm notes that the view was the newest at the time at.
+// Confirm records that the replica had the newest version at a time.
 func (r *Replica) Confirm(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmed = max(r.confirmed, at)
 }
 
-// Current returns the version in force, nil before the first, and the time at
-// which it was last known to be the newest.
+// Current returns the version in force, nil before the first, and the time at which it was last
+// known to be the newest.
 func (r *Replica) Current() (c *Config, confirmed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.config, r.confirmed
+	return r.inForce, r.confirmed
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,9 +1,9 @@
-// Package routing holds the configuration that callers' requests are matched against:
-// routes, services, limits and the teams' keys.
+// Package routing holds the configuration that callers' requests are matched against: routes,
+// services, limits and the teams' keys.
 //
-// A Config is one version, immutable and safe for concurrent use. A Change leads from
-// one version to another; versions share what they have in common, so putting one in
-// force costs what has changed.
+// A Config is one version of it. It is immutable and safe for concurrent use. A Change leads from
+// one version to another. Versions share what they have in common, so the cost of putting a
+// version in force depends only on the size of the change.
 package routing
 
 import (
@@ -18,10 +18,10 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// AtMostOnce marks requests that run at most once for each attempt of the caller.
+	// AtMostOnce requests run at most once for each attempt of the caller.
 	AtMostOnce
-	// Stream marks generations: a series of numbered events. Unless the route is
-	// resumable they run at most once.
+	// Stream requests are generations, which answer with a series of numbered events. They run
+	// at most once unless the route is resumable.
 	Stream
 )
 
@@ -43,36 +43,37 @@
 	Weight int
 }
 
-// Route says where requests of a host and path prefix go.
+// Route determines how requests with a host and path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a caller may be kept waiting; 0 is no bound.
+	// Timeout is the maximum time that a caller waits, 0 for no bound.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to a stream's first event, within
-	// which it is on time.
+	// TargetLatency is the time within which an answer, or the first event of a stream, counts
+	// as on time.
 	TargetLatency time.Duration
-	// MaxPause is the longest pause between two events of a stream on time.
+	// MaxPause is the maximum time between two events of a stream that counts as on time.
 	MaxPause time.Duration
-	// EventTimeout is how long callers wait for the first or the next event of a stream
-	// before they leave; 0 if they do not.
+	// EventTimeout is how long callers wait for the first or the next event of a stream before
+	// they disconnect, 0 if they don't.
 	EventTimeout time.Duration
-	// MaxServers is the most backend servers that may run one attempt of a caller.
+	// MaxServers is the maximum number of backend servers that may run one attempt of a caller.
 	MaxServers int
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority ranks requests, 0 is the most urgent.
 	Priority int
 	// Public routes need no key.
 	Public bool
 	// Resumable streams may be continued by a new run after a given event.
 	Resumable bool
-	Split     []Weighted
-	// Regions are where requests of the route may run.
+	// Split divides the requests among services.
+	Split []Weighted
+	// Regions are the regions in which requests of the route may run.
 	Regions Regions
 }
 
-// equal reports whether two routes say the same.
+// equal reports whether two routes have equal content.
 func (r *Route) equal(o *Route) bool {
 	if r == o {
 		return true
@@ -83,19 +84,20 @@
 		slices.Equal(r.Split, o.Split) && slices.Equal(r.Regions, o.Regions)
 }
 
-// Repeatable reports whether a request of the route may run again after a run
-// whose end is unknown.
+// Repeatable reports whether a request of the route may run again after a run whose outcome is
+// unknown.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// PickService returns the service for a draw in [0, 1).
-func (r *Route) PickService(draw float64) string {
+// PickService returns the service for a random number in [0, 1), according to the weights of
+// Split. It returns "" if the route has no services.
+func (r *Route) PickService(random float64) string {
 	total := 0
 	for _, w := range r.Split {
 		total += w.Weight
 	}
-	left := draw * float64(total)
+	left := random * float64(total)
 	for _, w := range r.Split {
 		left -= float64(w.Weight)
 		if left < 0 {
@@ -112,22 +114,24 @@
 type Engine struct {
 	// Slots is the number of requests that run in one batch.
 	Slots int
-	// MemoryTokens is the memory for running requests and cached prefixes.
+	// MemoryTokens is the memory for running requests and cached prefixes, in tokens.
 	MemoryTokens int
-	// BytesPerToken is what a move transfers for a token of memory.
+	// BytesPerToken is the number of bytes that a migration transfers per token of memory.
 	BytesPerToken int
-	// LinkMbps is an engine's link for moves, in Mbit/s.
+	// LinkMbps is the bandwidth of an engine's link for migrations, in Mbit/s.
 	LinkMbps float64
-	// TokensPerEvent is the number of tokens that one event holds.
+	// TokensPerEvent is the number of tokens in one event.
 	TokensPerEvent int
-	// SupportsMigration and SupportsStandby say what the engines can do with a run's memory.
+	// SupportsMigration reports whether a run can continue at another engine by a copy of its
+	// memory. SupportsStandby reports whether a second engine can receive a copy of a run's
+	// memory as it grows.
 	SupportsMigration, SupportsStandby bool
-	// CopyTTL is how long a copy waits to be used.
+	// CopyTTL is how long an engine keeps a copy that is not used.
 	CopyTTL time.Duration
 }
 
-// CopySpeed is the tokens of memory a second that an engine's link takes, 0 if that
-// is not known.
+// CopySpeed returns the rate in tokens of memory per second that an engine's link transfers, 0 if
+// it is unknown.
 func (e *Engine) CopySpeed() float64 {
 	if e.BytesPerToken <= 0 {
 		return 0
@@ -135,20 +139,20 @@
 	return e.LinkMbps * 1e6 / 8 / float64(e.BytesPerToken)
 }
 
-// Service is a group of backend servers that are alike.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name string
-	// MaxConns is how many connections a server takes from all callers.
+	// MaxConns is how many connections a server accepts from all callers.
 	MaxConns int
-	// Engine is nil for plain services.
+	// Engine is nil for services without engines.
 	Engine *Engine
-	// ColdTime is how long a server is cold after its start, ColdRate the requests a second
-	// that it bears meanwhile from all processes together, 0 for no bound.
+	// ColdTime is how long a server is cold after its start. ColdRate is the rate in requests per
+	// second that a cold server accepts from all processes together, 0 for no bound.
 	ColdTime time.Duration
 	ColdRate float64
 }
 
-// Limits bound what a caller may send; zero is no bound.
+// Limits bound what a caller may send. 0 is no bound.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
@@ -158,14 +162,14 @@
 type Team struct {
 	Name string
 	Keys []string
-	// Priority goes before the route's if Ranked.
+	// Priority replaces the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Regions are where the team's requests may run.
+	// Regions are the regions in which the team's requests may run.
 	Regions Regions
 }
 
-// equal reports whether two teams say the same.
+// equal reports whether two teams have equal content.
 func (t *Team) equal(o *Team) bool {
 	return t == o || t.Name == o.Name && t.Priority == o.Priority && t.HasPriority == o.HasPriority && slices.Equal(t.Keys, o.Keys) && slices.Equal(t.Regions, o.Regions)
 }
--- a/routing/update.go
+++ b/routing/update.go
@@ -5,29 +5,29 @@
 	"github.com/pkg/errors"
 )
 
-// Update builds a version out of a change whose routes come in by parts: a large change
-// taken in one go would hold up the streams of a VM with little processor time. Nothing
-// of it is in force before it is committed. It is for one goroutine.
+// Update builds a version from a change whose routes arrive in parts. Applying a large change at
+// once would delay the streams of a VM with little processor time. Nothing of the version is in
+// force before it is committed. It is not safe for concurrent use.
 type Update struct {
-	// Change is what has come in. Teams, Keyed, Services and Limits are set before the
-	// commit; routes are added by Add.
+	// Change is what has arrived so far. Teams, KeysRequired, Services and Limits are set before
+	// the commit. Routes are added by Add.
 	*Change
 	base   *Config
 	routes *iradix.Txn[*Route]
 }
 
-// begin starts an update by a change. Errors: ErrBase.
+// begin starts an update by a change. Errors: ErrBaseMismatch.
 func (c *Config) begin(ch *Change) (*Update, error) {
 	if ch.Base == 0 {
 		c = empty()
 	}
 	if c.Version != ch.Base {
-		return nil, errors.Wrapf(ErrBase, "from %d, in force is %d", ch.Base, c.Version)
+		return nil, errors.Wrapf(ErrBaseMismatch, "base is %d, version in force is %d", ch.Base, c.Version)
 	}
 	return &Update{Change: ch, base: c, routes: c.routes.Txn()}, nil
 }
 
-// Add takes a part of the routes; drop goes before set.
+// Add applies a part of the route changes. drop is applied before set.
 func (u *Update) Add(drop []RouteID, set []*Route) {
 	u.DropRoutes = append(u.DropRoutes, drop...)
 	u.SetRoutes = append(u.SetRoutes, set...)
@@ -43,10 +43,10 @@
 	}
 }
 
-// config is the version that the update leads to.
+// config returns the version that the update results in.
 func (u *Update) config() *Config {
 	next := &Config{
-		Version: u.Version, Limits: u.Limits, keyed: u.KeysRequired, services: make(map[string]*Service, len(u.Services)),
+		Version: u.Version, Limits: u.Limits, keysRequired: u.KeysRequired, services: make(map[string]*Service, len(u.Services)),
 	}
 	for _, s := range u.Services {
 		next.services[s.Name] = s
