--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -13,9 +13,9 @@
 )
 
 // The simulated workload: gateways in front of engines whose memory is two thirds full. An
-// engine reads one prompt after the other, 112 tokens between two steps of the running
-// generations, which take 15 ms together. A generation that finds no free memory waits at the
-// engine.
+// engine reads one prompt after the other. It reads 112 prompt tokens between two steps of the
+// running generations, and both together take 15 ms. A generation that finds no free memory waits
+// at the engine.
 const (
 	gateways, engines = 103, 144
 	maxLinks          = 32
@@ -162,19 +162,19 @@
 // addStandby keeps a standby copy of a long generation's memory at a second engine, if one is
 // known to have half of its memory free.
 func (f *fleet) addStandby(g *generation, now time.Duration) {
-	l := f.regs[g.gateway].Acquire(Query{
+	res := f.regs[g.gateway].Acquire(Query{
 		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.reservation.Server.ID}, ForCopy: true, CopySpeed: 18_000,
 		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.reservation.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
 	}, now)
-	if l == nil {
+	if res == nil {
 		return
 	}
 	f.report(g.gateway, now)
-	e := f.engine(l.Server.ID)
+	e := f.engine(res.Server.ID)
 	e.used += g.memory
-	f.at(now+time.Second, l.FinishCopy)
+	f.at(now+time.Second, res.FinishCopy)
 	f.at(now+g.duration, func() {
-		l.Release(ResultInconclusive, now+g.duration)
+		res.Release(ResultInconclusive, now+g.duration)
 		f.report(g.gateway, now+g.duration)
 		e.used -= g.memory
 		f.startWaiting(e, now+g.duration)
@@ -264,7 +264,7 @@
 	r.ReplaceAll(all, 0, 0)
 	r.SetCell(cells.Place{OwnCell: 0, CellCount: count})
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
-	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
-	require.NotNil(t, l)
-	require.Equal(t, 1, cells.IndexOf(cells.Hash(l.Server.ID), count))
+	res := r.Acquire(Query{Service: svc, Spill: true}, 0)
+	require.NotNil(t, res)
+	require.Equal(t, 1, cells.IndexOf(cells.Hash(res.Server.ID), count))
 }
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -218,8 +218,8 @@
 				now := time.Duration(0)
 				for b.Loop() {
 					now += time.Millisecond
-					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), SharedTime: pacing.SharedTime{Now: now, Known: true}}, now); l != nil {
-						l.Release(ResultOK, now)
+					if res := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), SharedTime: pacing.SharedTime{Now: now, Known: true}}, now); res != nil {
+						res.Release(ResultOK, now)
 					}
 				}
 			})
--- a/backends/load.go
+++ b/backends/load.go
@@ -147,15 +147,15 @@
 // While the directory is unavailable, only processes that run something on a server ask it
 // whether it is leaving. Without these reports the others would continue to send runs and copies
 // there.
-func (r *Registry) SetRemoteStatuses(process string, peerStatuses map[string]ServerStatus, now time.Duration) (changes []StatusChange) {
+func (r *Registry) SetRemoteStatuses(process string, remoteStatuses map[string]ServerStatus, now time.Duration) (changes []StatusChange) {
 	r.mu.Lock()
-	if len(peerStatuses) == 0 {
-		delete(r.peerStatuses, process)
+	if len(remoteStatuses) == 0 {
+		delete(r.remoteStatuses, process)
 	} else {
-		r.peerStatuses[process] = peerStatuses
+		r.remoteStatuses[process] = remoteStatuses
 	}
 	var events []leaveEvent
-	for id, status := range peerStatuses {
+	for id, status := range remoteStatuses {
 		s := r.servers[id]
 		if s == nil || s.StartTime != status.StartTime {
 			continue
@@ -183,8 +183,8 @@
 	}
 	own := s.consecutiveLosses(now)
 	sum := own
-	for _, peerStatuses := range r.peerStatuses {
-		if status := peerStatuses[s.ID]; status.StartTime == s.StartTime {
+	for _, remoteStatuses := range r.remoteStatuses {
+		if status := remoteStatuses[s.ID]; status.StartTime == s.StartTime {
 			sum += min(maxPeerLosses, status.ConsecutiveLosses)
 		}
 	}
@@ -203,8 +203,8 @@
 	if now < s.downUntil {
 		return true
 	}
-	for _, peerStatuses := range r.peerStatuses {
-		if status := peerStatuses[s.ID]; status.Down && status.StartTime == s.StartTime {
+	for _, remoteStatuses := range r.remoteStatuses {
+		if status := remoteStatuses[s.ID]; status.Down && status.StartTime == s.StartTime {
 			return true
 		}
 	}
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -25,8 +25,8 @@
 		r.SetRemoteLoads(fmt.Sprint("vm-", p), loads)
 	}
 	for b.Loop() {
-		if l := r.Acquire(Query{Service: svc, ExpectedTokens: 3000, PromptTokens: 2600, MaxMemoryUse: 0.97, MaxPromptPending: 3000, Draw: rng.Uint64()}, 0); l != nil {
-			l.Release(ResultInconclusive, 0)
+		if res := r.Acquire(Query{Service: svc, ExpectedTokens: 3000, PromptTokens: 2600, MaxMemoryUse: 0.97, MaxPromptPending: 3000, Draw: rng.Uint64()}, 0); res != nil {
+			res.Release(ResultInconclusive, 0)
 		}
 	}
 }
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -70,8 +70,8 @@
 	remoteLoads map[string]map[string]Load
 	// remoteSums are the sums of remoteLoads over all processes, by incarnation of the server.
 	remoteSums map[incarnation]Load
-	// peerStatuses are what other processes have reported of servers, by process and server.
-	peerStatuses map[string]map[string]ServerStatus
+	// remoteStatuses are what other processes have reported of servers, by process and server.
+	remoteStatuses map[string]map[string]ServerStatus
 	// lists caches the servers of each service. scratch is reused for their descriptions.
 	lists     map[string][]*server
 	scratch   []placement.Server
@@ -107,7 +107,7 @@
 func New(domain string, traits func(service string) ServiceTraits, onLeaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
 		domain: domain, traits: traits, onLeaving: onLeaving,
-		policy: placement.Direct(), copyPolicy: placement.CopyTarget(), servers: make(map[string]*server), departures: make(map[string]departure), remoteLoads: make(map[string]map[string]Load), remoteSums: make(map[incarnation]Load), peerStatuses: make(map[string]map[string]ServerStatus),
+		policy: placement.Direct(), copyPolicy: placement.CopyTarget(), servers: make(map[string]*server), departures: make(map[string]departure), remoteLoads: make(map[string]map[string]Load), remoteSums: make(map[incarnation]Load), remoteStatuses: make(map[string]map[string]ServerStatus),
 		lists: make(map[string][]*server),
 	}
 }
@@ -159,8 +159,8 @@
 //
 // A new incarnation of a server replaces the earlier one with everything known of it. Failures,
 // a leaving state and loads of the earlier incarnation would keep requests away from a healthy
-// server, or mix up its new runs with the old ones. An entry of an earlier incarnation that
-// arrives late is ignored.
+// server, or its new runs would be mistaken for the old ones. An entry of an earlier incarnation
+// that arrives late is ignored.
 func (r *Registry) put(events []leaveEvent, s Server, now time.Duration) []leaveEvent {
 	r.dropLists()
 	old := r.servers[s.ID]
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -29,10 +29,10 @@
 // pick returns the id of the server that a request is sent to.
 func (r *Registry) pick(t *testing.T, now time.Duration) string {
 	t.Helper()
-	l := r.Acquire(Query{Service: svc}, now)
-	require.NotNil(t, l)
-	l.Release(ResultInconclusive, now)
-	return l.Server.ID
+	res := r.Acquire(Query{Service: svc}, now)
+	require.NotNil(t, res)
+	res.Release(ResultInconclusive, now)
+	return res.Server.ID
 }
 
 // Each server is reported as leaving once, whichever way that becomes known first. A stale entry
@@ -82,8 +82,8 @@
 	r, _ := newRegistry()
 	r.ReplaceAll([]Server{entry("a"), entry("b")}, 0, 0)
 	for range 5 {
-		l := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
-		l.Release(ResultFailed, 0)
+		res := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
+		res.Release(ResultFailed, 0)
 	}
 	for range 5 {
 		require.Equal(t, "b", r.pick(t, 0))
@@ -116,9 +116,9 @@
 	}
 	require.Nil(t, r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0))
 	r.SetRemoteLoads("other", nil)
-	l := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0)
-	require.NotNil(t, l)
-	l.Release(ResultOK, 0)
+	res := r.Acquire(Query{Service: svc, Tried: []string{"b"}, MaxPromptPending: 1000}, 0)
+	require.NotNil(t, res)
+	res.Release(ResultOK, 0)
 }
 
 // A reservation counts until it is released, its prompt until the answer begins, and each part is
@@ -126,13 +126,13 @@
 func TestReservationCountsOnce(t *testing.T) {
 	r, _ := newRegistry()
 	r.ReplaceAll([]Server{entry("a")}, 0, 0)
-	l := r.Acquire(Query{Service: svc, ExpectedTokens: 5000, PromptTokens: 3000}, 0)
+	res := r.Acquire(Query{Service: svc, ExpectedTokens: 5000, PromptTokens: 3000}, 0)
 	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000, PromptTokens: 3000}}, r.Loads())
-	l.FinishPrompt()
-	l.FinishPrompt()
+	res.FinishPrompt()
+	res.FinishPrompt()
 	require.Equal(t, map[string]Load{"a": {Running: 1, ExpectedTokens: 5000}}, r.Loads())
-	l.Release(ResultOK, 0)
-	l.Release(ResultOK, 0)
+	res.Release(ResultOK, 0)
+	res.Release(ResultOK, 0)
 	require.Empty(t, r.Loads())
 }
 
@@ -187,8 +187,8 @@
 	r.SetRemoteStatuses("vm-3", nil, 0)
 	require.Equal(t, "b", r.pick(t, lossAvoidTime-1))
 	require.Equal(t, "a", r.pick(t, lossAvoidTime))
-	l := r.Acquire(Query{Service: svc}, lossAvoidTime)
-	l.Release(ResultLost, lossAvoidTime)
+	res := r.Acquire(Query{Service: svc}, lossAvoidTime)
+	res.Release(ResultLost, lossAvoidTime)
 	require.Equal(t, map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, r.Statuses(lossAvoidTime))
 	require.Equal(t, "b", r.pick(t, lossAvoidTime))
 	require.Empty(t, r.Statuses(2*lossAvoidTime))
@@ -242,10 +242,10 @@
 func TestUnresponsiveServerCountsAsLosing(t *testing.T) {
 	r, _ := newRegistry()
 	r.Put(entry("a"), 0)
-	l := r.Acquire(Query{Service: svc}, 0)
-	l.MarkUnresponsive(0)
-	l.Release(ResultInconclusive, 0)
-	l.MarkUnresponsive(0)
+	res := r.Acquire(Query{Service: svc}, 0)
+	res.MarkUnresponsive(0)
+	res.Release(ResultInconclusive, 0)
+	res.MarkUnresponsive(0)
 	require.Equal(t, map[string]ServerStatus{"a": {ConsecutiveLosses: 1}}, r.Statuses(0), "a released reservation changes nothing")
 	r.Acquire(Query{Service: svc}, 0).Release(ResultOK, 0)
 	require.Empty(t, r.Statuses(0))
--- a/backends/signals.go
+++ b/backends/signals.go
@@ -217,8 +217,8 @@
 // must be held.
 func (r *Registry) backsOffElsewhere(s *server) bool {
 	n := 0
-	for _, peerStatuses := range r.peerStatuses {
-		if status := peerStatuses[s.ID]; status.BackingOff && status.StartTime == s.StartTime {
+	for _, remoteStatuses := range r.remoteStatuses {
+		if status := remoteStatuses[s.ID]; status.BackingOff && status.StartTime == s.StartTime {
 			n++
 		}
 	}
