--- a/backends/load.go
+++ b/backends/load.go
@@ -173,10 +173,11 @@
 	return changes
 }
 
-// avoidForLosses reports whether a server is avoided for its losses, over all processes. A
-// server that resets connections costs each caller whose request must not run twice its answer.
-// If each of thirty processes had to find out by itself, again every second, a hundred callers
-// would lose their answers. mu must be held.
+// avoidForLosses reports whether a server is avoided for its losses, over all processes. It begins
+// to avoid the server if the losses have reached a threshold. A server that resets connections
+// costs each caller whose request must not run twice its answer. If each of thirty processes had
+// to find out by itself, again every second, a hundred callers would lose their answers. mu must
+// be held.
 func (r *Registry) avoidForLosses(s *server, now time.Duration) bool {
 	if now < s.lossAvoidUntil {
 		return true
