--- a/storage/objectclient/client.go
+++ b/storage/objectclient/client.go
@@ -14,75 +14,78 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// stallTimeout is how long nothing may come in or be taken. There is no bound on a whole
-	// answer: it would be one on its size, and each try over a thin link be given up and
-	// begun anew.
+	// stallTimeout bounds the time without progress of a read or a write. There is no timeout
+	// for the whole response, because it would limit the size of an object: on a slow link
+	// every attempt would time out and start again.
 	stallTimeout = 2 * time.Second
-	// maxObject bounds an object in bytes.
-	maxObject = 64 << 20
+	// maxObjectSize bounds the size of an object that is read, in bytes.
+	maxObjectSize = 64 << 20
 )
 
-// patientConn is a connection whose reads and writes end when nothing passes, and at the
-// deadlines of the request that has it. It is for one goroutine.
-type patientConn struct {
+// stallConn is a connection whose reads and writes time out after stallTimeout without progress, and
+// at the deadlines of the request that uses the connection. It must be used by one goroutine at a
+// time.
+type stallConn struct {
 	net.Conn
-	// readBy and writeBy are the request's deadlines, zero for none.
-	readBy, writeBy time.Time
+	// readDeadline and writeDeadline are the request's deadlines, zero for none.
+	readDeadline, writeDeadline time.Time
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *patientConn) SetReadDeadline(t time.Time) error {
-	c.readBy = t
+func (c *stallConn) SetReadDeadline(t time.Time) error {
+	c.readDeadline = t
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
-func (c *patientConn) SetWriteDeadline(t time.Time) error {
-	c.writeBy = t
+func (c *stallConn) SetWriteDeadline(t time.Time) error {
+	c.writeDeadline = t
 	return nil
 }
 
-// stallsAt is when a read or write that begins now ends, at the latest by a deadline.
-func stallsAt(by time.Time) time.Time {
-	if at := time.Now().Add(stallTimeout); by.IsZero() || at.Before(by) {
-		return at
+// nextDeadline returns when a read or write that starts now times out. deadline is that of the
+// request, zero for none.
+func nextDeadline(deadline time.Time) time.Time {
+	if stalledAt := time.Now().Add(stallTimeout); deadline.IsZero() || stalledAt.Before(deadline) {
+		return stalledAt
 	}
-	return by
+	return deadline
 }
 
 // Read implements net.Conn.
-func (c *patientConn) Read(p []byte) (int, error) {
-	if err := c.Conn.SetReadDeadline(stallsAt(c.readBy)); err != nil {
+func (c *stallConn) Read(p []byte) (int, error) {
+	if err := c.Conn.SetReadDeadline(nextDeadline(c.readDeadline)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
 // Write implements net.Conn.
-func (c *patientConn) Write(p []byte) (n int, err error) {
+func (c *stallConn) Write(p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var m int
-		if err = c.Conn.SetWriteDeadline(stallsAt(c.writeBy)); err != nil {
+		if err = c.Conn.SetWriteDeadline(nextDeadline(c.writeDeadline)); err != nil {
 			return n, err
 		}
-		m, err = c.Conn.Write(p[n:min(len(p), n+writeSize)])
+		m, err = c.Conn.Write(p[n:min(len(p), n+writeChunk)])
 		n += m
 	}
 	return n, err
 }
 
-// writeSize is how much is written between two looks at the time: 0.1 s at 10 Mbit/s.
-const writeSize = 128 << 10
+// writeChunk is how many bytes are written before the deadline is extended. They take 0.1 s at
+// 10 Mbit/s.
+const writeChunk = 128 << 10
 
 func dial(address string) (net.Conn, error) {
 	conn, err := fasthttp.DialTimeout(address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &patientConn{Conn: conn}, nil
+	return &stallConn{Conn: conn}, nil
 }
 
-// Client talks to one object store. It is safe for concurrent use.
+// Client is a client of one object store. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *fasthttp.Client
@@ -90,12 +93,12 @@
 
 // New returns a client for the store at address (host:port).
 func New(address string) *Client {
-	return &Client{base: "http://" + address + "/objects/", http: &fasthttp.Client{Dial: dial, MaxResponseBodySize: maxObject, RetryIfErr: retryBroken}}
+	return &Client{base: "http://" + address + "/objects/", http: &fasthttp.Client{Dial: dial, MaxResponseBodySize: maxObjectSize, RetryIfErr: retryUnlessTimeout}}
 }
 
-// retryBroken has a request made again whose connection the store had closed, not one that the
-// store left without bytes.
-func retryBroken(_ *fasthttp.Request, _ int, err error) (resetTimeout, retry bool) {
+// retryUnlessTimeout retries a request whose connection failed, for example because the store had
+// closed it, but not a request that timed out.
+func retryUnlessTimeout(_ *fasthttp.Request, _ int, err error) (resetTimeout, retry bool) {
 	var ne net.Error
 	return false, !(errors.As(err, &ne) && ne.Timeout())
 }
--- a/storage/objectclient/client_test.go
+++ b/storage/objectclient/client_test.go
@@ -13,26 +13,26 @@
 	"kingcupplank.example/kingcup/storage"
 )
 
-// Guards against a process that waits for an object store which has fallen silent within an
-// answer.
-func TestAnswerThatFallsSilentIsGivenUp(t *testing.T) {
-	end := make(chan struct{})
+// Guards against a process that waits forever for an object store that stalls in the middle of a
+// response.
+func TestStalledResponseTimesOut(t *testing.T) {
+	release := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "1000")
 		w.Write([]byte("part"))
 		http.NewResponseController(w).Flush()
-		<-end
+		<-release
 	}))
 	t.Cleanup(s.Close)
-	t.Cleanup(func() { close(end) })
-	begun := time.Now()
+	t.Cleanup(func() { close(release) })
+	start := time.Now()
 	_, err := New(strings.TrimPrefix(s.URL, "http://")).Get(t.Context(), "object")
 	require.ErrorIs(t, err, storage.ErrUnavailable)
-	require.Less(t, time.Since(begun), 2*stallTimeout)
+	require.Less(t, time.Since(start), 2*stallTimeout)
 }
 
-// Guards against a store whose bytes trickle holding a caller beyond its deadline.
-func TestDeadlineOfTheCallerHolds(t *testing.T) {
+// Guards against a slow but progressing response that continues beyond the deadline of the context.
+func TestContextDeadlineAppliesToSlowResponses(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "1000")
 		for range 50 {
@@ -42,11 +42,11 @@
 		}
 	}))
 	t.Cleanup(s.Close)
-	const allowed = 300 * time.Millisecond
-	ctx, cancel := context.WithTimeout(t.Context(), allowed)
+	const timeout = 300 * time.Millisecond
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	_, err := New(strings.TrimPrefix(s.URL, "http://")).Get(ctx, "object")
 	require.ErrorIs(t, err, storage.ErrUnavailable)
-	require.Less(t, time.Since(begun), 2*time.Second)
+	require.Less(t, time.Since(start), 2*time.Second)
 }
--- a/storage/tableclient/client.go
+++ b/storage/tableclient/client.go
@@ -1,5 +1,5 @@
-// Package tableclient implements storage.Table and vmlist.Lister over the
-// table service's gRPC protocol.
+// Package tableclient implements storage.Table and vmlist.Lister with the gRPC client of the table
+// service.
 package tableclient
 
 import (
@@ -15,12 +15,12 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// Client talks to one table service. It is safe for concurrent use.
+// Client is a client of one table service. It is safe for concurrent use.
 type Client struct {
 	rpc platformv1.TableServiceClient
 }
 
-// New returns a client on conn, which the caller closes.
+// New returns a client that uses conn. The caller must close conn.
 func New(conn grpc.ClientConnInterface) *Client {
 	return &Client{rpc: platformv1.NewTableServiceClient(conn)}
 }
@@ -44,9 +44,9 @@
 	return resp.GetRevision(), nil
 }
 
-// commitError tells a commit the service refused from one whose answer was
-// lost. Only ResourceExhausted is sent before a commit is looked at; any other
-// code can follow an applied commit, so it counts as unsettled.
+// commitError returns an error that says whether a failed commit was rejected or has an unknown
+// outcome. The service returns ResourceExhausted before it executes a commit. Any other status can
+// occur after the commit was applied.
 func commitError(err error) error {
 	if status.Code(err) == codes.ResourceExhausted {
 		return errors.Wrap(storage.ErrUnavailable, err.Error())
@@ -72,6 +72,7 @@
 	return rows(resp.GetRows()), nil
 }
 
+// rows converts rows of the protocol.
 func rows(in []*platformv1.TableRow) []storage.Row {
 	out := make([]storage.Row, 0, len(in))
 	for _, r := range in {
