--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -33,8 +33,8 @@
 // Config sets an Entry.
 type Config struct {
 	Identity wire.Identity
-	// ListEvery is the period at which the platform's VM list is read.
-	ListEvery time.Duration
+	// ListInterval is the period at which the platform's VM list is read.
+	ListInterval time.Duration
 	// AgentLinks bounds the agents that are watched, over all models.
 	AgentLinks int
 	// Peers is how many other entries are watched.
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -35,12 +35,12 @@
 func (e *Entry) listPause() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.cfg.ListEvery, time.Duration(len(e.listed))*ListPerVM)
+	return max(e.cfg.ListInterval, time.Duration(len(e.listed))*ListPerVM)
 }
 
 // Refresh reads the VM list once and watches the peers it gives.
 func (e *Entry) Refresh(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, e.cfg.ListEvery)
+	ctx, cancel := context.WithTimeout(ctx, e.cfg.ListInterval)
 	defer cancel()
 	vms, err := e.vms.ListVMs(ctx)
 	if err != nil {
