--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -118,7 +118,7 @@
 		func(p Platform) *lease.Manager { return lease.NewManager(p.Table, o.Name, o.LeaseTTL) },
 		func(s *confsync.Syncer, store *conf.Store, links *link.Manager, claims *claim.Claims, leases *lease.Manager, p Platform, log logrus.FieldLogger, rec *metrics.Recorder) *entry.Entry {
 			return entry.New(entry.Config{
-				Identity: o.Identity(), ListInterval: o.ListEvery, AgentLinks: o.AgentLinks, Peers: o.Peers,
+				Identity: o.Identity(), ListInterval: o.ListEvery, AgentLinks: o.AgentLinks, EntryLinks: o.Peers,
 				AcceptTimeout: o.AcceptTimeout, ReattachFor: o.ReattachFor, StreamBytes: streamBytes,
 				SpreadTimeout: spreadTimeout, Tries: placeTries, Random: o.Random,
 				MaxRequests: o.MaxRequests,
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,8 +37,8 @@
 	ListInterval time.Duration
 	// AgentLinks bounds the agents that are watched, over all models.
 	AgentLinks int
-	// Peers is how many other entries are watched.
-	Peers int
+	// EntryLinks is how many other entries are watched.
+	EntryLinks int
 	// AcceptTimeout is how long an agent may take to accept a request.
 	AcceptTimeout time.Duration
 	// ReattachFor is how long a lost agent is tried before a stream is moved
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -80,7 +80,7 @@
 			names[it.Name] = true
 		}
 	}
-	add(entries, e.cfg.Peers)
+	add(entries, e.cfg.EntryLinks)
 	for _, name := range chooseWriters(listed) {
 		if name != e.cfg.Identity.Name {
 			names[name] = true
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -35,7 +35,7 @@
 		for i := range size.entries {
 			e := New(Config{
 				Identity:   wire.Identity{Name: fmt.Sprint("entry-", i), FailureDomain: fmt.Sprint("d", i%8)},
-				AgentLinks: 96, Peers: 4,
+				AgentLinks: 96, EntryLinks: 4,
 			}, Deps{})
 			peers := e.choose(listed)
 			require.LessOrEqual(t, len(peers), 108)
