--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -41,9 +41,9 @@
 	EntryLinks int
 	// AcceptTimeout is how long an agent may take to accept a request.
 	AcceptTimeout time.Duration
-	// ReattachFor is how long a lost agent is tried before a stream is moved
+	// ReattachTimeout is how long a lost agent is tried before a stream is moved
 	// to another backend server.
-	ReattachFor time.Duration
+	ReattachTimeout time.Duration
 	// StreamBytes bounds the token text kept per stream, with which it can be
 	// moved.
 	StreamBytes int
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -335,7 +335,7 @@
 // process was replaced. The time it may take counts from the agent's last word:
 // a stream that broke after a long stall has waited enough and is moved.
 func (f *inflight) reattach(ctx context.Context) (*agentStream, error) {
-	deadline := f.heard.Add(f.e.cfg.ReattachFor)
+	deadline := f.heard.Add(f.e.cfg.ReattachTimeout)
 	for {
 		st, _, err := f.e.open(ctx, f.server, f.attachment())
 		if err == nil {
