--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -119,7 +119,7 @@
 		func(s *confsync.Syncer, store *conf.Store, links *link.Manager, claims *claim.Claims, leases *lease.Manager, p Platform, log logrus.FieldLogger, rec *metrics.Recorder) *entry.Entry {
 			return entry.New(entry.Config{
 				Identity: o.Identity(), ListInterval: o.ListEvery, AgentLinks: o.AgentLinks, EntryLinks: o.Peers,
-				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachFor, StreamBytes: streamBytes,
+				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachFor, MaxStreamBytes: streamBytes,
 				SpreadTimeout: spreadTimeout, Tries: placeTries, Random: o.Random,
 				MaxRequests: o.MaxRequests,
 			}, entry.Deps{Sync: s, Store: store, Links: links, Claims: claims, Leases: leases, VMs: p.VMs, Log: log, Observer: rec})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -44,9 +44,9 @@
 	// ReattachTimeout is how long a lost agent is tried before a stream is moved
 	// to another backend server.
 	ReattachTimeout time.Duration
-	// StreamBytes bounds the token text kept per stream, with which it can be
+	// MaxStreamBytes bounds the token text kept per stream, with which it can be
 	// moved.
-	StreamBytes int
+	MaxStreamBytes int
 	// SpreadTimeout bounds the wait for witnesses of a change.
 	SpreadTimeout time.Duration
 	// Tries bounds the backend servers that one request is offered to.
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -57,7 +57,7 @@
 func (e *Entry) newInflight(req *kingcupv1.GenerateRequest, id string, out sink) *inflight {
 	return &inflight{
 		e: e, req: req, id: id, out: out, attempt: 1, began: time.Now(), heard: time.Now(),
-		kept: stream.NewBuffer(e.cfg.StreamBytes),
+		kept: stream.NewBuffer(e.cfg.MaxStreamBytes),
 	}
 }
 
