--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -47,8 +47,8 @@
 	// MaxStreamBytes bounds the token text kept per stream, with which it can be
 	// moved.
 	MaxStreamBytes int
-	// SpreadTimeout bounds the wait for witnesses of a change.
-	SpreadTimeout time.Duration
+	// PropagationTimeout bounds the wait for witnesses of a change.
+	PropagationTimeout time.Duration
 	// Tries bounds the backend servers that one request is offered to.
 	Tries int
 	// MaxRequests bounds the requests in progress, and so memory.
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -111,7 +111,7 @@
 // would leave a change that nobody can read. With a witness in a second domain
 // a peer can pass it on, whatever single domain is lost.
 func (e *Entry) spread(ctx context.Context, version uint64) *kingcupv1.ApplyResponse {
-	ctx, cancel := context.WithTimeout(ctx, e.cfg.SpreadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, e.cfg.PropagationTimeout)
 	defer cancel()
 	links := e.links.All()
 	held := make(chan *link.Link, len(links))
