--- a/cmd/kingcup-agent/main.go
+++ b/cmd/kingcup-agent/main.go
@@ -27,7 +27,7 @@
 	services := s.List("services", "", "names of the plain services, separated by commas")
 	perToken := s.Int("bytes-per-token", def.BytesPerToken, 1, 64, "prompt bytes that count as one token of memory")
 	buffer := s.Int("buffer-bytes", def.BufferBytes, 1<<10, 64<<20, "token text kept per generation")
-	orphan := s.Duration("orphan-grace", def.OrphanGrace, time.Second, time.Hour, "how long a generation runs on without a reader")
+	orphan := s.Duration("orphan-grace", def.OrphanGracePeriod, time.Second, time.Hour, "how long a generation runs on without a reader")
 	retain := s.Duration("retain", def.Retain, time.Second, time.Hour, "how long a finished generation can be read again")
 	grace := s.Duration("engine-grace", def.EngineGrace, 0, time.Hour, "how long a lost engine is waited for")
 	s.Group("Policy")
@@ -38,7 +38,7 @@
 
 	o := app.AgentOptions{
 		Common: common(), Services: services(), BytesPerToken: *perToken, BufferBytes: *buffer,
-		OrphanGrace: *orphan, Retain: *retain, EngineGrace: *grace,
+		OrphanGracePeriod: *orphan, Retain: *retain, EngineGrace: *grace,
 		Policy: sched.Config{Capacity: *capacity, MaxBatch: *batch, MaxWait: *wait},
 	}
 	log := app.NewLog(o.Common)
--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -23,13 +23,13 @@
 // AgentOptions are the settings of an agent.
 type AgentOptions struct {
 	Common
-	Services      []string
-	BytesPerToken int
-	BufferBytes   int
-	OrphanGrace   time.Duration
-	Retain        time.Duration
-	EngineGrace   time.Duration
-	Policy        sched.Config
+	Services          []string
+	BytesPerToken     int
+	BufferBytes       int
+	OrphanGracePeriod time.Duration
+	Retain            time.Duration
+	EngineGrace       time.Duration
+	Policy            sched.Config
 }
 
 // DefaultAgent fills in the settings that a test or the all-in-one program
@@ -37,7 +37,7 @@
 func DefaultAgent(c Common) AgentOptions {
 	return AgentOptions{
 		Common: c, BytesPerToken: 4, BufferBytes: 256 << 10,
-		OrphanGrace: 15 * time.Second, Retain: time.Minute, EngineGrace: 10 * time.Second,
+		OrphanGracePeriod: 15 * time.Second, Retain: time.Minute, EngineGrace: 10 * time.Second,
 	}
 }
 
@@ -76,7 +76,7 @@
 		func(s *confsync.Syncer, fence *lease.Fence, log logrus.FieldLogger, rec *metrics.Recorder) *agent.Agent {
 			return agent.New(agent.Config{
 				Identity: o.Identity(), BytesPerToken: o.BytesPerToken, BufferBytes: o.BufferBytes,
-				OrphanGracePeriod: o.OrphanGrace, RetentionPeriod: o.Retain, EngineGracePeriod: o.EngineGrace,
+				OrphanGracePeriod: o.OrphanGracePeriod, RetentionPeriod: o.Retain, EngineGracePeriod: o.EngineGrace,
 				TickInterval: agentTick, Workers: agentWorkers, Policy: o.Policy, Services: o.Services,
 			}, agent.Deps{Engine: b.Engine, Service: b.Service, Sync: s, Fence: fence, Log: log, Observer: rec})
 		},
