--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -120,7 +120,7 @@
 			return entry.New(entry.Config{
 				Identity: o.Identity(), ListInterval: o.ListEvery, AgentLinks: o.AgentLinks, EntryLinks: o.Peers,
 				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachFor, MaxStreamBytes: streamBytes,
-				PropagationTimeout: spreadTimeout, Tries: placeTries, Random: o.Random,
+				PropagationTimeout: spreadTimeout, MaxServersPerRequest: placeTries, Random: o.Random,
 				MaxRequests: o.MaxRequests,
 			}, entry.Deps{Sync: s, Store: store, Links: links, Claims: claims, Leases: leases, VMs: p.VMs, Log: log, Observer: rec})
 		},
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -71,7 +71,7 @@
 	var tried []string
 	var last *failure.Error
 	ran := false
-	for range e.cfg.Tries {
+	for range e.cfg.MaxServersPerRequest {
 		server := e.pickService(req, tried)
 		if server == "" {
 			break
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -49,8 +49,8 @@
 	MaxStreamBytes int
 	// PropagationTimeout bounds the wait for witnesses of a change.
 	PropagationTimeout time.Duration
-	// Tries bounds the backend servers that one request is offered to.
-	Tries int
+	// MaxServersPerRequest bounds the backend servers that one request is offered to.
+	MaxServersPerRequest int
 	// MaxRequests bounds the requests in progress, and so memory.
 	MaxRequests int
 	// Random draws for placement; nil takes the process's source.
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -142,7 +142,7 @@
 
 // start offers the generation to backend servers until one accepts it.
 func (f *inflight) start(ctx context.Context) (*agentStream, error) {
-	for range f.e.cfg.Tries {
+	for range f.e.cfg.MaxServersPerRequest {
 		server := f.pick()
 		if server == "" {
 			break
