--- a/cmd/kingcup-agent/main.go
+++ b/cmd/kingcup-agent/main.go
@@ -29,7 +29,7 @@
 	buffer := s.Int("buffer-bytes", def.BufferBytes, 1<<10, 64<<20, "token text kept per generation")
 	orphan := s.Duration("orphan-grace", def.OrphanGracePeriod, time.Second, time.Hour, "how long a generation runs on without a reader")
 	retain := s.Duration("retain", def.Retain, time.Second, time.Hour, "how long a finished generation can be read again")
-	grace := s.Duration("engine-grace", def.EngineGrace, 0, time.Hour, "how long a lost engine is waited for")
+	grace := s.Duration("engine-grace", def.EngineGracePeriod, 0, time.Hour, "how long a lost engine is waited for")
 	s.Group("Policy")
 	capacity := s.Int("capacity", 0, 0, 1<<30, "engine memory in tokens; 0 asks the engine")
 	batch := s.Int("max-batch", sched.DefaultMaxBatch, 1, 1<<16, "streams that run at once")
@@ -38,7 +38,7 @@
 
 	o := app.AgentOptions{
 		Common: common(), Services: services(), BytesPerToken: *perToken, BufferBytes: *buffer,
-		OrphanGracePeriod: *orphan, Retain: *retain, EngineGrace: *grace,
+		OrphanGracePeriod: *orphan, Retain: *retain, EngineGracePeriod: *grace,
 		Policy: sched.Config{Capacity: *capacity, MaxBatch: *batch, MaxWait: *wait},
 	}
 	log := app.NewLog(o.Common)
