--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -26,16 +26,16 @@
 	}
 }
 
-// ListPerVM stretches the time between two looks at the list with its length.
+// ListIntervalPerVM stretches the time between two looks at the list with its length.
 // The list of the target size has some 80 KB; read every 5 s, it would take the
 // whole of a node's bound for control. Heartbeats tell of leaving servers
 // meanwhile, so only the discovery of new ones slows down, to half a minute.
-const ListPerVM = 25 * time.Millisecond
+const ListIntervalPerVM = 25 * time.Millisecond
 
 func (e *Entry) listPause() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.cfg.ListInterval, time.Duration(len(e.listed))*ListPerVM)
+	return max(e.cfg.ListInterval, time.Duration(len(e.listed))*ListIntervalPerVM)
 }
 
 // Refresh reads the VM list once and watches the peers it gives.
--- a/internal/slopes/report.go
+++ b/internal/slopes/report.go
@@ -109,7 +109,7 @@
 	watchers := float64(t.Entries) * float64(t.AgentLinks) / float64(t.Servers)
 	beats := 1 / t.Heartbeat.Seconds()
 	config := c.Memory.Slope * float64(t.Teams+t.Models) / 1024 / 1024
-	list := time.Duration(t.Entries+t.Servers) * entry.ListPerVM
+	list := time.Duration(t.Entries+t.Servers) * entry.ListIntervalPerVM
 	listRate := float64(t.listBytes()) / list.Seconds()
 	fmt.Fprintf(w, "\nVM list: %d bytes, read by an entry every %v: %.1f KB/s\n", t.listBytes(), list, listRate/1024)
 	fmt.Fprintln(w, "\n## Control at the target size, a node")
