--- a/cmd/kingcup-agent/main.go
+++ b/cmd/kingcup-agent/main.go
@@ -28,7 +28,7 @@
 	perToken := s.Int("bytes-per-token", def.BytesPerToken, 1, 64, "prompt bytes that count as one token of memory")
 	buffer := s.Int("buffer-bytes", def.BufferBytes, 1<<10, 64<<20, "token text kept per generation")
 	orphan := s.Duration("orphan-grace", def.OrphanGracePeriod, time.Second, time.Hour, "how long a generation runs on without a reader")
-	retain := s.Duration("retain", def.Retain, time.Second, time.Hour, "how long a finished generation can be read again")
+	retain := s.Duration("retain", def.RetentionPeriod, time.Second, time.Hour, "how long a finished generation can be read again")
 	grace := s.Duration("engine-grace", def.EngineGracePeriod, 0, time.Hour, "how long a lost engine is waited for")
 	s.Group("Policy")
 	capacity := s.Int("capacity", 0, 0, 1<<30, "engine memory in tokens; 0 asks the engine")
@@ -38,7 +38,7 @@
 
 	o := app.AgentOptions{
 		Common: common(), Services: services(), BytesPerToken: *perToken, BufferBytes: *buffer,
-		OrphanGracePeriod: *orphan, Retain: *retain, EngineGracePeriod: *grace,
+		OrphanGracePeriod: *orphan, RetentionPeriod: *retain, EngineGracePeriod: *grace,
 		Policy: sched.Config{Capacity: *capacity, MaxBatch: *batch, MaxWait: *wait},
 	}
 	log := app.NewLog(o.Common)
--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -27,7 +27,7 @@
 	BytesPerToken     int
 	BufferBytes       int
 	OrphanGracePeriod time.Duration
-	Retain            time.Duration
+	RetentionPeriod   time.Duration
 	EngineGracePeriod time.Duration
 	Policy            sched.Config
 }
@@ -37,7 +37,7 @@
 func DefaultAgent(c Common) AgentOptions {
 	return AgentOptions{
 		Common: c, BytesPerToken: 4, BufferBytes: 256 << 10,
-		OrphanGracePeriod: 15 * time.Second, Retain: time.Minute, EngineGracePeriod: 10 * time.Second,
+		OrphanGracePeriod: 15 * time.Second, RetentionPeriod: time.Minute, EngineGracePeriod: 10 * time.Second,
 	}
 }
 
@@ -76,7 +76,7 @@
 		func(s *confsync.Syncer, fence *lease.Fence, log logrus.FieldLogger, rec *metrics.Recorder) *agent.Agent {
 			return agent.New(agent.Config{
 				Identity: o.Identity(), BytesPerToken: o.BytesPerToken, BufferBytes: o.BufferBytes,
-				OrphanGracePeriod: o.OrphanGracePeriod, RetentionPeriod: o.Retain, EngineGracePeriod: o.EngineGracePeriod,
+				OrphanGracePeriod: o.OrphanGracePeriod, RetentionPeriod: o.RetentionPeriod, EngineGracePeriod: o.EngineGracePeriod,
 				TickInterval: agentTick, Workers: agentWorkers, Policy: o.Policy, Services: o.Services,
 			}, agent.Deps{Engine: b.Engine, Service: b.Service, Sync: s, Fence: fence, Log: log, Observer: rec})
 		},
