--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	err := provideAll(c, []any{
-		func(p Platform) *lease.Fence { return lease.NewFence(p.Table, entry.OrderLease(o.Name)) },
+		func(p Platform) *lease.Fence { return lease.NewFence(p.Table, entry.OrderLeaseName(o.Name)) },
 		func(s *confsync.Syncer, fence *lease.Fence, log logrus.FieldLogger, rec *metrics.Recorder) *agent.Agent {
 			return agent.New(agent.Config{
 				Identity: o.Identity(), BytesPerToken: o.BytesPerToken, BufferBytes: o.BufferBytes,
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -221,7 +221,7 @@
 	if req.GetVerb() == kingcupv1.OrderVerb_ORDER_VERB_UNSPECIFIED || req.GetModel() == "" {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_INVALID, 0, "an order needs a verb and a model")
 	}
-	name := OrderLease(req.GetBackendServer())
+	name := OrderLeaseName(req.GetBackendServer())
 	held, err := e.leases.Acquire(ctx, name)
 	if err != nil {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_CONFLICT, storeRetry, "%v", err)
@@ -238,8 +238,8 @@
 	return &kingcupv1.OrderResponse{Term: held.Term, Outcome: kingcupv1.Outcome_OUTCOME_ANSWERED}, nil
 }
 
-// OrderLease is the name of the lease that orders to a backend server need.
-func OrderLease(server string) string {
+// OrderLeaseName is the name of the lease that orders to a backend server need.
+func OrderLeaseName(server string) string {
 	return "order/" + server
 }
 
--- a/internal/proof/config_test.go
+++ b/internal/proof/config_test.go
@@ -248,7 +248,7 @@
 			virtual(t, func(t *testing.T) {
 				s := newSystem(t, setup{entries: 2, servers: 1, checksTerm: checks})
 				defer s.close()
-				paused, err := lease.NewManager(s.table, "paused", 5*time.Second).Acquire(t.Context(), entry.OrderLease("server-0"))
+				paused, err := lease.NewManager(s.table, "paused", 5*time.Second).Acquire(t.Context(), entry.OrderLeaseName("server-0"))
 				require.NoError(t, err)
 				time.Sleep(6 * time.Second)
 				require.False(t, paused.Valid(time.Now()))
--- a/internal/proof/process_test.go
+++ b/internal/proof/process_test.go
@@ -239,7 +239,7 @@
 	frozen := make(chan error, 1)
 	go func() { frozen <- order(0, "old") }()
 	until(t, "lease taken", func() bool {
-		term, err := lease.ReadTerm(t.Context(), p.tableClient(), entry.OrderLease("server-0"))
+		term, err := lease.ReadTerm(t.Context(), p.tableClient(), entry.OrderLeaseName("server-0"))
 		return err == nil && term == 1
 	})
 	p.signal("entry-0", syscall.SIGSTOP)
