--- a/cmd/kingcup-agent/main.go
+++ b/cmd/kingcup-agent/main.go
@@ -21,7 +21,7 @@
 	s := settings.New("kingcup-agent", "decides admission, order and preemption for one backend server")
 	common := app.AddCommon(s)
 	s.Group("Backend server")
-	def := app.DefaultAgent(app.Common{})
+	def := app.DefaultAgent(app.CommonOptions{})
 	engineAddr := s.Address("engine-address", "", "model engine of this backend server; empty for none", false)
 	serviceAddr := s.Address("service-address", "", "plain service of this backend server; empty for none", false)
 	services := s.List("services", "", "names of the plain services, separated by commas")
@@ -37,11 +37,11 @@
 	s.MustParse()
 
 	o := app.AgentOptions{
-		Common: common(), Services: services(), BytesPerToken: *perToken, BufferBytes: *buffer,
+		CommonOptions: common(), Services: services(), BytesPerToken: *perToken, BufferBytes: *buffer,
 		OrphanGracePeriod: *orphan, RetentionPeriod: *retain, EngineGracePeriod: *grace,
 		Policy: sched.Config{Capacity: *capacity, MaxBatch: *batch, MaxWait: *wait},
 	}
-	log := app.NewLog(o.Common)
+	log := app.NewLog(o.CommonOptions)
 	if err := run(o, *engineAddr, *serviceAddr, log); err != nil {
 		fmt.Fprintln(os.Stderr, "kingcup-agent:", err)
 		os.Exit(1)
@@ -63,7 +63,7 @@
 	if serviceAddr != "" {
 		b.Service = serviceclient.New(serviceAddr)
 	}
-	p, err := app.DialPlatform(o.Common)
+	p, err := app.DialPlatform(o.CommonOptions)
 	if err != nil {
 		return err
 	}
--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -16,7 +16,7 @@
 	common := app.AddCommon(s)
 	s.Group("Callers")
 	callers := s.Address("caller-address", "", "address for callers and operators", true)
-	def := app.DefaultEntry(app.Common{})
+	def := app.DefaultEntry(app.CommonOptions{})
 	most := s.Int("max-requests", def.MaxRequests, 1, 1000000, "most requests in progress; more are refused")
 	s.Group("Backend servers")
 	links := s.Int("agent-links", def.AgentLinks, 2, 10000, "most agents watched, over all models")
@@ -31,12 +31,12 @@
 	s.MustParse()
 
 	o := app.EntryOptions{
-		Common: common(), CallerAddress: *callers, AgentLinks: *links, Peers: *peers, Heartbeat: *beat,
+		CommonOptions: common(), CallerAddress: *callers, AgentLinks: *links, Peers: *peers, Heartbeat: *beat,
 		ListEvery: *list, AcceptTimeout: *accept, ReattachFor: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
 		MaxRequests: *most,
 	}
-	log := app.NewLog(o.Common)
-	p, err := app.DialPlatform(o.Common)
+	log := app.NewLog(o.CommonOptions)
+	p, err := app.DialPlatform(o.CommonOptions)
 	if err == nil {
 		var e *app.Entry
 		if e, err = app.StartEntry(o, p, wire.TCP{}, log); err == nil {
--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -22,7 +22,7 @@
 
 // AgentOptions are the settings of an agent.
 type AgentOptions struct {
-	Common
+	CommonOptions
 	Services          []string
 	BytesPerToken     int
 	BufferBytes       int
@@ -34,9 +34,9 @@
 
 // DefaultAgent fills in the settings that a test or the all-in-one program
 // does not care about.
-func DefaultAgent(c Common) AgentOptions {
+func DefaultAgent(c CommonOptions) AgentOptions {
 	return AgentOptions{
-		Common: c, BytesPerToken: 4, BufferBytes: 256 << 10,
+		CommonOptions: c, BytesPerToken: 4, BufferBytes: 256 << 10,
 		OrphanGracePeriod: 15 * time.Second, RetentionPeriod: time.Minute, EngineGracePeriod: 10 * time.Second,
 	}
 }
@@ -68,7 +68,7 @@
 // answered.
 func StartAgent(ctx context.Context, o AgentOptions, b Backend, p Platform, network wire.Network, log logrus.FieldLogger) (*Agent, error) {
 	c := dig.New()
-	if err := provide(c, o.Common, p, log, network); err != nil {
+	if err := provide(c, o.CommonOptions, p, log, network); err != nil {
 		return nil, err
 	}
 	err := provideAll(c, []any{
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -25,7 +25,7 @@
 
 // EntryOptions are the settings of an entry.
 type EntryOptions struct {
-	Common
+	CommonOptions
 	CallerAddress string
 	AgentLinks    int
 	Peers         int
@@ -42,9 +42,9 @@
 
 // DefaultEntry fills in the settings that a test or the all-in-one program
 // does not care about.
-func DefaultEntry(c Common) EntryOptions {
+func DefaultEntry(c CommonOptions) EntryOptions {
 	return EntryOptions{
-		Common: c, AgentLinks: 96, Peers: 4, Heartbeat: time.Second, ListEvery: 5 * time.Second,
+		CommonOptions: c, AgentLinks: 96, Peers: 4, Heartbeat: time.Second, ListEvery: 5 * time.Second,
 		AcceptTimeout: 2 * time.Second, ReattachFor: 3 * time.Second,
 		ClaimWindow: 3 * time.Millisecond, LeaseTTL: 15 * time.Second, MaxRequests: 10000,
 	}
@@ -78,9 +78,9 @@
 )
 
 // provide registers what entry and agent share.
-func provide(c *dig.Container, common Common, p Platform, log logrus.FieldLogger, network wire.Network) error {
+func provide(c *dig.Container, common CommonOptions, p Platform, log logrus.FieldLogger, network wire.Network) error {
 	providers := []any{
-		func() Common { return common },
+		func() CommonOptions { return common },
 		func() Platform { return p },
 		func() logrus.FieldLogger { return log },
 		func() wire.Network { return network },
@@ -106,7 +106,7 @@
 // StartEntry runs an entry until Close.
 func StartEntry(o EntryOptions, p Platform, network wire.Network, log logrus.FieldLogger) (*Entry, error) {
 	c := dig.New()
-	if err := provide(c, o.Common, p, log, network); err != nil {
+	if err := provide(c, o.CommonOptions, p, log, network); err != nil {
 		return nil, err
 	}
 	err := provideAll(c, []any{
--- a/internal/app/options.go
+++ b/internal/app/options.go
@@ -19,8 +19,8 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// Common are the settings of every daemon.
-type Common struct {
+// CommonOptions are the settings of every daemon.
+type CommonOptions struct {
 	Name          string
 	FailureDomain string
 	InnerAddress  string
@@ -36,7 +36,7 @@
 
 // AddCommon defines the settings of every daemon; the returned function reads
 // them after parsing.
-func AddCommon(s *settings.Set) func() Common {
+func AddCommon(s *settings.Set) func() CommonOptions {
 	name := s.String("name", "", "name of this VM, unique in the system", true)
 	domain := s.String("failure-domain", "", "failure domain of this VM", true)
 	level := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
@@ -50,8 +50,8 @@
 	objects := s.Address("object-address", "", "object store of the platform", true)
 	poll := s.Duration("config-poll", 4*time.Second, 100*time.Millisecond, time.Minute, "mean time between looks at the configuration head")
 	stale := s.Duration("config-stale", 30*time.Second, time.Second, time.Hour, "longest time ready without a confirmed configuration")
-	return func() Common {
-		return Common{
+	return func() CommonOptions {
+		return CommonOptions{
 			Name: *name, FailureDomain: *domain, InnerAddress: *inner, AdminAddress: *admin,
 			TableAddress: *table, ObjectAddress: *objects, ConfigPoll: *poll, ConfigStale: *stale,
 			DrainTimeout: *drain, LogLevel: *level, LogFormat: *format,
@@ -60,7 +60,7 @@
 }
 
 // NewLog returns the logger that the settings ask for.
-func NewLog(c Common) logrus.FieldLogger {
+func NewLog(c CommonOptions) logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
 	if level, err := logrus.ParseLevel(c.LogLevel); err == nil {
@@ -80,7 +80,7 @@
 }
 
 // DialPlatform connects to the platform that the settings name.
-func DialPlatform(c Common) (Platform, error) {
+func DialPlatform(c CommonOptions) (Platform, error) {
 	conn, err := DialGRPC(c.TableAddress)
 	if err != nil {
 		return Platform{}, err
@@ -101,6 +101,6 @@
 }
 
 // Identity is the wire identity of the settings.
-func (c Common) Identity() wire.Identity {
+func (c CommonOptions) Identity() wire.Identity {
 	return wire.Identity{Name: c.Name, FailureDomain: c.FailureDomain}
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -86,12 +86,12 @@
 	return app.Platform{Table: s.Table, Objects: s.Table, VMs: s.Table}
 }
 
-func common(o Options, name string, i int, inner string) app.Common {
+func common(o Options, name string, i int, inner string) app.CommonOptions {
 	level := "error"
 	if o.Verbose {
 		level = "debug"
 	}
-	return app.Common{
+	return app.CommonOptions{
 		Name: name, FailureDomain: domains[i%len(domains)], InnerAddress: inner,
 		ConfigPoll: time.Second, ConfigStale: 30 * time.Second, LogLevel: level, LogFormat: "text",
 	}
@@ -106,7 +106,7 @@
 	if b.Service != nil {
 		opts.Services = []string{serves}
 	}
-	a, err := app.StartAgent(context.Background(), opts, b, s.platform(), wire.TCP{}, app.NewLog(opts.Common))
+	a, err := app.StartAgent(context.Background(), opts, b, s.platform(), wire.TCP{}, app.NewLog(opts.CommonOptions))
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 	opts.AdminAddress = admin
 	opts.Heartbeat = 200 * time.Millisecond
 	opts.ListEvery = time.Second
-	var log logrus.FieldLogger = app.NewLog(opts.Common)
+	var log logrus.FieldLogger = app.NewLog(opts.CommonOptions)
 	s.Table.PutVM(vmlist.VM{Name: opts.Name, Address: inner, FailureDomain: opts.FailureDomain, Role: vmlist.RoleEntry})
 	e, err := app.StartEntry(opts, s.platform(), wire.TCP{}, log)
 	if err != nil {
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -179,9 +179,9 @@
 	return s
 }
 
-func (s *system) common(name string, i int) app.Common {
+func (s *system) common(name string, i int) app.CommonOptions {
 	s.domainOf[name] = domains[i%len(domains)]
-	return app.Common{
+	return app.CommonOptions{
 		Name: name, FailureDomain: domains[i%len(domains)], InnerAddress: name,
 		ConfigPoll: 2 * time.Second, ConfigStale: 20 * time.Second,
 	}
@@ -202,7 +202,7 @@
 
 // platform is what the platform gives to one process: nothing, while its region
 // is parted from the store's.
-func (s *system) platform(c app.Common) app.Platform {
+func (s *system) platform(c app.CommonOptions) app.Platform {
 	p := s.plat
 	p.Table = gated{p.Table, func() bool { return s.parted.Load() && far(c.InnerAddress, s) }}
 	return p
@@ -247,7 +247,7 @@
 }
 
 func (s *system) startAgent(n *node) {
-	a, err := app.StartAgent(context.Background(), n.opts, n.backend, s.platform(n.opts.Common), s.net.From(n.opts.InnerAddress), s.log)
+	a, err := app.StartAgent(context.Background(), n.opts, n.backend, s.platform(n.opts.CommonOptions), s.net.From(n.opts.InnerAddress), s.log)
 	require.NoError(s.t, err)
 	n.agent = a
 }
@@ -268,7 +268,7 @@
 }
 
 func (s *system) startEntry(i int) {
-	e, err := app.StartEntry(s.eopts[i], s.platform(s.eopts[i].Common), s.net.From(s.eopts[i].InnerAddress), s.log)
+	e, err := app.StartEntry(s.eopts[i], s.platform(s.eopts[i].CommonOptions), s.net.From(s.eopts[i].InnerAddress), s.log)
 	require.NoError(s.t, err)
 	s.entries[i] = e
 }
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -53,9 +53,9 @@
 // numDomains is the number of failure domains of the target size.
 const numDomains = 8
 
-func (n *nodes) common(role string, i int) (app.Common, error) {
+func (n *nodes) common(role string, i int) (app.CommonOptions, error) {
 	inner, err := standin.FreePort()
-	return app.Common{
+	return app.CommonOptions{
 		Name: fmt.Sprintf("%s-%d", role, i), FailureDomain: fmt.Sprintf("d%d", i%numDomains),
 		InnerAddress: inner, ConfigPoll: n.poll, ConfigStale: time.Minute,
 	}, err
