--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -55,7 +55,7 @@
 	e.listed = listed
 	e.writers = chooseWriters(listed)
 	e.mu.Unlock()
-	e.links.Set(e.choose(listed))
+	e.links.SetPeers(e.choose(listed))
 }
 
 // choose picks the peers to watch: for each model a bounded subset of the
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -58,8 +58,8 @@
 	return &Manager{cfg: cfg, network: network, sync: s, log: log, ctx: ctx, cancel: cancel, links: make(map[string]*Link)}
 }
 
-// Set makes peers the ones that are watched.
-func (m *Manager) Set(peers []Peer) {
+// SetPeers makes peers the ones that are watched.
+func (m *Manager) SetPeers(peers []Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	keep := make(map[string]bool, len(peers))
