--- a/cmd/kingcup-agent/main.go
+++ b/cmd/kingcup-agent/main.go
@@ -19,7 +19,7 @@
 
 func main() {
 	s := settings.New("kingcup-agent", "decides admission, order and preemption for one backend server")
-	common := app.AddCommon(s)
+	common := app.AddCommonFlags(s)
 	s.Group("Backend server")
 	def := app.DefaultAgent(app.CommonOptions{})
 	engineAddr := s.Address("engine-address", "", "model engine of this backend server; empty for none", false)
--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -13,7 +13,7 @@
 
 func main() {
 	s := settings.New("kingcup-entry", "terminates callers and operators and relays their requests to agents")
-	common := app.AddCommon(s)
+	common := app.AddCommonFlags(s)
 	s.Group("Callers")
 	callers := s.Address("caller-address", "", "address for callers and operators", true)
 	def := app.DefaultEntry(app.CommonOptions{})
--- a/internal/app/options.go
+++ b/internal/app/options.go
@@ -34,9 +34,9 @@
 	LogFormat     string
 }
 
-// AddCommon defines the settings of every daemon; the returned function reads
+// AddCommonFlags defines the settings of every daemon; the returned function reads
 // them after parsing.
-func AddCommon(s *settings.Set) func() CommonOptions {
+func AddCommonFlags(s *settings.Set) func() CommonOptions {
 	name := s.String("name", "", "name of this VM, unique in the system", true)
 	domain := s.String("failure-domain", "", "failure domain of this VM", true)
 	level := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
