--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -303,7 +303,7 @@
 		if sess == nil {
 			return nil, nil, errors.Errorf("no session to %s", server)
 		}
-		l.Sent()
+		l.RecordSent()
 		return sess, release, nil
 	}
 	address, ok := e.address(server)
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -156,8 +156,8 @@
 	return s
 }
 
-// Sent notes that a request goes to the peer.
-func (l *Link) Sent() {
+// RecordSent notes that a request goes to the peer.
+func (l *Link) RecordSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent++
