--- a/cmd/kingcup-agent/main.go
+++ b/cmd/kingcup-agent/main.go
@@ -21,7 +21,7 @@
 	s := settings.New("kingcup-agent", "decides admission, order and preemption for one backend server")
 	common := app.AddCommonFlags(s)
 	s.Group("Backend server")
-	def := app.DefaultAgent(app.CommonOptions{})
+	def := app.DefaultAgentOptions(app.CommonOptions{})
 	engineAddr := s.Address("engine-address", "", "model engine of this backend server; empty for none", false)
 	serviceAddr := s.Address("service-address", "", "plain service of this backend server; empty for none", false)
 	services := s.List("services", "", "names of the plain services, separated by commas")
--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -32,9 +32,9 @@
 	Policy            sched.Config
 }
 
-// DefaultAgent fills in the settings that a test or the all-in-one program
+// DefaultAgentOptions fills in the settings that a test or the all-in-one program
 // does not care about.
-func DefaultAgent(c CommonOptions) AgentOptions {
+func DefaultAgentOptions(c CommonOptions) AgentOptions {
 	return AgentOptions{
 		CommonOptions: c, BytesPerToken: 4, BufferBytes: 256 << 10,
 		OrphanGracePeriod: 15 * time.Second, RetentionPeriod: time.Minute, EngineGracePeriod: 10 * time.Second,
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	opts := app.DefaultAgent(common(o, name, i, inner))
+	opts := app.DefaultAgentOptions(common(o, name, i, inner))
 	if b.Service != nil {
 		opts.Services = []string{serves}
 	}
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -188,7 +188,7 @@
 }
 
 func (s *system) addNode(name string, i int, b app.Backend, serves string) {
-	n := &node{opts: app.DefaultAgent(s.common(name, i)), backend: b}
+	n := &node{opts: app.DefaultAgentOptions(s.common(name, i)), backend: b}
 	if s.buffer > 0 {
 		n.opts.BufferBytes = s.buffer
 	}
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	o := app.DefaultAgent(c)
+	o := app.DefaultAgentOptions(c)
 	// Streams must not queue: what is measured is the relay.
 	o.Policy.MaxBatch = measuredBatch
 	b, serves := app.Backend{Service: services.New()}, service
