--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -144,7 +144,7 @@
 		Queued:          int(hb.GetLoad().GetQueued()),
 		MemoryForecast:  hb.GetLoad().GetMemoryForecast(),
 		MemoryTotal:     hb.GetLoad().GetMemoryCapacity(),
-		SentSinceReport: st.Sent,
+		SentSinceReport: st.SentSinceHeartbeat,
 	}, true
 }
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -141,15 +141,15 @@
 	Connected bool
 	Heartbeat *innerv1.Heartbeat
 	Age       time.Duration
-	// Sent counts Sent calls since the last heartbeat.
-	Sent int
+	// SentSinceHeartbeat counts SentSinceHeartbeat calls since the last heartbeat.
+	SentSinceHeartbeat int
 }
 
 // Status returns what is known now.
 func (l *Link) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Status{Peer: l.peer, Connected: l.session != nil, Heartbeat: l.beat, Sent: l.sent}
+	s := Status{Peer: l.peer, Connected: l.session != nil, Heartbeat: l.beat, SentSinceHeartbeat: l.sent}
 	if l.beat != nil {
 		s.Age = time.Since(l.heard)
 	}
