--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -16,7 +16,7 @@
 	common := app.AddCommonFlags(s)
 	s.Group("Callers")
 	callers := s.Address("caller-address", "", "address for callers and operators", true)
-	def := app.DefaultEntry(app.CommonOptions{})
+	def := app.DefaultEntryOptions(app.CommonOptions{})
 	most := s.Int("max-requests", def.MaxRequests, 1, 1000000, "most requests in progress; more are refused")
 	s.Group("Backend servers")
 	links := s.Int("agent-links", def.AgentLinks, 2, 10000, "most agents watched, over all models")
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -40,9 +40,9 @@
 	Random func() uint64
 }
 
-// DefaultEntry fills in the settings that a test or the all-in-one program
+// DefaultEntryOptions fills in the settings that a test or the all-in-one program
 // does not care about.
-func DefaultEntry(c CommonOptions) EntryOptions {
+func DefaultEntryOptions(c CommonOptions) EntryOptions {
 	return EntryOptions{
 		CommonOptions: c, AgentLinks: 96, Peers: 4, Heartbeat: time.Second, ListEvery: 5 * time.Second,
 		AcceptTimeout: 2 * time.Second, ReattachFor: 3 * time.Second,
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	opts := app.DefaultEntry(common(o, fmt.Sprintf("entry-%d", i), i, inner))
+	opts := app.DefaultEntryOptions(common(o, fmt.Sprintf("entry-%d", i), i, inner))
 	opts.CallerAddress = "127.0.0.1:0"
 	opts.AdminAddress = admin
 	opts.Heartbeat = 200 * time.Millisecond
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -253,7 +253,7 @@
 }
 
 func (s *system) addEntry(i int) {
-	o := app.DefaultEntry(s.common(fmt.Sprintf("entry-%d", i), i))
+	o := app.DefaultEntryOptions(s.common(fmt.Sprintf("entry-%d", i), i))
 	o.CallerAddress = o.Name + "-callers"
 	o.Random = s.random.Uint64
 	s.table.PutVM(vmlist.VM{Name: o.Name, Address: o.InnerAddress, FailureDomain: o.FailureDomain, Role: vmlist.RoleEntry})
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	o := app.DefaultEntry(c)
+	o := app.DefaultEntryOptions(c)
 	o.CallerAddress = "127.0.0.1:0"
 	o.AgentLinks, o.Heartbeat, o.ListEvery = links, n.heartbeat, 500*time.Millisecond
 	n.table.PutVM(vmlist.VM{Name: c.Name, Address: c.InnerAddress, FailureDomain: c.FailureDomain, Role: vmlist.RoleEntry})
