--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -193,7 +193,7 @@
 	st := l.Status()
 	hb := st.Heartbeat
 	out.Connected = st.Connected
-	out.HeartbeatAgeMs = uint64(st.Age.Milliseconds())
+	out.HeartbeatAgeMs = uint64(st.HeartbeatAge.Milliseconds())
 	if hb == nil {
 		return out
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -137,10 +137,10 @@
 
 // Status is what is known of a peer.
 type Status struct {
-	Peer      Peer
-	Connected bool
-	Heartbeat *innerv1.Heartbeat
-	Age       time.Duration
+	Peer         Peer
+	Connected    bool
+	Heartbeat    *innerv1.Heartbeat
+	HeartbeatAge time.Duration
 	// SentSinceHeartbeat counts SentSinceHeartbeat calls since the last heartbeat.
 	SentSinceHeartbeat int
 }
@@ -151,7 +151,7 @@
 	defer l.mu.Unlock()
 	s := Status{Peer: l.peer, Connected: l.session != nil, Heartbeat: l.beat, SentSinceHeartbeat: l.sent}
 	if l.beat != nil {
-		s.Age = time.Since(l.heard)
+		s.HeartbeatAge = time.Since(l.heard)
 	}
 	return s
 }
