--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -152,7 +152,7 @@
 	// A caller whose VM died sends no end; its streams would be relayed for as
 	// long as TCP believes in it.
 	alive := keepalive.ServerParameters{Time: callerKeepalive, Timeout: callerTimeout}
-	r.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessage), grpc.KeepaliveParams(alive))
+	r.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.KeepaliveParams(alive))
 	r.Entry.Register(r.grpc)
 	if r.admin, err = startAdmin(o.AdminAddress, network, rec, r.Entry.Ready, &r.wg); err != nil {
 		inner.Close()
--- a/internal/app/options.go
+++ b/internal/app/options.go
@@ -89,14 +89,14 @@
 	return Platform{Table: table, Objects: objectclient.New(c.ObjectAddress), VMs: table}, nil
 }
 
-// MaxMessage bounds a gRPC message in bytes, towards callers and engines.
-const MaxMessage = 8 << 20
+// MaxMessageBytes bounds a gRPC message in bytes, towards callers and engines.
+const MaxMessageBytes = 8 << 20
 
 // DialGRPC connects to a gRPC server on the platform's private network.
 func DialGRPC(address string) (*grpc.ClientConn, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessage)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageBytes)))
 	return conn, errors.Wrapf(err, "connect to %s", address)
 }
 
