--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -111,7 +111,7 @@
 	}
 	err := provideAll(c, []any{
 		func(network wire.Network, s *confsync.Syncer, log logrus.FieldLogger) *link.Manager {
-			cfg := link.Config{Identity: o.Identity(), Period: o.Heartbeat, DialTimeout: o.AcceptTimeout}
+			cfg := link.Config{Identity: o.Identity(), HeartbeatInterval: o.Heartbeat, DialTimeout: o.AcceptTimeout}
 			return link.NewManager(cfg, network, s, log)
 		},
 		func(p Platform) *claim.Claims { return claim.New(p.Table, o.ClaimWindow) },
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -28,8 +28,8 @@
 // Config sets a Manager.
 type Config struct {
 	Identity wire.Identity
-	// Period is the time between heartbeats.
-	Period time.Duration
+	// HeartbeatInterval is the time between heartbeats.
+	HeartbeatInterval time.Duration
 	// DialTimeout bounds a connection attempt.
 	DialTimeout time.Duration
 }
@@ -164,7 +164,7 @@
 }
 
 func (l *Link) run(ctx context.Context) {
-	backoff := retry.Backoff{Base: l.m.cfg.Period / 4, Max: 4 * l.m.cfg.Period}
+	backoff := retry.Backoff{Base: l.m.cfg.HeartbeatInterval / 4, Max: 4 * l.m.cfg.HeartbeatInterval}
 	for failures := 0; ctx.Err() == nil; {
 		sess, st, err := l.connect(ctx)
 		if err == nil {
@@ -232,7 +232,7 @@
 	defer context.AfterFunc(ctx, func() { sess.Close() })()
 	st, _, err := sess.Open(&innerv1.Open{
 		ConfigVersion: l.m.sync.Replica().Version(),
-		Kind:          &innerv1.Open_Watch{Watch: &innerv1.Watch{PeriodMs: uint32(l.m.cfg.Period.Milliseconds())}},
+		Kind:          &innerv1.Open_Watch{Watch: &innerv1.Watch{PeriodMs: uint32(l.m.cfg.HeartbeatInterval.Milliseconds())}},
 	})
 	if err != nil {
 		sess.Close()
@@ -246,7 +246,7 @@
 }
 
 func (l *Link) hear(st *wire.Stream) error {
-	st.SetReadDeadline(time.Now().Add(missedBeats * l.m.cfg.Period))
+	st.SetReadDeadline(time.Now().Add(missedBeats * l.m.cfg.HeartbeatInterval))
 	reply := &innerv1.Reply{}
 	if err := st.Recv(reply); err != nil {
 		return err
