--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -229,7 +229,7 @@
 	if ch == nil {
 		return encodedChange{head: &peerv1.Change{Base: version, Version: version}}, nil
 	}
-	head, parts, err := changewire.Encode(ch, wait.Breathe)
+	head, parts, err := changewire.Encode(ch, wait.YieldCPU)
 	if err != nil {
 		return encodedChange{}, err
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -72,7 +72,7 @@
 	g.suspects = newSuspects(g)
 	g.answerBy(g.newest)
 	g.cordons = cordon.New(g.cordonsChanged)
-	g.config = &configSharing{group: g, replica: replica, sink: operator.NewSink(replica, g.cordons, clock.SinceBoot, wait.Breathe, log)}
+	g.config = &configSharing{group: g, replica: replica, sink: operator.NewSink(replica, g.cordons, clock.SinceBoot, wait.YieldCPU, log)}
 	var d net.Dialer
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -66,7 +66,7 @@
 			return nil, err
 		}
 		parts = append(parts, part)
-		wait.Breathe()
+		wait.YieldCPU()
 	}
 	return parts, nil
 }
