--- a/internal/mux/frame.go
+++ b/internal/mux/frame.go
@@ -39,9 +39,9 @@
 	return err
 }
 
-// Frame encodes msg with its length in front, for a message that goes to several
+// EncodeFrame encodes msg with its length in front, for a message that goes to several
 // peers.
-func Frame(msg proto.Message) ([]byte, error) { return appendFrame(nil, msg) }
+func EncodeFrame(msg proto.Message) ([]byte, error) { return appendFrame(nil, msg) }
 
 func appendFrame(buf []byte, msg proto.Message) ([]byte, error) {
 	buf = append(buf, make([]byte, headerLen)...)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -331,7 +331,7 @@
 
 // BroadcastPage queues a page for all peers. A link whose queue is full misses it.
 func (m *Manager) BroadcastPage(p *peerv1.Page) {
-	frame, err := mux.Frame(&peerv1.Frame{Kind: &peerv1.Frame_Page{Page: p}})
+	frame, err := mux.EncodeFrame(&peerv1.Frame{Kind: &peerv1.Frame_Page{Page: p}})
 	if err != nil {
 		m.Log.WithError(err).WithField("table", p.GetTable()).Warn("page could not be encoded, peers have to read it from the store")
 		return
@@ -350,7 +350,7 @@
 }
 
 func suspectsFrame(s *peerv1.Suspects) ([]byte, error) {
-	return mux.Frame(&peerv1.Frame{Kind: &peerv1.Frame_Suspects{Suspects: s}})
+	return mux.EncodeFrame(&peerv1.Frame{Kind: &peerv1.Frame_Suspects{Suspects: s}})
 }
 
 // broadcast queues a frame for all peers.
--- a/internal/peers/state.go
+++ b/internal/peers/state.go
@@ -56,7 +56,7 @@
 	if s.frame != nil && time.Since(s.encodedAt) < maxFrameAge {
 		return s.frame, nil
 	}
-	frame, err := mux.Frame(&peerv1.Frame{Kind: &peerv1.Frame_State{State: state()}})
+	frame, err := mux.EncodeFrame(&peerv1.Frame{Kind: &peerv1.Frame_State{State: state()}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,7 +64,7 @@
 // the peer falls silent in the middle, the reader must know soon.
 func TestLongFrameIsReadWhileItComesIn(t *testing.T) {
 	const silence, parts = 300 * time.Millisecond, 25
-	frame, err := mux.Frame(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: &kingcupv1.Failure{Detail: string(make([]byte, 5000))}}})
+	frame, err := mux.EncodeFrame(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: &kingcupv1.Failure{Detail: string(make([]byte, 5000))}}})
 	require.NoError(t, err)
 	network := memnet.New()
 	l, err := network.Listen("server")
