--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -31,13 +31,13 @@
 
 // Quarantine shows and lifts verdicts on requests under which servers end.
 type Quarantine interface {
-	Held() []Held
+	Held() []QuarantinedRequest
 	// Lift ends the verdict on a request; false if there is none by that name.
 	Lift(content string) bool
 }
 
-// Held is a request that is not sent to servers.
-type Held struct {
+// QuarantinedRequest is a request that is not sent to servers.
+type QuarantinedRequest struct {
 	Content string `json:"content"`
 	Team    string `json:"team"`
 	// Ends names the lives of the servers that ended under it, as the log does.
@@ -107,7 +107,7 @@
 	w.Flush()
 }
 
-func held(ctx *fasthttp.RequestCtx, list []Held) {
+func held(ctx *fasthttp.RequestCtx, list []QuarantinedRequest) {
 	if string(ctx.QueryArgs().Peek("format")) == "json" {
 		ctx.SetContentType("application/json")
 		json.NewEncoder(ctx).Encode(list)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -309,7 +309,7 @@
 type quarantined struct{ *suspects }
 
 // Held implements admin.Quarantine.
-func (q quarantined) Held() (out []admin.Held) {
+func (q quarantined) Held() (out []admin.QuarantinedRequest) {
 	now, known := q.group.role.now()
 	if !known {
 		return nil
@@ -318,7 +318,7 @@
 	defer q.mu.Unlock()
 	for _, r := range q.book.List(1) {
 		if left, held := q.book.Quarantined(r.ID, now); held {
-			out = append(out, admin.Held{Content: r.String(), Team: r.Team, Ends: ends(r), LeftSeconds: int(left.Seconds())})
+			out = append(out, admin.QuarantinedRequest{Content: r.String(), Team: r.Team, Ends: ends(r), LeftSeconds: int(left.Seconds())})
 		}
 	}
 	return out
