--- a/internal/mux/frame.go
+++ b/internal/mux/frame.go
@@ -12,9 +12,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxFrame bounds a frame in bytes. A peer that announces more is cut off
+// MaxFrameBytes bounds a frame in bytes. A peer that announces more is cut off
 // before anything is allocated for it.
-const MaxFrame = 4 << 20
+const MaxFrameBytes = 4 << 20
 
 const headerLen = 4
 
@@ -50,7 +50,7 @@
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
 	size := len(buf) - headerLen
-	if size > MaxFrame {
+	if size > MaxFrameBytes {
 		return nil, errors.Wrapf(ErrFrameTooLarge, "%d bytes", size)
 	}
 	binary.BigEndian.PutUint32(buf, uint32(size))
@@ -79,7 +79,7 @@
 		return err
 	}
 	size := binary.BigEndian.Uint32(header[:])
-	if size > MaxFrame {
+	if size > MaxFrameBytes {
 		return errors.Wrapf(ErrFrameTooLarge, "%d bytes announced", size)
 	}
 	if cap(f.buf) < int(size) {
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -25,7 +25,7 @@
 	err := fr.Read(&innerv1.Open{})
 	require.ErrorIs(t, err, ErrFrameTooLarge)
 	require.Zero(t, cap(fr.buf))
-	big := &innerv1.Open{Kind: &innerv1.Open_Call{Call: &innerv1.Call{Request: &kingcupv1.CallRequest{Body: make([]byte, MaxFrame)}}}}
+	big := &innerv1.Open{Kind: &innerv1.Open_Call{Call: &innerv1.Call{Request: &kingcupv1.CallRequest{Body: make([]byte, MaxFrameBytes)}}}}
 	require.ErrorIs(t, WriteFrame(io.Discard, big), ErrFrameTooLarge)
 }
 
@@ -36,7 +36,7 @@
 	var good bytes.Buffer
 	WriteFrame(&good, &innerv1.Open{Protocol: 1, Kind: &innerv1.Open_Start{Start: &innerv1.Start{GenerationId: "g", Attempt: 1}}})
 	corpus.Add(good.Bytes())
-	corpus.Add(header(MaxFrame + 1))
+	corpus.Add(header(MaxFrameBytes + 1))
 	corpus.Add([]byte{0, 0, 0, 1})
 	corpus.Grow()
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -47,7 +47,7 @@
 				break
 			}
 		}
-		require.LessOrEqual(t, cap(fr.buf), MaxFrame)
+		require.LessOrEqual(t, cap(fr.buf), MaxFrameBytes)
 	})
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,7 +50,7 @@
 	require.NoError(t, err)
 	for name, raw := range map[string][]byte{
 		"malformed": append(header(3), 0xff, 0xff, 0xff),
-		"oversized": header(mux.MaxFrame + 1),
+		"oversized": header(mux.MaxFrameBytes + 1),
 		"version":   append(header(uint32(len(other))), other...),
 	} {
 		f := talk(t, raw)
