--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -40,8 +40,8 @@
 type QuarantinedRequest struct {
 	Content string `json:"content"`
 	Team    string `json:"team"`
-	// Ends names the lives of the servers that ended under it, as the log does.
-	Ends []string `json:"ends"`
+	// Crashes names the lives of the servers that ended under it, as the log does.
+	Crashes []string `json:"ends"`
 	// LeftSeconds is how long it is held yet.
 	LeftSeconds int `json:"left_seconds"`
 }
@@ -116,7 +116,7 @@
 	w := tabwriter.NewWriter(ctx, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTENT\tTEAM\tLEFT\tENDS")
 	for _, h := range list {
-		fmt.Fprintf(w, "%s\t%s\t%ds\t%s\n", h.Content, h.Team, h.LeftSeconds, strings.Join(h.Ends, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%ds\t%s\n", h.Content, h.Team, h.LeftSeconds, strings.Join(h.Crashes, ", "))
 	}
 	w.Flush()
 }
