--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -168,5 +168,5 @@
 	}
 	defer st.Close()
 	reply := &innerv1.Reply{}
-	return reply, st.RecvWithin(reply, exchangeTimeout)
+	return reply, st.RecvWithIdleTimeout(reply, exchangeTimeout)
 }
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -162,10 +162,10 @@
 	return s.in.Read(msg)
 }
 
-// RecvWithin reads one frame into msg and gives up when nothing has come in for silence.
+// RecvWithIdleTimeout reads one frame into msg and gives up when nothing has come in for silence.
 // A frame may be a whole configuration: a bound on its time would be one on its size, and
 // over a thin link each try would be given up midway and begun anew.
-func (s *Stream) RecvWithin(msg proto.Message, silence time.Duration) error {
+func (s *Stream) RecvWithIdleTimeout(msg proto.Message, silence time.Duration) error {
 	s.silence.Store(int64(silence))
 	defer s.silence.Store(0)
 	return s.in.Read(msg)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -87,7 +87,7 @@
 	for version, whole := range []bool{true, false} {
 		st, _, err := sess.Open(&innerv1.Open{Kind: &innerv1.Open_ConfigPull{ConfigPull: &innerv1.ConfigPull{HaveVersion: uint64(version)}}})
 		require.NoError(t, err)
-		err = st.RecvWithin(&innerv1.Reply{}, silence)
+		err = st.RecvWithIdleTimeout(&innerv1.Reply{}, silence)
 		require.Equal(t, whole, err == nil, "version %d: %v", version, err)
 		st.Close()
 	}
