--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -42,8 +42,8 @@
 	Team    string `json:"team"`
 	// Crashes names the lives of the servers that ended under it, as the log does.
 	Crashes []string `json:"ends"`
-	// LeftSeconds is how long it is held yet.
-	LeftSeconds int `json:"left_seconds"`
+	// RemainingSeconds is how long it is held yet.
+	RemainingSeconds int `json:"left_seconds"`
 }
 
 // Server is safe for concurrent use.
@@ -116,7 +116,7 @@
 	w := tabwriter.NewWriter(ctx, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTENT\tTEAM\tLEFT\tENDS")
 	for _, h := range list {
-		fmt.Fprintf(w, "%s\t%s\t%ds\t%s\n", h.Content, h.Team, h.LeftSeconds, strings.Join(h.Crashes, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%ds\t%s\n", h.Content, h.Team, h.RemainingSeconds, strings.Join(h.Crashes, ", "))
 	}
 	w.Flush()
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -318,7 +318,7 @@
 	defer q.mu.Unlock()
 	for _, r := range q.book.List(1) {
 		if left, held := q.book.Quarantined(r.ID, now); held {
-			out = append(out, admin.QuarantinedRequest{Content: r.String(), Team: r.Team, Crashes: ends(r), LeftSeconds: int(left.Seconds())})
+			out = append(out, admin.QuarantinedRequest{Content: r.String(), Team: r.Team, Crashes: ends(r), RemainingSeconds: int(left.Seconds())})
 		}
 	}
 	return out
