--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -242,6 +242,6 @@
 		a.Leave()
 		st.Send(&innerv1.Reply{Kind: &innerv1.Reply_Done{Done: &innerv1.Done{Found: true, InProgress: uint32(a.InProgress())}}})
 	default:
-		st.Fail(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "unknown kind of stream"))
+		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "unknown kind of stream"))
 	}
 }
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -77,7 +77,7 @@
 	deadline := time.Now().Add(time.Duration(o.GetDeadlineMs()) * time.Millisecond)
 	err := a.fence.Do(ctx, o.GetTerm(), func() error { return a.forwardOrder(ctx, deadline, o) })
 	if err != nil {
-		st.Fail(orderFailure(err))
+		st.SendFailure(orderFailure(err))
 		return
 	}
 	st.Send(&innerv1.Reply{Kind: &innerv1.Reply_OrderDone{OrderDone: &innerv1.OrderDone{Term: o.GetTerm()}}})
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -17,7 +17,7 @@
 func (a *Agent) handleStart(ctx context.Context, start *innerv1.Start, st *wire.Stream) {
 	g, err := a.accept(start)
 	if err != nil {
-		st.Fail(err)
+		st.SendFailure(err)
 		return
 	}
 	accepted := &innerv1.Accepted{GenerationId: g.id, Attempt: g.buf.Attempt()}
@@ -36,7 +36,7 @@
 func (a *Agent) handleAttach(ctx context.Context, attach *innerv1.Attach, st *wire.Stream) {
 	g := a.find(attach.GetGenerationId(), attach.GetTeam())
 	if g == nil {
-		st.Fail(failure.Unknown(kingcupv1.Reason_REASON_UNKNOWN_GENERATION, 0, "no generation %s here", attach.GetGenerationId()))
+		st.SendFailure(failure.Unknown(kingcupv1.Reason_REASON_UNKNOWN_GENERATION, 0, "no generation %s here", attach.GetGenerationId()))
 		return
 	}
 	a.relay(ctx, g, attach.GetNextIndex(), st)
@@ -81,7 +81,7 @@
 	for {
 		end, err := r.Read(ctx, &batch, maxFrameTokens)
 		if err != nil {
-			st.Fail(readFailure(err))
+			st.SendFailure(readFailure(err))
 			break
 		}
 		if end != nil {
@@ -141,7 +141,7 @@
 func (a *Agent) handleCall(ctx context.Context, call *innerv1.Call, st *wire.Stream) {
 	body, err := a.callService(ctx, call)
 	if err != nil {
-		st.Fail(err)
+		st.SendFailure(err)
 		return
 	}
 	st.Send(&innerv1.Reply{Kind: &innerv1.Reply_Call{Call: &kingcupv1.CallResponse{Body: body}}})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -198,7 +198,7 @@
 	case *innerv1.Open_ClaimPut:
 		e.handleClaimPut(ctx, kind.ClaimPut, st)
 	default:
-		st.Fail(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "an entry does not serve this"))
+		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "an entry does not serve this"))
 	}
 }
 
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -90,12 +90,12 @@
 	st.SetReadDeadline(time.Now().Add(openTimeout))
 	open := &innerv1.Open{}
 	if err := st.Recv(open); err != nil {
-		st.Fail(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "first frame: %v", err))
+		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "first frame: %v", err))
 		return
 	}
 	st.SetReadDeadline(time.Time{})
 	if open.GetProtocol() != Protocol {
-		st.Fail(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "%v: got %d, want %d", ErrProtocol, open.GetProtocol(), Protocol))
+		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "%v: got %d, want %d", ErrProtocol, open.GetProtocol(), Protocol))
 		return
 	}
 	s.handle(ctx, open, st)
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -171,8 +171,8 @@
 	return s.in.Read(msg)
 }
 
-// Fail sends err as the stream's answer.
-func (s *Stream) Fail(err error) error {
+// SendFailure sends err as the stream's answer.
+func (s *Stream) SendFailure(err error) error {
 	return s.Send(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: failure.FromError(err).Proto()}})
 }
 
