--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -74,9 +74,9 @@
 	return v.dial(ctx, v.from, address)
 }
 
-// Part breaks the connections between places for which parted is true, and
+// Partition breaks the connections between places for which parted is true, and
 // refuses new ones until it is called with nil.
-func (n *Network) Part(parted func(a, b string) bool) {
+func (n *Network) Partition(parted func(a, b string) bool) {
 	n.mu.Lock()
 	n.parted = parted
 	var broken []*conn
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -238,10 +238,10 @@
 func (s *system) part(on bool) {
 	s.parted.Store(on)
 	if !on {
-		s.net.Part(nil)
+		s.net.Partition(nil)
 		return
 	}
-	s.net.Part(func(a, b string) bool {
+	s.net.Partition(func(a, b string) bool {
 		return a != "" && s.domainOf[a] != "" && s.domainOf[b] != "" && far(a, s) != far(b, s)
 	})
 }
