--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -94,8 +94,8 @@
 		return
 	}
 	st.SetReadDeadline(time.Time{})
-	if open.GetProtocol() != Protocol {
-		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "%v: got %d, want %d", ErrProtocol, open.GetProtocol(), Protocol))
+	if open.GetProtocol() != ProtocolVersion {
+		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "%v: got %d, want %d", ErrProtocol, open.GetProtocol(), ProtocolVersion))
 		return
 	}
 	s.handle(ctx, open, st)
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -41,8 +41,8 @@
 
 const openTimeout = 5 * time.Second
 
-// Protocol is the version in every Open; a peer with another one is refused.
-const Protocol = 1
+// ProtocolVersion is the version in every Open; a peer with another one is refused.
+const ProtocolVersion = 1
 
 // ErrProtocol is the refusal of a peer with another version.
 var ErrProtocol = errors.New("peer speaks another protocol version")
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, false, errors.Wrap(err, "open stream")
 	}
-	open.Protocol = Protocol
+	open.Protocol = ProtocolVersion
 	open.Peer = s.id.Name
 	open.FailureDomain = s.id.FailureDomain
 	st = newStream(conn)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -46,7 +46,7 @@
 // A peer sends a malformed frame, an oversized one, or speaks another version.
 // It must get one clear refusal that says "not run".
 func TestBadPeersAreRefused(t *testing.T) {
-	other, err := proto.Marshal(&innerv1.Open{Protocol: Protocol + 1})
+	other, err := proto.Marshal(&innerv1.Open{Protocol: ProtocolVersion + 1})
 	require.NoError(t, err)
 	for name, raw := range map[string][]byte{
 		"malformed": append(header(3), 0xff, 0xff, 0xff),
