--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -122,8 +122,8 @@
 	return nil, errors.Wrap(ErrRefused, address)
 }
 
-// Cut breaks all connections to an address and refuses new ones until Heal.
-func (n *Network) Cut(address string) {
+// Disconnect breaks all connections to an address and refuses new ones until Heal.
+func (n *Network) Disconnect(address string) {
 	n.mu.Lock()
 	h := n.host(address)
 	h.cut = true
--- a/internal/proof/config_test.go
+++ b/internal/proof/config_test.go
@@ -202,7 +202,7 @@
 		require.True(t, s.entries[0].Entry.Ready())
 		s.table.SetOutage(true)
 		for _, n := range s.nodes {
-			s.net.Cut(n.opts.InnerAddress)
+			s.net.Disconnect(n.opts.InnerAddress)
 		}
 		time.Sleep(25 * time.Second)
 		require.False(t, s.entries[0].Entry.Ready())
@@ -292,7 +292,7 @@
 		for _, n := range s.nodes {
 			if n.opts.FailureDomain != domains[0] {
 				others = append(others, n.opts.InnerAddress)
-				s.net.Cut(n.opts.InnerAddress)
+				s.net.Disconnect(n.opts.InnerAddress)
 			}
 		}
 		resp, err := s.operator(0).Apply(t.Context(), &kingcupv1.ApplyRequest{ChangeId: "x", Puts: []*kingcupv1.Row{teamRow(team, 9)}})
--- a/internal/proof/stream_test.go
+++ b/internal/proof/stream_test.go
@@ -183,7 +183,7 @@
 		},
 		"link cut and healed": func(s *system, at *seen) {
 			name := at.server()
-			s.net.Cut(name)
+			s.net.Disconnect(name)
 			time.Sleep(time.Second)
 			s.net.Heal(name)
 		},
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -341,7 +341,7 @@
 }
 
 func (s *system) killAgent(i int) {
-	s.net.Cut(s.nodes[i].opts.InnerAddress)
+	s.net.Disconnect(s.nodes[i].opts.InnerAddress)
 	s.nodes[i].agent.Close()
 	s.nodes[i].agent = nil
 	s.net.Heal(s.nodes[i].opts.InnerAddress)
--- a/internal/proof/together_test.go
+++ b/internal/proof/together_test.go
@@ -51,7 +51,7 @@
 		time.Sleep(f.For)
 		s.startEntry(n)
 	case cutFault:
-		s.net.Cut(address)
+		s.net.Disconnect(address)
 		time.Sleep(f.For)
 		s.net.Heal(address)
 	case stallFault:
