--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -95,7 +95,7 @@
 	}
 	st.SetReadDeadline(time.Time{})
 	if open.GetProtocol() != ProtocolVersion {
-		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "%v: got %d, want %d", ErrProtocol, open.GetProtocol(), ProtocolVersion))
+		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "%v: got %d, want %d", ErrProtocolVersion, open.GetProtocol(), ProtocolVersion))
 		return
 	}
 	s.handle(ctx, open, st)
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -44,8 +44,8 @@
 // ProtocolVersion is the version in every Open; a peer with another one is refused.
 const ProtocolVersion = 1
 
-// ErrProtocol is the refusal of a peer with another version.
-var ErrProtocol = errors.New("peer speaks another protocol version")
+// ErrProtocolVersion is the refusal of a peer with another version.
+var ErrProtocolVersion = errors.New("peer speaks another protocol version")
 
 // Identity is what a process says of itself in every Open.
 type Identity struct {
