--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -144,8 +144,8 @@
 	n.host(address).stalled = true
 }
 
-// Heal ends a cut and a stall.
-func (n *Network) Heal(address string) {
+// Restore ends a cut and a stall.
+func (n *Network) Restore(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := n.host(address)
--- a/internal/proof/config_test.go
+++ b/internal/proof/config_test.go
@@ -299,7 +299,7 @@
 		require.NoError(t, err)
 		require.False(t, resp.GetSpread())
 		for _, address := range others {
-			s.net.Heal(address)
+			s.net.Restore(address)
 		}
 		time.Sleep(7 * time.Second)
 		for _, n := range s.nodes {
--- a/internal/proof/outcome_test.go
+++ b/internal/proof/outcome_test.go
@@ -170,7 +170,7 @@
 		for _, done := range waits {
 			<-done
 		}
-		s.net.Heal("server-0")
+		s.net.Restore("server-0")
 		time.Sleep(time.Minute)
 		for i, at := range all {
 			if failure.IsNotRun(at.err) {
@@ -453,7 +453,7 @@
 		}
 		wg.Wait()
 		for i := 14; i < 20; i++ {
-			s.net.Heal(s.eopts[i].InnerAddress)
+			s.net.Restore(s.eopts[i].InnerAddress)
 		}
 		time.Sleep(time.Minute)
 		for i := range 28 {
--- a/internal/proof/stream_test.go
+++ b/internal/proof/stream_test.go
@@ -185,18 +185,18 @@
 			name := at.server()
 			s.net.Disconnect(name)
 			time.Sleep(time.Second)
-			s.net.Heal(name)
+			s.net.Restore(name)
 		},
 		"link stalled and healed": func(s *system, at *seen) {
 			name := at.server()
 			s.net.Stall(name)
 			time.Sleep(2 * time.Second)
-			s.net.Heal(name)
+			s.net.Restore(name)
 		},
 		"link stalled for long": func(s *system, at *seen) {
 			s.net.Stall(at.server())
 			time.Sleep(40 * time.Second)
-			s.net.Heal(at.server())
+			s.net.Restore(at.server())
 		},
 	}
 	for name, fault := range faults {
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -344,7 +344,7 @@
 	s.net.Disconnect(s.nodes[i].opts.InnerAddress)
 	s.nodes[i].agent.Close()
 	s.nodes[i].agent = nil
-	s.net.Heal(s.nodes[i].opts.InnerAddress)
+	s.net.Restore(s.nodes[i].opts.InnerAddress)
 }
 
 func (s *system) killEngine(i int) {
--- a/internal/proof/together_test.go
+++ b/internal/proof/together_test.go
@@ -53,11 +53,11 @@
 	case cutFault:
 		s.net.Disconnect(address)
 		time.Sleep(f.For)
-		s.net.Heal(address)
+		s.net.Restore(address)
 	case stallFault:
 		s.net.Stall(address)
 		time.Sleep(f.For)
-		s.net.Heal(address)
+		s.net.Restore(address)
 	case outageFault:
 		s.table.SetOutage(true)
 		time.Sleep(f.For)
