--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -49,9 +49,9 @@
 	return &peerv1.Change{Base: ch.Base, Version: ch.Version, Access: access, Parts: uint32(len(parts))}, parts, nil
 }
 
-// Access is a change as far as its head tells: versions, teams and keys. Errors:
+// DecodeHead is a change as far as its head tells: versions, teams and keys. Errors:
 // ErrMalformed.
-func Access(head *peerv1.Change) (*routing.Change, error) {
+func DecodeHead(head *peerv1.Change) (*routing.Change, error) {
 	var a peerv1.Access
 	if err := inflate(head.GetAccess(), &a); err != nil {
 		return nil, err
--- a/internal/changewire/changewire_test.go
+++ b/internal/changewire/changewire_test.go
@@ -62,7 +62,7 @@
 	head, parts, err := Encode(ch, atOnce)
 	require.NoError(t, err)
 	require.Len(t, parts, int(head.GetParts()))
-	access, err := Access(head)
+	access, err := DecodeHead(head)
 	require.NoError(t, err)
 	u := begun(t, access)
 	for _, part := range parts {
@@ -136,7 +136,7 @@
 func BenchmarkDecode(b *testing.B) {
 	head, parts, _ := Encode(drawn(1400), atOnce)
 	for b.Loop() {
-		ch, _ := Access(head)
+		ch, _ := DecodeHead(head)
 		u := begun(b, ch)
 		for _, part := range parts {
 			Add(u, part)
@@ -154,7 +154,7 @@
 	corpus.Add([]byte{0x03, 0x00}, parts[0])
 	corpus.Grow()
 	f.Fuzz(func(t *testing.T, access, part []byte) {
-		ch, err := Access(&peerv1.Change{Version: 2, Access: access})
+		ch, err := DecodeHead(&peerv1.Change{Version: 2, Access: access})
 		if err != nil {
 			return
 		}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -170,7 +170,7 @@
 	if head.GetVersion() == head.GetBase() {
 		return nil
 	}
-	ch, err := changewire.Access(head)
+	ch, err := changewire.DecodeHead(head)
 	if err != nil {
 		return err
 	}
