--- a/internal/changewire/changewire_test.go
+++ b/internal/changewire/changewire_test.go
@@ -152,7 +152,7 @@
 	corpus.Add(head.GetAccess(), parts[1])
 	corpus.Add([]byte{}, []byte{})
 	corpus.Add([]byte{0x03, 0x00}, parts[0])
-	corpus.Grow()
+	corpus.AddMutations()
 	f.Fuzz(func(t *testing.T, access, part []byte) {
 		ch, err := DecodeHead(&peerv1.Change{Version: 2, Access: access})
 		if err != nil {
--- a/internal/fuzzseed/fuzzseed.go
+++ b/internal/fuzzseed/fuzzseed.go
@@ -32,8 +32,8 @@
 	c.seeds = append(c.seeds, args)
 }
 
-// Grow adds inputs mutated from the seeds.
-func (c *Corpus) Grow() {
+// AddMutations adds inputs mutated from the seeds.
+func (c *Corpus) AddMutations() {
 	c.f.Helper()
 	for range Inputs {
 		seed := c.seeds[c.rng.IntN(len(c.seeds))]
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -54,7 +54,7 @@
 	for _, seed := range []string{`{"address":"10.0.0.2:7200","failure_domain":"z"}`, "", "null", "[]", `{"address":7}`, `{"address":"vm:7200"}`, `{"address":"10.0.0.2"}`} {
 		corpus.Add([]byte(seed))
 	}
-	corpus.Grow()
+	corpus.AddMutations()
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := decodeMember(data)
 		if err != nil {
@@ -79,7 +79,7 @@
 		require.NoError(f, err)
 		corpus.Add(data)
 	}
-	corpus.Grow()
+	corpus.AddMutations()
 	f.Fuzz(func(t *testing.T, data []byte) {
 		frame := &peerv1.Frame{}
 		if proto.Unmarshal(data, frame) != nil {
@@ -111,7 +111,7 @@
 	for _, seed := range []string{string(data), "", "null", "[]", "{}", `{"team":"t","content":-1}`, `{"ends":[{"at_ms":9e18}]}`} {
 		corpus.Add(suspectKey(valid.ID), []byte(seed))
 	}
-	corpus.Grow()
+	corpus.AddMutations()
 	f.Fuzz(func(t *testing.T, key string, data []byte) {
 		r, err := decodeSuspect(follow.Row{Key: key, Value: data})
 		if err != nil {
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -38,7 +38,7 @@
 	corpus.Add(good.Bytes())
 	corpus.Add(header(MaxFrameBytes + 1))
 	corpus.Add([]byte{0, 0, 0, 1})
-	corpus.Grow()
+	corpus.AddMutations()
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		fr := NewFrameReader(bytes.NewReader(raw))
 		for {
