--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -63,8 +63,8 @@
 	return ch, nil
 }
 
-// Add adds a part to an update. Errors: ErrMalformed.
-func Add(u *routing.Update, part []byte) error {
+// ApplyPart adds a part to an update. Errors: ErrMalformed.
+func ApplyPart(u *routing.Update, part []byte) error {
 	var rs peerv1.Routes
 	if err := inflate(part, &rs); err != nil {
 		return err
--- a/internal/changewire/changewire_test.go
+++ b/internal/changewire/changewire_test.go
@@ -66,7 +66,7 @@
 	require.NoError(t, err)
 	u := begun(t, access)
 	for _, part := range parts {
-		require.NoError(t, Add(u, part))
+		require.NoError(t, ApplyPart(u, part))
 	}
 	return u.Change
 }
@@ -139,7 +139,7 @@
 		ch, _ := DecodeHead(head)
 		u := begun(b, ch)
 		for _, part := range parts {
-			Add(u, part)
+			ApplyPart(u, part)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 		r := routing.NewReplica()
 		u, err := r.Begin(ch)
 		require.NoError(t, err)
-		if Add(u, part) == nil {
+		if ApplyPart(u, part) == nil {
 			r.Commit(u)
 		}
 	})
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -184,7 +184,7 @@
 	if t.update == nil {
 		return changewire.ErrMalformed
 	}
-	return changewire.Add(t.update, part)
+	return changewire.ApplyPart(t.update, part)
 }
 
 // Errors of an answer.
