--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -17,8 +17,8 @@
 
 // Config sets a Syncer.
 type Config struct {
-	// Poll is the mean time between two looks at the store's head.
-	Poll time.Duration
+	// PollInterval is the mean time between two looks at the store's head.
+	PollInterval time.Duration
 	// Stale is how long a process stays ready without confirming its version
 	// with the store or a peer.
 	Stale time.Duration
@@ -67,7 +67,7 @@
 		s.Poll(ctx)
 		// Jitter keeps a thousand processes that started together from
 		// reading the head in one moment.
-		wait := s.cfg.Poll/2 + rand.N(s.cfg.Poll)
+		wait := s.cfg.PollInterval/2 + rand.N(s.cfg.PollInterval)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
