--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -40,7 +40,7 @@
 	if err == nil {
 		var e *app.Entry
 		if e, err = app.StartEntry(o, p, wire.TCP{}, log); err == nil {
-			log.WithField("callers", e.Callers).Info("serving")
+			log.WithField("callers", e.CallerAddress).Info("serving")
 			app.WaitAndDrain(log, o.DrainTimeout, e.Shutdown)
 			return
 		}
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -54,8 +54,8 @@
 type Entry struct {
 	Entry *entry.Entry
 	Sync  *confsync.Syncer
-	// Callers is the listener's address.
-	Callers string
+	// CallerAddress is the listener's address.
+	CallerAddress string
 
 	links  *link.Manager
 	claims *claim.Claims
@@ -146,7 +146,7 @@
 		inner.Close()
 		return errors.Wrap(err, "caller address")
 	}
-	r.Callers = callers.Addr().String()
+	r.CallerAddress = callers.Addr().String()
 	rec.Gauge("kingcup_in_progress", "Requests in progress at this entry.", func() float64 { return float64(r.Entry.InProgress()) })
 	r.inner = wire.NewServer(inner, r.Entry.Handle)
 	// A caller whose VM died sends no end; its streams would be relayed for as
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -139,7 +139,7 @@
 	}
 	s.entries = append(s.entries, e)
 	s.admin = admin
-	conn, err := app.DialGRPC(e.Callers)
+	conn, err := app.DialGRPC(e.CallerAddress)
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 }
 
 // CallerAddress is where callers and operators connect.
-func (s *System) CallerAddress() string { return s.entries[len(s.entries)-1].Callers }
+func (s *System) CallerAddress() string { return s.entries[len(s.entries)-1].CallerAddress }
 
 // AdminAddress is where metrics and reports are served.
 func (s *System) AdminAddress() string { return s.admin }
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -105,7 +105,7 @@
 		return err
 	}
 	n.entries = append(n.entries, e)
-	conn, err := app.DialGRPC(e.Callers)
+	conn, err := app.DialGRPC(e.CallerAddress)
 	if err != nil {
 		return err
 	}
