--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -19,9 +19,9 @@
 type Config struct {
 	// PollInterval is the mean time between two looks at the store's head.
 	PollInterval time.Duration
-	// Stale is how long a process stays ready without confirming its version
+	// StaleAfter is how long a process stays ready without confirming its version
 	// with the store or a peer.
-	Stale time.Duration
+	StaleAfter time.Duration
 }
 
 // Syncer is safe for concurrent use.
@@ -53,7 +53,7 @@
 	if s.replica.Version() == 0 {
 		return false
 	}
-	return time.Since(time.Unix(0, s.confirmed.Load())) <= s.cfg.Stale
+	return time.Since(time.Unix(0, s.confirmed.Load())) <= s.cfg.StaleAfter
 }
 
 // Confirm records that a peer or the store holds no newer version.
--- a/internal/confsync/confsync_test.go
+++ b/internal/confsync/confsync_test.go
@@ -64,7 +64,7 @@
 	const thinMbps = 1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := New(Config{PollInterval: poll, Stale: time.Minute}, replica, conf.NewStore(table, slowObjects(t, table, standin.NewLink(thinMbps))), log)
+	s := New(Config{PollInterval: poll, StaleAfter: time.Minute}, replica, conf.NewStore(table, slowObjects(t, table, standin.NewLink(thinMbps))), log)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go s.Run(ctx)
