--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -22,7 +22,7 @@
 	links := s.Int("agent-links", def.AgentLinks, 2, 10000, "most agents watched, over all models")
 	peers := s.Int("peers", def.Peers, 0, 100, "other entries watched")
 	beat := s.Duration("heartbeat", def.Heartbeat, 50*time.Millisecond, time.Minute, "time between heartbeats of an agent")
-	list := s.Duration("list-every", def.ListEvery, 100*time.Millisecond, 10*time.Minute, "time between looks at the VM list")
+	list := s.Duration("list-every", def.ListInterval, 100*time.Millisecond, 10*time.Minute, "time between looks at the VM list")
 	accept := s.Duration("accept-timeout", def.AcceptTimeout, 10*time.Millisecond, time.Minute, "longest wait for an agent's first answer")
 	reattach := s.Duration("reattach-for", def.ReattachFor, 0, 10*time.Minute, "how long a lost agent is tried before its streams are moved")
 	s.Group("Platform")
@@ -32,7 +32,7 @@
 
 	o := app.EntryOptions{
 		CommonOptions: common(), CallerAddress: *callers, AgentLinks: *links, Peers: *peers, Heartbeat: *beat,
-		ListEvery: *list, AcceptTimeout: *accept, ReattachFor: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
+		ListInterval: *list, AcceptTimeout: *accept, ReattachFor: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
 		MaxRequests: *most,
 	}
 	log := app.NewLog(o.CommonOptions)
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -130,7 +130,7 @@
 	opts.CallerAddress = "127.0.0.1:0"
 	opts.AdminAddress = admin
 	opts.Heartbeat = 200 * time.Millisecond
-	opts.ListEvery = time.Second
+	opts.ListInterval = time.Second
 	var log logrus.FieldLogger = app.NewLog(opts.CommonOptions)
 	s.Table.PutVM(vmlist.VM{Name: opts.Name, Address: inner, FailureDomain: opts.FailureDomain, Role: vmlist.RoleEntry})
 	e, err := app.StartEntry(opts, s.platform(), wire.TCP{}, log)
