--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -56,8 +56,8 @@
 	return time.Since(time.Unix(0, s.confirmed.Load())) <= s.cfg.StaleAfter
 }
 
-// Confirm records that a peer or the store holds no newer version.
-func (s *Syncer) Confirm() {
+// MarkConfirmed records that a peer or the store holds no newer version.
+func (s *Syncer) MarkConfirmed() {
 	s.confirmed.Store(time.Now().UnixNano())
 }
 
@@ -86,7 +86,7 @@
 		s.log.WithError(err).Debug("configuration store not read")
 		return err
 	}
-	s.Confirm()
+	s.MarkConfirmed()
 	if after := s.replica.Version(); after != before {
 		s.log.WithField("version", after).Info("configuration in force")
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 	if s.replica.Version() >= in.GetVersion() {
-		s.Confirm()
+		s.MarkConfirmed()
 	}
 }
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -287,7 +287,7 @@
 	case theirs < mine:
 		l.m.sync.Push(sess, theirs)
 	case mine > 0:
-		l.m.sync.Confirm()
+		l.m.sync.MarkConfirmed()
 	}
 }
 
