--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -20,7 +20,7 @@
 	most := s.Int("max-requests", def.MaxRequests, 1, 1000000, "most requests in progress; more are refused")
 	s.Group("Backend servers")
 	links := s.Int("agent-links", def.AgentLinks, 2, 10000, "most agents watched, over all models")
-	peers := s.Int("peers", def.Peers, 0, 100, "other entries watched")
+	peers := s.Int("peers", def.EntryLinks, 0, 100, "other entries watched")
 	beat := s.Duration("heartbeat", def.Heartbeat, 50*time.Millisecond, time.Minute, "time between heartbeats of an agent")
 	list := s.Duration("list-every", def.ListInterval, 100*time.Millisecond, 10*time.Minute, "time between looks at the VM list")
 	accept := s.Duration("accept-timeout", def.AcceptTimeout, 10*time.Millisecond, time.Minute, "longest wait for an agent's first answer")
@@ -31,7 +31,7 @@
 	s.MustParse()
 
 	o := app.EntryOptions{
-		CommonOptions: common(), CallerAddress: *callers, AgentLinks: *links, Peers: *peers, Heartbeat: *beat,
+		CommonOptions: common(), CallerAddress: *callers, AgentLinks: *links, EntryLinks: *peers, Heartbeat: *beat,
 		ListInterval: *list, AcceptTimeout: *accept, ReattachFor: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
 		MaxRequests: *most,
 	}
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -28,7 +28,7 @@
 	CommonOptions
 	CallerAddress string
 	AgentLinks    int
-	Peers         int
+	EntryLinks    int
 	Heartbeat     time.Duration
 	ListInterval  time.Duration
 	AcceptTimeout time.Duration
@@ -44,7 +44,7 @@
 // does not care about.
 func DefaultEntryOptions(c CommonOptions) EntryOptions {
 	return EntryOptions{
-		CommonOptions: c, AgentLinks: 96, Peers: 4, Heartbeat: time.Second, ListInterval: 5 * time.Second,
+		CommonOptions: c, AgentLinks: 96, EntryLinks: 4, Heartbeat: time.Second, ListInterval: 5 * time.Second,
 		AcceptTimeout: 2 * time.Second, ReattachFor: 3 * time.Second,
 		ClaimWindow: 3 * time.Millisecond, LeaseTTL: 15 * time.Second, MaxRequests: 10000,
 	}
@@ -118,7 +118,7 @@
 		func(p Platform) *lease.Manager { return lease.NewManager(p.Table, o.Name, o.LeaseTTL) },
 		func(s *confsync.Syncer, store *conf.Store, links *link.Manager, claims *claim.Claims, leases *lease.Manager, p Platform, log logrus.FieldLogger, rec *metrics.Recorder) *entry.Entry {
 			return entry.New(entry.Config{
-				Identity: o.Identity(), ListInterval: o.ListInterval, AgentLinks: o.AgentLinks, EntryLinks: o.Peers,
+				Identity: o.Identity(), ListInterval: o.ListInterval, AgentLinks: o.AgentLinks, EntryLinks: o.EntryLinks,
 				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachFor, MaxStreamBytes: streamBytes,
 				PropagationTimeout: spreadTimeout, MaxServersPerRequest: placeTries, Random: o.Random,
 				MaxRequests: o.MaxRequests,
