--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Missing is what a peer that has version have lacks.
-func (s *Syncer) Missing(have uint64) *innerv1.ConfigState {
+// StateSince is what a peer that has version have lacks.
+func (s *Syncer) StateSince(have uint64) *innerv1.ConfigState {
 	st := s.replica.State()
 	out := &innerv1.ConfigState{Version: st.Version()}
 	deltas, ok := s.replica.DeltasSince(have)
@@ -124,7 +124,7 @@
 
 // ServePull answers a peer's ConfigPull.
 func (s *Syncer) ServePull(pull *innerv1.ConfigPull, st *wire.Stream) error {
-	return s.reply(st, s.Missing(pull.GetHaveVersion()))
+	return s.reply(st, s.StateSince(pull.GetHaveVersion()))
 }
 
 // ServePush takes a peer's push and answers with the version that now holds.
@@ -142,7 +142,7 @@
 // Push sends a peer that has version have what it lacks, and returns the
 // version that it holds afterwards.
 func (s *Syncer) Push(sess *wire.Session, have uint64) (uint64, error) {
-	open := &innerv1.Open{Kind: &innerv1.Open_ConfigPush{ConfigPush: s.Missing(have)}}
+	open := &innerv1.Open{Kind: &innerv1.Open_ConfigPush{ConfigPush: s.StateSince(have)}}
 	reply, err := exchange(sess, open)
 	if err != nil {
 		return 0, err
