--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return errors.Wrap(err, "inner address")
 	}
-	rec.Policy(r.Agent.Stats)
+	rec.ExportScheduler(r.Agent.Stats)
 	r.inner = wire.NewServer(inner, r.Agent.Handle)
 	ready := func() bool { return !r.Agent.Leaving() && r.Sync.Ready() }
 	if r.admin, err = startAdmin(o.AdminAddress, network, rec, ready, &r.wg); err != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -78,8 +78,8 @@
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// Policy exports an agent's scheduler.
-func (r *Recorder) Policy(stats func() sched.Stats) {
+// ExportScheduler exports an agent's scheduler.
+func (r *Recorder) ExportScheduler(stats func() sched.Stats) {
 	r.Gauge("kingcup_running", "Streams that hold memory at the engine.", func() float64 { return float64(stats().Running) })
 	r.Gauge("kingcup_queued", "Requests and paused streams that wait.", func() float64 { return float64(stats().Queued) })
 	r.Gauge("kingcup_memory_used_tokens", "Memory in use at the engine.", func() float64 { return float64(stats().MemoryUsed) })
