--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -106,8 +106,8 @@
 	return out
 }
 
-// Take brings what a peer sent into force.
-func (s *Syncer) Take(in *innerv1.ConfigState) {
+// Apply brings what a peer sent into force.
+func (s *Syncer) Apply(in *innerv1.ConfigState) {
 	if snap := in.GetSnapshot(); snap != nil {
 		s.replica.Install(conf.FromSnapshot(snap))
 	}
@@ -129,7 +129,7 @@
 
 // ServePush takes a peer's push and answers with the version that now holds.
 func (s *Syncer) ServePush(push *innerv1.ConfigState, st *wire.Stream) error {
-	s.Take(push)
+	s.Apply(push)
 	return s.reply(st, &innerv1.ConfigState{Version: s.replica.Version()})
 }
 
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	s.Take(reply.GetConfigState())
+	s.Apply(reply.GetConfigState())
 	return nil
 }
 
