--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -147,7 +147,7 @@
 		return errors.Wrap(err, "caller address")
 	}
 	r.CallerAddress = callers.Addr().String()
-	rec.Gauge("kingcup_in_progress", "Requests in progress at this entry.", func() float64 { return float64(r.Entry.InProgress()) })
+	rec.ExportGauge("kingcup_in_progress", "Requests in progress at this entry.", func() float64 { return float64(r.Entry.InProgress()) })
 	r.inner = wire.NewServer(inner, r.Entry.Handle)
 	// A caller whose VM died sends no end; its streams would be relayed for as
 	// long as TCP believes in it.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -66,24 +66,24 @@
 		}, []string{"team"}),
 	}
 	r.registry.MustRegister(r.first, r.between, r.stalled, r.outcomes, r.preemptions)
-	r.Gauge("kingcup_config_version", "Version of the configuration in force.", func() float64 { return float64(replica.Version()) })
+	r.ExportGauge("kingcup_config_version", "Version of the configuration in force.", func() float64 { return float64(replica.Version()) })
 	return r
 }
 
 // Registry is what an admin server exports.
 func (r *Recorder) Registry() *prometheus.Registry { return r.registry }
 
-// Gauge exports a value that is read when it is scraped.
-func (r *Recorder) Gauge(name, help string, value func() float64) {
+// ExportGauge exports a value that is read when it is scraped.
+func (r *Recorder) ExportGauge(name, help string, value func() float64) {
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
 // ExportScheduler exports an agent's scheduler.
 func (r *Recorder) ExportScheduler(stats func() sched.Stats) {
-	r.Gauge("kingcup_running", "Streams that hold memory at the engine.", func() float64 { return float64(stats().Running) })
-	r.Gauge("kingcup_queued", "Requests and paused streams that wait.", func() float64 { return float64(stats().Queued) })
-	r.Gauge("kingcup_memory_used_tokens", "Memory in use at the engine.", func() float64 { return float64(stats().MemoryUsed) })
-	r.Gauge("kingcup_memory_forecast_tokens", "Forecast peak of memory in use.", func() float64 { return float64(stats().MemoryForecast) })
+	r.ExportGauge("kingcup_running", "Streams that hold memory at the engine.", func() float64 { return float64(stats().Running) })
+	r.ExportGauge("kingcup_queued", "Requests and paused streams that wait.", func() float64 { return float64(stats().Queued) })
+	r.ExportGauge("kingcup_memory_used_tokens", "Memory in use at the engine.", func() float64 { return float64(stats().MemoryUsed) })
+	r.ExportGauge("kingcup_memory_forecast_tokens", "Forecast peak of memory in use.", func() float64 { return float64(stats().MemoryForecast) })
 }
 
 func (r *Recorder) objective(team string) (first, between time.Duration, target float64) {
