--- a/client/client.go
+++ b/client/client.go
@@ -20,8 +20,8 @@
 
 // Options set a Client.
 type Options struct {
-	// Refusals is how many refusals that name a time are waited out.
-	Refusals int
+	// MaxRetries is how many refusals that name a time are waited out.
+	MaxRetries int
 	// Resumes is how many times in a row a broken stream is resumed without
 	// receiving a token.
 	Resumes int
@@ -31,7 +31,7 @@
 
 // DefaultOptions suit interactive callers.
 func DefaultOptions() Options {
-	return Options{Refusals: 3, Resumes: 20, ResumeEvery: 250 * time.Millisecond}
+	return Options{MaxRetries: 3, Resumes: 20, ResumeEvery: 250 * time.Millisecond}
 }
 
 // Client calls the system through any of several entries. It is safe for
@@ -92,7 +92,7 @@
 			return g.result, nil
 		}
 		f := failure.FromError(err)
-		if !failure.IsNotRun(f) || f.RetryAfter == 0 || refusals >= c.opts.Refusals {
+		if !failure.IsNotRun(f) || f.RetryAfter == 0 || refusals >= c.opts.MaxRetries {
 			return g.result, f
 		}
 		if !wait.For(ctx, f.RetryAfter) {
@@ -245,7 +245,7 @@
 		f := failure.FromError(err)
 		after := f.RetryAfter
 		switch {
-		case failure.IsNotRun(f) && after > 0 && refusals < c.opts.Refusals:
+		case failure.IsNotRun(f) && after > 0 && refusals < c.opts.MaxRetries:
 			refusals++
 		case lostEntry(f) && !req.GetNonIdempotent() && losses < c.opts.Resumes:
 			losses++
--- a/internal/proof/outcome_test.go
+++ b/internal/proof/outcome_test.go
@@ -257,7 +257,7 @@
 		var waits []<-chan struct{}
 		var all []*seen
 		for i := range 10 {
-			at, done := s.generate(s.client(client.Options{Refusals: 100}), request(fmt.Sprintf("b%d", i), 50))
+			at, done := s.generate(s.client(client.Options{MaxRetries: 100}), request(fmt.Sprintf("b%d", i), 50))
 			all, waits = append(all, at), append(waits, done)
 		}
 		time.Sleep(500 * time.Millisecond)
--- a/internal/proof/stream_test.go
+++ b/internal/proof/stream_test.go
@@ -376,7 +376,7 @@
 		var all []*seen
 		var waits []<-chan struct{}
 		for i := range 12 {
-			at, done := s.generate(s.client(client.Options{Refusals: 20}), request(fmt.Sprintf("r%d", i), 100))
+			at, done := s.generate(s.client(client.Options{MaxRetries: 20}), request(fmt.Sprintf("r%d", i), 100))
 			all, waits = append(all, at), append(waits, done)
 		}
 		time.Sleep(200 * time.Millisecond)
