--- a/cmd/kingcupctl/main.go
+++ b/cmd/kingcupctl/main.go
@@ -55,7 +55,7 @@
 	admin := s.Address("admin", "127.0.0.1:7002", "admin address of an entry", false)
 	output := s.Choice("o", "table", []string{"table", "json"}, "output form")
 	timeout := s.Duration("timeout", 10*time.Minute, time.Millisecond, 24*time.Hour, "longest time for a command")
-	s.TakeArgs()
+	s.AllowArgs()
 	s.MustParse()
 	args := s.Args()
 	if len(args) == 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// TakeArgs lets arguments follow the flags.
-func (s *Set) TakeArgs() { s.takesArgs = true }
+// AllowArgs lets arguments follow the flags.
+func (s *Set) AllowArgs() { s.takesArgs = true }
 
 // EnvName is the variable of a flag.
 func EnvName(flagName string) string {
