--- a/client/client.go
+++ b/client/client.go
@@ -22,16 +22,16 @@
 type Options struct {
 	// MaxRetries is how many refusals that name a time are waited out.
 	MaxRetries int
-	// Resumes is how many times in a row a broken stream is resumed without
+	// MaxResumes is how many times in a row a broken stream is resumed without
 	// receiving a token.
-	Resumes int
+	MaxResumes int
 	// ResumeEvery is the wait between two such tries.
 	ResumeEvery time.Duration
 }
 
 // DefaultOptions suit interactive callers.
 func DefaultOptions() Options {
-	return Options{MaxRetries: 3, Resumes: 20, ResumeEvery: 250 * time.Millisecond}
+	return Options{MaxRetries: 3, MaxResumes: 20, ResumeEvery: 250 * time.Millisecond}
 }
 
 // Client calls the system through any of several entries. It is safe for
@@ -132,7 +132,7 @@
 				idle = 0
 			}
 		}
-		if idle >= g.c.opts.Resumes || !g.resumable(err) || !wait.For(ctx, g.c.opts.ResumeEvery) {
+		if idle >= g.c.opts.MaxResumes || !g.resumable(err) || !wait.For(ctx, g.c.opts.ResumeEvery) {
 			return err
 		}
 		g.result.Resumes++
@@ -247,7 +247,7 @@
 		switch {
 		case failure.IsNotRun(f) && after > 0 && refusals < c.opts.MaxRetries:
 			refusals++
-		case lostEntry(f) && !req.GetNonIdempotent() && losses < c.opts.Resumes:
+		case lostEntry(f) && !req.GetNonIdempotent() && losses < c.opts.MaxResumes:
 			losses++
 			after = c.opts.ResumeEvery
 		default:
