--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -174,12 +174,12 @@
 	given := make(map[string]bool)
 	s.flags.Visit(func(f *flag.Flag) { given[f.Name] = true })
 	s.flags.VisitAll(func(f *flag.Flag) {
-		value, ok := lookup(EnvName(f.Name))
+		value, ok := lookup(FlagVariable(f.Name))
 		if !ok || given[f.Name] || f.Name == "version" {
 			return
 		}
 		if err := s.flags.Set(f.Name, value); err != nil {
-			errs = append(errs, fmt.Errorf("%s: invalid value %q: %v", EnvName(f.Name), value, err))
+			errs = append(errs, fmt.Errorf("%s: invalid value %q: %v", FlagVariable(f.Name), value, err))
 		}
 	})
 	for _, check := range s.checks {
@@ -213,8 +213,8 @@
 // AllowArgs lets arguments follow the flags.
 func (s *Set) AllowArgs() { s.takesArgs = true }
 
-// EnvName is the variable of a flag.
-func EnvName(flagName string) string {
+// FlagVariable is the variable of a flag.
+func FlagVariable(flagName string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
 
@@ -225,7 +225,7 @@
 		fmt.Fprintf(w, "\n%s:\n", group)
 		s.flags.VisitAll(func(f *flag.Flag) {
 			if s.member[f.Name] == group {
-				fmt.Fprintf(w, "  -%-18s %s (default %q, %s)\n", f.Name, f.Usage, f.DefValue, EnvName(f.Name))
+				fmt.Fprintf(w, "  -%-18s %s (default %q, %s)\n", f.Name, f.Usage, f.DefValue, FlagVariable(f.Name))
 			}
 		})
 	}
