--- a/client/client.go
+++ b/client/client.go
@@ -25,13 +25,13 @@
 	// MaxResumes is how many times in a row a broken stream is resumed without
 	// receiving a token.
 	MaxResumes int
-	// ResumeEvery is the wait between two such tries.
-	ResumeEvery time.Duration
+	// ResumeInterval is the wait between two such tries.
+	ResumeInterval time.Duration
 }
 
 // DefaultOptions suit interactive callers.
 func DefaultOptions() Options {
-	return Options{MaxRetries: 3, MaxResumes: 20, ResumeEvery: 250 * time.Millisecond}
+	return Options{MaxRetries: 3, MaxResumes: 20, ResumeInterval: 250 * time.Millisecond}
 }
 
 // Client calls the system through any of several entries. It is safe for
@@ -132,7 +132,7 @@
 				idle = 0
 			}
 		}
-		if idle >= g.c.opts.MaxResumes || !g.resumable(err) || !wait.For(ctx, g.c.opts.ResumeEvery) {
+		if idle >= g.c.opts.MaxResumes || !g.resumable(err) || !wait.For(ctx, g.c.opts.ResumeInterval) {
 			return err
 		}
 		g.result.Resumes++
@@ -249,7 +249,7 @@
 			refusals++
 		case lostEntry(f) && !req.GetNonIdempotent() && losses < c.opts.MaxResumes:
 			losses++
-			after = c.opts.ResumeEvery
+			after = c.opts.ResumeInterval
 		default:
 			return nil, f
 		}
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	require.NoError(t, sys.Show(ctx, io.Discard, "tokens=5 first"))
-	c := client.New(client.Options{MaxRetries: 100, MaxResumes: 100, ResumeEvery: 50 * time.Millisecond}, sys.Conns()...)
+	c := client.New(client.Options{MaxRetries: 100, MaxResumes: 100, ResumeInterval: 50 * time.Millisecond}, sys.Conns()...)
 	operator := kingcupv1.NewOperatorServiceClient(sys.Conns()[0])
 	var wg sync.WaitGroup
 	for i := range 60 {
--- a/internal/proof/process_test.go
+++ b/internal/proof/process_test.go
@@ -139,7 +139,7 @@
 	}
 	p.configure(conns)
 	p.conns = conns
-	return client.New(client.Options{MaxRetries: 100, MaxResumes: 200, ResumeEvery: 50 * time.Millisecond}, conns...)
+	return client.New(client.Options{MaxRetries: 100, MaxResumes: 200, ResumeInterval: 50 * time.Millisecond}, conns...)
 }
 
 // until repeats f until it succeeds; the bound only ends a broken run.
