--- a/client/client.go
+++ b/client/client.go
@@ -37,9 +37,9 @@
 // Client calls the system through any of several entries. It is safe for
 // concurrent use.
 type Client struct {
-	opts    Options
-	entries []kingcupv1.CallerServiceClient
-	next    atomic.Uint64
+	opts      Options
+	entries   []kingcupv1.CallerServiceClient
+	nextEntry atomic.Uint64
 }
 
 // New returns a client that uses conns in turn; behind a balancer one is
@@ -52,8 +52,8 @@
 	return c
 }
 
-func (c *Client) entry() kingcupv1.CallerServiceClient {
-	return c.entries[c.next.Add(1)%uint64(len(c.entries))]
+func (c *Client) pickEntry() kingcupv1.CallerServiceClient {
+	return c.entries[c.nextEntry.Add(1)%uint64(len(c.entries))]
 }
 
 // Token is one token of a generation.
@@ -85,7 +85,7 @@
 
 // Generate runs one generation. The error is a *failure.Error.
 func (c *Client) Generate(ctx context.Context, req *kingcupv1.GenerateRequest, h Handler) (Result, error) {
-	g := &generation{c: c, req: req, handler: h, digest: engine.NewDigest()}
+	g := &generation{client: c, req: req, handler: h, digest: engine.NewDigest()}
 	for refusals := 0; ; refusals++ {
 		err := g.run(ctx)
 		if err == nil {
@@ -105,7 +105,7 @@
 
 // generation is one stream as the caller sees it. It is for one goroutine.
 type generation struct {
-	c         *Client
+	client    *Client
 	req       *kingcupv1.GenerateRequest
 	handler   Handler
 	result    Result
@@ -114,7 +114,7 @@
 	digest    engine.Digest
 }
 
-type events interface {
+type generationStream interface {
 	Recv() (*kingcupv1.GenerateResponse, error)
 }
 
@@ -132,7 +132,7 @@
 				idle = 0
 			}
 		}
-		if idle >= g.c.opts.MaxResumes || !g.resumable(err) || !wait.For(ctx, g.c.opts.ResumeInterval) {
+		if idle >= g.client.opts.MaxResumes || !g.canResume(err) || !wait.For(ctx, g.client.opts.ResumeInterval) {
 			return err
 		}
 		g.result.Resumes++
@@ -140,13 +140,13 @@
 	}
 }
 
-// resumable reports whether another entry may have the answer. Before a
+// canResume reports whether another entry may have the answer. Before a
 // generation is known a repeat may run a second time, which only an idempotent
 // request allows.
-func (g *generation) resumable(err error) bool {
+func (g *generation) canResume(err error) bool {
 	f := failure.FromError(err)
 	if g.result.GenerationID == "" {
-		return lostEntry(f) && !g.req.GetNonIdempotent()
+		return isEntryLost(f) && !g.req.GetNonIdempotent()
 	}
 	switch f.Reason {
 	case kingcupv1.Reason_REASON_INTERNAL, kingcupv1.Reason_REASON_LEAVING, kingcupv1.Reason_REASON_NOT_READY,
@@ -156,16 +156,16 @@
 	return false
 }
 
-// lostEntry reports whether an error came from the way to the entry: entries
+// isEntryLost reports whether an error came from the way to the entry: entries
 // themselves always give a reason.
-func lostEntry(f *failure.Error) bool {
+func isEntryLost(f *failure.Error) bool {
 	return f.Reason == kingcupv1.Reason_REASON_INTERNAL
 }
 
 // open begins the generation, or finds it again.
-func (g *generation) open(ctx context.Context) (events, error) {
+func (g *generation) open(ctx context.Context) (generationStream, error) {
 	if g.result.GenerationID == "" {
-		return g.c.entry().Generate(ctx, g.req)
+		return g.client.pickEntry().Generate(ctx, g.req)
 	}
 	req := &kingcupv1.ResumeRequest{
 		Request: g.req, GenerationId: g.result.GenerationID, NextIndex: uint64(len(g.delivered)),
@@ -174,10 +174,10 @@
 	if n := len(g.result.Servers); n > 0 {
 		req.BackendServer = g.result.Servers[n-1]
 	}
-	return g.c.entry().Resume(ctx, req)
+	return g.client.pickEntry().Resume(ctx, req)
 }
 
-func (g *generation) read(st events) error {
+func (g *generation) read(st generationStream) error {
 	for {
 		m, err := st.Recv()
 		if errors.Is(err, io.EOF) {
@@ -188,18 +188,18 @@
 		}
 		switch ev := m.GetEvent().(type) {
 		case *kingcupv1.GenerateResponse_Started:
-			g.started(ev.Started)
+			g.handleStarted(ev.Started)
 		case *kingcupv1.GenerateResponse_Tokens:
-			if err := g.take(ev.Tokens); err != nil {
+			if err := g.handleTokens(ev.Tokens); err != nil {
 				return err
 			}
 		case *kingcupv1.GenerateResponse_End:
-			return g.finish(ev.End)
+			return g.handleEnd(ev.End)
 		}
 	}
 }
 
-func (g *generation) started(s *kingcupv1.Started) {
+func (g *generation) handleStarted(s *kingcupv1.Started) {
 	g.result.GenerationID = s.GetGenerationId()
 	g.result.Servers = append(g.result.Servers, s.GetBackendServer())
 	if g.handler.Started != nil {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (g *generation) take(t *kingcupv1.Tokens) error {
+func (g *generation) handleTokens(t *kingcupv1.Tokens) error {
 	next := uint64(len(g.delivered))
 	if t.GetFirstIndex() != next {
 		return failure.Unknown(kingcupv1.Reason_REASON_PROTOCOL, 0, "token %d came, %d was due", t.GetFirstIndex(), next)
@@ -223,7 +223,7 @@
 	return nil
 }
 
-func (g *generation) finish(end *kingcupv1.End) error {
+func (g *generation) handleEnd(end *kingcupv1.End) error {
 	g.result.Tokens = uint64(len(g.delivered))
 	g.result.FinishReason = end.GetFinishReason()
 	if end.GetTokens() != g.result.Tokens || end.GetDigest() != g.digest.Sum() {
@@ -238,7 +238,7 @@
 func (c *Client) Call(ctx context.Context, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
 	refusals, losses := 0, 0
 	for {
-		resp, err := c.entry().Call(ctx, req)
+		resp, err := c.pickEntry().Call(ctx, req)
 		if err == nil {
 			return resp, nil
 		}
@@ -247,7 +247,7 @@
 		switch {
 		case failure.IsNotRun(f) && after > 0 && refusals < c.opts.MaxRetries:
 			refusals++
-		case lostEntry(f) && !req.GetNonIdempotent() && losses < c.opts.MaxResumes:
+		case isEntryLost(f) && !req.GetNonIdempotent() && losses < c.opts.MaxResumes:
 			losses++
 			after = c.opts.ResumeInterval
 		default:
--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -23,23 +23,23 @@
 // ErrMalformed says that bytes are no change.
 var ErrMalformed = errors.New("malformed change")
 
-// maxInflated bounds what a head or a part may become, in bytes: the keys of 1,500 teams
+// maxInflatedBytes bounds what a head or a part may become, in bytes: the keys of 1,500 teams
 // take 0.1 MB, 400 routes 0.05 MB.
-const maxInflated = 16 << 20
+const maxInflatedBytes = 16 << 20
 
-// partRoutes is how many routes stand in a part: some 5 KB, 4 ms of a link of 10 Mbit/s,
+// routesPerPart is how many routes stand in a part: some 5 KB, 4 ms of a link of 10 Mbit/s,
 // and as much of the processor of a VM with 0.144 cores to decode.
-const partRoutes = 400
+const routesPerPart = 400
 
 // Encode gives the head of an answer that carries a change, and the parts that follow it.
 // Each part is decoded by itself. pause is called between parts.
 func Encode(ch *routing.Change, pause func()) (head *peerv1.Change, parts [][]byte, err error) {
-	access, err := deflate(accessOf(ch))
+	access, err := marshalCompressed(accessToProto(ch))
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, rs := range split(ch) {
-		part, err := deflate(rs)
+	for _, rs := range splitIntoParts(ch) {
+		part, err := marshalCompressed(rs)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -53,7 +53,7 @@
 // ErrMalformed.
 func DecodeHead(head *peerv1.Change) (*routing.Change, error) {
 	var a peerv1.Access
-	if err := inflate(head.GetAccess(), &a); err != nil {
+	if err := unmarshalCompressed(head.GetAccess(), &a); err != nil {
 		return nil, err
 	}
 	ch := &routing.Change{Base: head.GetBase(), Version: head.GetVersion(), KeysRequired: a.GetKeyed(), DropTeams: a.GetDrop()}
@@ -66,7 +66,7 @@
 // ApplyPart adds a part to an update. Errors: ErrMalformed.
 func ApplyPart(u *routing.Update, part []byte) error {
 	var rs peerv1.Routes
-	if err := inflate(part, &rs); err != nil {
+	if err := unmarshalCompressed(part, &rs); err != nil {
 		return err
 	}
 	var drop []routing.RouteID
@@ -75,11 +75,11 @@
 	}
 	set := make([]*routing.Route, 0, len(rs.GetSet()))
 	for _, r := range rs.GetSet() {
-		set = append(set, routeFrom(r))
+		set = append(set, routeFromProto(r))
 	}
 	u.Add(drop, set)
 	for _, s := range rs.GetServices() {
-		u.Services = append(u.Services, serviceFrom(s))
+		u.Services = append(u.Services, serviceFromProto(s))
 	}
 	if l := rs.GetLimits(); l != nil {
 		u.Limits = routing.Limits{
@@ -91,18 +91,20 @@
 }
 
 // EncodeRows gives a part of an answer that holds rows of a table.
-func EncodeRows(rows []*peerv1.Row) ([]byte, error) { return deflate(&peerv1.Rows{Rows: rows}) }
+func EncodeRows(rows []*peerv1.Row) ([]byte, error) {
+	return marshalCompressed(&peerv1.Rows{Rows: rows})
+}
 
 // DecodeRows reads a part that holds rows. Errors: ErrMalformed.
 func DecodeRows(part []byte) ([]*peerv1.Row, error) {
 	var rows peerv1.Rows
-	if err := inflate(part, &rows); err != nil {
+	if err := unmarshalCompressed(part, &rows); err != nil {
 		return nil, err
 	}
 	return rows.GetRows(), nil
 }
 
-func deflate(msg proto.Message) ([]byte, error) {
+func marshalCompressed(msg proto.Message) ([]byte, error) {
 	raw, err := proto.Marshal(msg)
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
@@ -121,8 +123,8 @@
 	return out.Bytes(), nil
 }
 
-func inflate(data []byte, msg proto.Message) error {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxInflated))
+func unmarshalCompressed(data []byte, msg proto.Message) error {
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxInflatedBytes))
 	if err != nil {
 		return errors.Wrap(ErrMalformed, err.Error())
 	}
@@ -132,7 +134,7 @@
 	return nil
 }
 
-func accessOf(ch *routing.Change) *peerv1.Access {
+func accessToProto(ch *routing.Change) *peerv1.Access {
 	a := &peerv1.Access{Drop: ch.DropTeams, Keyed: ch.KeysRequired}
 	for _, t := range ch.SetTeams {
 		a.Set = append(a.Set, &peerv1.Team{Name: t.Name, Keys: t.Keys, Priority: int32(t.Priority), Ranked: t.HasPriority, Regions: t.Regions})
@@ -140,36 +142,36 @@
 	return a
 }
 
-// split makes parts of what is not access: services and limits first, then routes to
+// splitIntoParts makes parts of what is not access: services and limits first, then routes to
 // drop, then routes to set.
-func split(ch *routing.Change) (out []*peerv1.Routes) {
+func splitIntoParts(ch *routing.Change) (out []*peerv1.Routes) {
 	l := ch.Limits
 	first := &peerv1.Routes{Limits: &peerv1.Limits{
 		HeaderBytes: int64(l.HeaderBytes), BodyBytes: int64(l.BodyBytes),
 		HeaderTimeout: int64(l.HeaderTimeout), IdleTimeout: int64(l.IdleTimeout),
 	}}
 	for _, s := range ch.Services {
-		first.Services = append(first.Services, serviceOf(s))
+		first.Services = append(first.Services, serviceToProto(s))
 	}
 	out = append(out, first)
-	for ids := range slices.Chunk(ch.DropRoutes, partRoutes) {
+	for ids := range slices.Chunk(ch.DropRoutes, routesPerPart) {
 		part := &peerv1.Routes{}
 		for _, id := range ids {
 			part.Drop = append(part.Drop, &peerv1.RouteID{Host: id.Host, Prefix: id.Prefix})
 		}
 		out = append(out, part)
 	}
-	for routes := range slices.Chunk(ch.SetRoutes, partRoutes) {
+	for routes := range slices.Chunk(ch.SetRoutes, routesPerPart) {
 		part := &peerv1.Routes{}
 		for _, r := range routes {
-			part.Set = append(part.Set, routeOf(r))
+			part.Set = append(part.Set, routeToProto(r))
 		}
 		out = append(out, part)
 	}
 	return out
 }
 
-func routeOf(r *routing.Route) *peerv1.Route {
+func routeToProto(r *routing.Route) *peerv1.Route {
 	out := &peerv1.Route{
 		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: uint32(r.Kind), Timeout: int64(r.Timeout), Target: int64(r.TargetLatency),
 		MaxPause: int64(r.MaxPause), Silence: int64(r.EventTimeout), Servers: int32(r.MaxServers), Priority: int32(r.Priority),
@@ -181,7 +183,7 @@
 	return out
 }
 
-func routeFrom(r *peerv1.Route) *routing.Route {
+func routeFromProto(r *peerv1.Route) *routing.Route {
 	out := &routing.Route{
 		Name: r.GetName(), Host: r.GetHost(), Prefix: r.GetPrefix(), Kind: routing.Kind(r.GetKind()),
 		Timeout: time.Duration(r.GetTimeout()), TargetLatency: time.Duration(r.GetTarget()),
@@ -194,7 +196,7 @@
 	return out
 }
 
-func serviceOf(s *routing.Service) *peerv1.Service {
+func serviceToProto(s *routing.Service) *peerv1.Service {
 	out := &peerv1.Service{Name: s.Name, MaxConns: int64(s.MaxConns), ColdTime: int64(s.ColdTime), ColdRate: s.ColdRate}
 	if e := s.Engine; e != nil {
 		out.Engine = &peerv1.Engine{
@@ -205,7 +207,7 @@
 	return out
 }
 
-func serviceFrom(s *peerv1.Service) *routing.Service {
+func serviceFromProto(s *peerv1.Service) *routing.Service {
 	out := &routing.Service{Name: s.GetName(), MaxConns: int(s.GetMaxConns()), ColdTime: time.Duration(s.GetColdTime()), ColdRate: s.GetColdRate()}
 	if e := s.GetEngine(); e != nil {
 		out.Engine = &routing.Engine{
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -30,8 +30,8 @@
 	replica *conf.Replica
 	store   *conf.Store
 	log     logrus.FieldLogger
-	// confirmed is when the version was last confirmed, in Unix nanoseconds.
-	confirmed atomic.Int64
+	// confirmedAt is when the version was last confirmedAt, in Unix nanoseconds.
+	confirmedAt atomic.Int64
 }
 
 // New returns a syncer; store may be nil for processes that only have peers.
@@ -53,12 +53,12 @@
 	if s.replica.Version() == 0 {
 		return false
 	}
-	return time.Since(time.Unix(0, s.confirmed.Load())) <= s.cfg.StaleAfter
+	return time.Since(time.Unix(0, s.confirmedAt.Load())) <= s.cfg.StaleAfter
 }
 
 // MarkConfirmed records that a peer or the store holds no newer version.
 func (s *Syncer) MarkConfirmed() {
-	s.confirmed.Store(time.Now().UnixNano())
+	s.confirmedAt.Store(time.Now().UnixNano())
 }
 
 // Run polls the store until ctx ends.
@@ -124,16 +124,16 @@
 
 // ServePull answers a peer's ConfigPull.
 func (s *Syncer) ServePull(pull *innerv1.ConfigPull, st *wire.Stream) error {
-	return s.reply(st, s.StateSince(pull.GetHaveVersion()))
+	return s.sendState(st, s.StateSince(pull.GetHaveVersion()))
 }
 
 // ServePush takes a peer's push and answers with the version that now holds.
 func (s *Syncer) ServePush(push *innerv1.ConfigState, st *wire.Stream) error {
 	s.Apply(push)
-	return s.reply(st, &innerv1.ConfigState{Version: s.replica.Version()})
+	return s.sendState(st, &innerv1.ConfigState{Version: s.replica.Version()})
 }
 
-func (s *Syncer) reply(st *wire.Stream, state *innerv1.ConfigState) error {
+func (s *Syncer) sendState(st *wire.Stream, state *innerv1.ConfigState) error {
 	return st.Send(&innerv1.Reply{Kind: &innerv1.Reply_ConfigState{ConfigState: state}})
 }
 
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -14,35 +14,36 @@
 // Call implements CallerService.
 func (e *Entry) Call(ctx context.Context, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
 	resp, err := e.call(ctx, req)
-	e.finished(req.GetTeam(), err)
+	e.recordOutcome(req.GetTeam(), err)
 	if err != nil {
-		return nil, e.answer(req.GetTeam(), req.GetRequestId(), err)
+		return nil, e.logFailure(req.GetTeam(), req.GetRequestId(), err)
 	}
 	return resp, nil
 }
 
 func (e *Entry) call(ctx context.Context, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
-	end, err := e.begin()
+	release, err := e.admit()
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	if err := checkID(req.GetRequestId(), req.GetNonIdempotent()); err != nil {
+	defer release()
+	if err := checkRequestID(req.GetRequestId(), req.GetNonIdempotent()); err != nil {
 		return nil, err
 	}
-	if _, err := e.checkTeam(req.GetTeam(), req.GetService(), kingcupv1.ModelKind_MODEL_KIND_SERVICE); err != nil {
+	if _, err := e.authorizeModel(req.GetTeam(), req.GetService(), kingcupv1.ModelKind_MODEL_KIND_SERVICE); err != nil {
 		return nil, err
 	}
-	e.firstTry(req.GetTeam())
+	e.recordFirstTry(req.GetTeam())
 	if req.GetNonIdempotent() {
-		return e.callOnce(ctx, req)
+		return e.callAtMostOnce(ctx, req)
 	}
 	return e.dispatch(ctx, req)
 }
 
-// callOnce runs a call under a claim of its key.
-func (e *Entry) callOnce(ctx context.Context, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
-	held, existing, err := e.claim(ctx, req.GetTeam(), req.GetRequestId(), claim.Record{})
+// callAtMostOnce claims the request's key and then dispatches the call. If the
+// key was claimed before, it replies from the recorded claim instead.
+func (e *Entry) callAtMostOnce(ctx context.Context, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
+	acquired, existing, err := e.claimKey(ctx, req.GetTeam(), req.GetRequestId(), claim.Record{})
 	if err != nil {
 		return nil, err
 	}
@@ -50,58 +51,62 @@
 		return replayCall(existing)
 	}
 	resp, err := e.dispatch(ctx, req)
-	e.settle(ctx, held, resp.GetBody(), err)
+	e.recordClaimOutcome(ctx, acquired, resp.GetBody(), err)
 	return resp, err
 }
 
-// replayCall answers a repeated call with the recorded outcome of its first run.
-func replayCall(rec *claim.Record) (*kingcupv1.CallResponse, error) {
-	if rec.State == claim.Done && !rec.Partial {
-		return &kingcupv1.CallResponse{Body: rec.Answer, Replayed: true}, nil
+// replayCall builds the response to a repeated call from the recorded outcome
+// of its first run.
+func replayCall(record *claim.Record) (*kingcupv1.CallResponse, error) {
+	if record.State == claim.Done && !record.Partial {
+		return &kingcupv1.CallResponse{Body: record.Answer, Replayed: true}, nil
 	}
-	if rec.State == claim.Done {
+	if record.State == claim.Done {
 		return nil, failure.Unknown(kingcupv1.Reason_REASON_IN_PROGRESS, 0, "request ran; its answer was too long to keep")
 	}
 	return nil, failure.Unknown(kingcupv1.Reason_REASON_IN_PROGRESS, time.Second, "request was dispatched before; its outcome is not known yet")
 }
 
-// dispatch sends a call to agents until one has not refused it. After a
-// dispatch that may have run, only an idempotent call goes to a second agent.
+// dispatch sends a call to one agent after the other until one accepts it. If
+// an agent may have run the call, only an idempotent call is sent to another
+// agent, and only within the team's retry budget.
 func (e *Entry) dispatch(ctx context.Context, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
 	var tried []string
-	var last *failure.Error
-	ran := false
+	var lastFailure *failure.Error
+	mayHaveRun := false
 	for range e.cfg.MaxServersPerRequest {
-		server := e.pickService(req, tried)
+		server := e.pickServiceServer(req, tried)
 		if server == "" {
 			break
 		}
-		resp, err := e.send(ctx, server, req)
+		resp, err := e.sendCall(ctx, server, req)
 		if err == nil {
 			return resp, nil
 		}
-		last = failure.FromError(err)
+		lastFailure = failure.FromError(err)
 		tried = append(tried, server)
-		if last.Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN {
+		if lastFailure.Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN {
 			continue
 		}
-		ran = true
+		mayHaveRun = true
 		if req.GetNonIdempotent() || ctx.Err() != nil || !e.retryAllowed(req.GetTeam()) {
-			return nil, last
+			return nil, lastFailure
 		}
 	}
-	if last == nil {
+	if lastFailure == nil {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_NO_BACKEND, time.Second, "no backend server serves %s", req.GetService())
 	}
-	if ran {
-		return nil, failure.Unknown(last.Reason, last.RetryAfter, "%s", last.Detail)
+	if mayHaveRun {
+		return nil, failure.Unknown(lastFailure.Reason, lastFailure.RetryAfter, "%s", lastFailure.Detail)
 	}
-	return nil, last
+	return nil, lastFailure
 }
 
-func (e *Entry) pickService(req *kingcupv1.CallRequest, tried []string) string {
-	servers := e.servers()
-	i := e.place.Pick(&placement.Request{
+// pickServiceServer returns the backend server for the next attempt of a call,
+// or "" if there is none besides those in tried.
+func (e *Entry) pickServiceServer(req *kingcupv1.CallRequest, tried []string) string {
+	servers := e.placementServers()
+	i := e.policy.Pick(&placement.Request{
 		Team: req.GetTeam(), Model: req.GetService(),
 		FailureDomain: e.cfg.Identity.FailureDomain, Tried: tried,
 	}, servers, e.cfg.Random())
@@ -111,22 +116,24 @@
 	return servers[i].Name
 }
 
-// defaultCall bounds a call whose caller set no deadline.
-const defaultCall = 30 * time.Second
+// defaultCallTimeout bounds every call to a plain service and every operator
+// request to an agent. A caller's earlier deadline still applies.
+const defaultCallTimeout = 30 * time.Second
 
-func (e *Entry) send(ctx context.Context, server string, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, defaultCall)
+// sendCall sends one call to an agent and returns the agent's reply.
+func (e *Entry) sendCall(ctx context.Context, server string, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, defaultCallTimeout)
 	defer cancel()
 	deadline, _ := ctx.Deadline()
 	call := &innerv1.Call{Request: req, DeadlineMs: uint64(max(1, time.Until(deadline).Milliseconds()))}
-	st, sent, err := e.open(ctx, server, &innerv1.Open{Kind: &innerv1.Open_Call{Call: call}})
+	st, wasSent, err := e.openStream(ctx, server, &innerv1.Open{Kind: &innerv1.Open_Call{Call: call}})
 	if err != nil {
-		return nil, unanswered(sent, err)
+		return nil, noResponseError(wasSent, err)
 	}
 	defer st.close()
 	reply := &innerv1.Reply{}
 	if err := st.Recv(reply); err != nil {
-		return nil, unanswered(true, err)
+		return nil, noResponseError(true, err)
 	}
 	if fail := reply.GetFailure(); fail != nil {
 		return nil, failure.FromProto(fail)
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -15,40 +15,42 @@
 // Generate implements CallerService.
 func (e *Entry) Generate(req *kingcupv1.GenerateRequest, out generateStream) error {
 	err := e.generate(req, out)
-	e.finished(req.GetTeam(), err)
-	return e.answer(req.GetTeam(), req.GetRequestId(), err)
+	e.recordOutcome(req.GetTeam(), err)
+	return e.logFailure(req.GetTeam(), req.GetRequestId(), err)
 }
 
-// answer logs a failed request and gives its error to gRPC.
-func (e *Entry) answer(team, requestID string, err error) error {
+// logFailure logs a failed request and returns its error as a *failure.Error,
+// which gRPC turns into a status. It returns nil if err is nil.
+func (e *Entry) logFailure(team, requestID string, err error) error {
 	if err == nil {
 		return nil
 	}
-	f := failure.FromError(err)
-	e.log.WithField("team", team).WithField("request", requestID).WithField("reason", f.Reason.String()).Info(f.Detail)
-	return f
+	fail := failure.FromError(err)
+	e.log.WithField("team", team).WithField("request", requestID).WithField("reason", fail.Reason.String()).Info(fail.Detail)
+	return fail
 }
 
 func (e *Entry) generate(req *kingcupv1.GenerateRequest, out generateStream) error {
-	end, err := e.begin()
+	release, err := e.admit()
 	if err != nil {
 		return err
 	}
-	defer end()
+	defer release()
 	if err := e.checkGenerate(req); err != nil {
 		return err
 	}
-	e.firstTry(req.GetTeam())
+	e.recordFirstTry(req.GetTeam())
 	f := e.newInflight(req, newID(), out)
 	if req.GetNonIdempotent() {
-		return e.generateOnce(out.Context(), f)
+		return e.generateAtMostOnce(out.Context(), f)
 	}
 	return f.run(out.Context())
 }
 
-// generateOnce claims the request's key before it is dispatched.
-func (e *Entry) generateOnce(ctx context.Context, f *inflight) error {
-	held, existing, err := e.claim(ctx, f.req.GetTeam(), f.req.GetRequestId(), claim.Record{GenerationID: f.id})
+// generateAtMostOnce claims the request's key before it dispatches the request.
+// If the key was claimed before, it replays the stream of the first run.
+func (e *Entry) generateAtMostOnce(ctx context.Context, f *inflight) error {
+	acquired, existing, err := e.claimKey(ctx, f.req.GetTeam(), f.req.GetRequestId(), claim.Record{GenerationID: f.id})
 	if err != nil {
 		return err
 	}
@@ -56,18 +58,18 @@
 		return e.replayStream(ctx, f, existing)
 	}
 	err = f.run(ctx)
-	e.settle(ctx, held, nil, err)
+	e.recordClaimOutcome(ctx, acquired, nil, err)
 	return err
 }
 
-// replayStream answers a repeated non-idempotent request with the stream of its
-// first run, if an agent still holds it.
-func (e *Entry) replayStream(ctx context.Context, f *inflight, rec *claim.Record) error {
-	f.id = rec.GenerationID
-	f.ran = true
-	for _, s := range e.servers() {
+// replayStream responds to a repeated non-idempotent request with the stream of
+// its first run, if an agent still stores that stream.
+func (e *Entry) replayStream(ctx context.Context, f *inflight, record *claim.Record) error {
+	f.id = record.GenerationID
+	f.mayHaveRun = true
+	for _, s := range e.placementServers() {
 		f.server = s.Name
-		st, _, err := e.open(ctx, s.Name, f.attachment())
+		st, _, err := e.openStream(ctx, s.Name, f.attachRequest())
 		if err != nil {
 			continue
 		}
@@ -82,110 +84,114 @@
 	return failure.Unknown(kingcupv1.Reason_REASON_IN_PROGRESS, time.Second, "request was dispatched before and its stream was not found")
 }
 
-// claim takes the key of a non-idempotent request. With an error nothing was
-// dispatched, so the request did not run.
-func (e *Entry) claim(ctx context.Context, team, requestID string, rec claim.Record) (*claim.Claim, *claim.Record, error) {
-	rec.Nonce = newID()
-	held, existing, err := e.claims.Claim(ctx, claim.Key{Team: team, RequestID: requestID}, rec)
+// claimKey claims the key of a non-idempotent request. It returns the acquired
+// claim, or the existing record if the key was claimed before. An error means
+// that nothing was dispatched, so the request did not run.
+func (e *Entry) claimKey(ctx context.Context, team, requestID string, record claim.Record) (*claim.Claim, *claim.Record, error) {
+	record.Nonce = newID()
+	acquired, existing, err := e.claims.Claim(ctx, claim.Key{Team: team, RequestID: requestID}, record)
 	if err != nil {
-		return nil, nil, failure.NotRun(kingcupv1.Reason_REASON_STORE_UNAVAILABLE, storeRetry, "%v", err)
+		return nil, nil, failure.NotRun(kingcupv1.Reason_REASON_STORE_UNAVAILABLE, storeRetryAfter, "%v", err)
 	}
-	return held, existing, nil
+	return acquired, existing, nil
 }
 
-const storeRetry = time.Second
+// storeRetryAfter is the retry delay sent to callers while the store is
+// unavailable.
+const storeRetryAfter = time.Second
 
-// settle records how a claimed request ended. A key is given back only if the
-// request certainly did not run.
-func (e *Entry) settle(ctx context.Context, held *claim.Claim, answer []byte, err error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
+// recordClaimOutcome records the outcome of a claimed request. It releases the
+// key only if the request certainly did not run.
+func (e *Entry) recordClaimOutcome(ctx context.Context, acquired *claim.Claim, answer []byte, err error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimOutcomeTimeout)
 	defer cancel()
-	var failed error
+	var storeErr error
 	switch {
 	case err == nil:
-		failed = e.claims.Finish(ctx, held, answer)
+		storeErr = e.claims.Finish(ctx, acquired, answer)
 	case failure.IsNotRun(err):
-		failed = e.claims.Release(ctx, held)
+		storeErr = e.claims.Release(ctx, acquired)
 	}
-	if failed != nil {
-		e.log.WithError(failed).WithField("request", held.Key.RequestID).Warn("outcome of a claimed request not recorded")
+	if storeErr != nil {
+		e.log.WithError(storeErr).WithField("request", acquired.Key.RequestID).Warn("failed to record the outcome of a claimed request")
 	}
 }
 
-const settleTimeout = 2 * time.Second
+const claimOutcomeTimeout = 2 * time.Second
 
 // Resume implements CallerService.
 func (e *Entry) Resume(req *kingcupv1.ResumeRequest, out kingcupv1.CallerService_ResumeServer) error {
 	err := e.resume(req, out)
-	e.finished(req.GetRequest().GetTeam(), err)
-	return e.answer(req.GetRequest().GetTeam(), req.GetRequest().GetRequestId(), err)
+	e.recordOutcome(req.GetRequest().GetTeam(), err)
+	return e.logFailure(req.GetRequest().GetTeam(), req.GetRequest().GetRequestId(), err)
 }
 
-func (e *Entry) resume(req *kingcupv1.ResumeRequest, out sink) error {
-	end, err := e.begin()
+func (e *Entry) resume(req *kingcupv1.ResumeRequest, out callerStream) error {
+	release, err := e.admit()
 	if err != nil {
-		// The generation runs on; only this entry can't serve it.
+		// The generation continues at its agent; only this entry can't serve
+		// it. The outcome is therefore unknown, not "not run".
 		f := failure.FromError(err)
 		return failure.Unknown(f.Reason, f.RetryAfter, "%s", f.Detail)
 	}
-	defer end()
+	defer release()
 	if err := e.checkGenerate(req.GetRequest()); err != nil {
 		return err
 	}
 	f := e.newInflight(req.GetRequest(), req.GetGenerationId(), out)
-	f.ran = true
+	f.mayHaveRun = true
 	f.attempt = max(1, req.GetAttempt())
 	f.server = req.GetBackendServer()
-	f.kept.Preload(req.GetDelivered())
+	f.delivered.Preload(req.GetDelivered())
 	if uint64(len(req.GetDelivered())) != req.GetNextIndex() {
-		return e.resumeHeld(out.Context(), f, req.GetNextIndex())
+		return e.resumeAtAgent(out.Context(), f, req.GetNextIndex())
 	}
 	st, err := f.reattach(out.Context())
 	if err != nil {
-		st, err = f.next(out.Context(), errBroken)
+		st, err = f.recover(out.Context(), errStreamBroken)
 	}
-	return f.follow(out.Context(), st, err)
+	return f.relayToEnd(out.Context(), st, err)
 }
 
-// resumeHeld continues a stream whose delivered tokens the caller did not send:
-// the agent must still hold them, since the digest covers all.
-func (e *Entry) resumeHeld(ctx context.Context, f *inflight, next uint64) error {
-	f.out = &skipper{sink: f.out, next: next}
+// resumeAtAgent continues a stream whose delivered tokens the caller did not
+// send. The agent must still store them, because the digest covers all tokens.
+func (e *Entry) resumeAtAgent(ctx context.Context, f *inflight, nextIndex uint64) error {
+	f.out = &tokenSkipper{callerStream: f.out, nextIndex: nextIndex}
 	st, err := f.reattach(ctx)
 	if err != nil {
 		return failure.Unknown(kingcupv1.Reason_REASON_BACKEND_LOST, time.Second, "%v; send the delivered tokens to continue elsewhere", err)
 	}
-	return f.follow(ctx, st, nil)
+	return f.relayToEnd(ctx, st, nil)
 }
 
-// skipper drops the tokens before next on the way to the caller.
-type skipper struct {
-	sink
-	next uint64
+// tokenSkipper drops the tokens before nextIndex from a caller's stream.
+type tokenSkipper struct {
+	callerStream
+	nextIndex uint64
 }
 
-// Send implements sink.
-func (s *skipper) Send(m *kingcupv1.GenerateResponse) error {
+// Send implements callerStream.
+func (s *tokenSkipper) Send(m *kingcupv1.GenerateResponse) error {
 	t := m.GetTokens()
-	if t == nil || t.GetFirstIndex() >= s.next {
-		return s.sink.Send(m)
+	if t == nil || t.GetFirstIndex() >= s.nextIndex {
+		return s.callerStream.Send(m)
 	}
-	have := s.next - t.GetFirstIndex()
-	if have >= uint64(len(t.GetTexts())) {
+	skipped := s.nextIndex - t.GetFirstIndex()
+	if skipped >= uint64(len(t.GetTexts())) {
 		return nil
 	}
-	t.Texts = t.Texts[have:]
-	t.FirstIndex = s.next
-	return s.sink.Send(m)
+	t.Texts = t.Texts[skipped:]
+	t.FirstIndex = s.nextIndex
+	return s.callerStream.Send(m)
 }
 
-// Cancel implements CallerService. The generation is looked for at every agent
-// that is watched, since it may have been moved.
+// Cancel implements CallerService. It asks every watched agent to cancel the
+// generation, since a failover may have moved the generation.
 func (e *Entry) Cancel(ctx context.Context, req *kingcupv1.CancelRequest) (*kingcupv1.CancelResponse, error) {
 	open := &innerv1.Open{Kind: &innerv1.Open_Cancel{Cancel: &innerv1.Cancel{GenerationId: req.GetGenerationId(), Team: req.GetTeam()}}}
 	found := false
-	for _, s := range e.servers() {
-		st, _, err := e.open(ctx, s.Name, open)
+	for _, s := range e.placementServers() {
+		st, _, err := e.openStream(ctx, s.Name, open)
 		if err != nil {
 			continue
 		}
--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -9,51 +9,54 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// maxName bounds names and keys in bytes.
-const maxName = 256
+// maxRequestIDBytes bounds a request_id.
+const maxRequestIDBytes = 256
 
-// defaultPromptBytes bounds a prompt where the model sets no bound.
-const defaultPromptBytes = 1 << 20
+// defaultMaxPromptBytes bounds a prompt if its model sets no bound.
+const defaultMaxPromptBytes = 1 << 20
 
+// checkGenerate validates a generation request and lowers its max_tokens to the
+// model's bound.
 func (e *Entry) checkGenerate(req *kingcupv1.GenerateRequest) error {
-	if err := checkID(req.GetRequestId(), req.GetNonIdempotent()); err != nil {
+	if err := checkRequestID(req.GetRequestId(), req.GetNonIdempotent()); err != nil {
 		return err
 	}
-	model, err := e.checkTeam(req.GetTeam(), req.GetModel(), kingcupv1.ModelKind_MODEL_KIND_GENERATION)
+	model, err := e.authorizeModel(req.GetTeam(), req.GetModel(), kingcupv1.ModelKind_MODEL_KIND_GENERATION)
 	if err != nil {
 		return err
 	}
-	bound := int(model.GetMaxPromptBytes())
-	if bound == 0 {
-		bound = defaultPromptBytes
+	maxPromptBytes := int(model.GetMaxPromptBytes())
+	if maxPromptBytes == 0 {
+		maxPromptBytes = defaultMaxPromptBytes
 	}
-	if len(req.GetPrompt()) > bound {
-		return failure.NotRun(kingcupv1.Reason_REASON_PROMPT_TOO_LARGE, 0, "prompt has %d bytes, model %s takes %d", len(req.GetPrompt()), model.GetName(), bound)
+	if len(req.GetPrompt()) > maxPromptBytes {
+		return failure.NotRun(kingcupv1.Reason_REASON_PROMPT_TOO_LARGE, 0, "prompt has %d bytes, model %s takes %d", len(req.GetPrompt()), model.GetName(), maxPromptBytes)
 	}
-	if most := model.GetMaxTokens(); most > 0 && (req.GetMaxTokens() == 0 || req.GetMaxTokens() > most) {
-		req.MaxTokens = most
+	if maxTokens := model.GetMaxTokens(); maxTokens > 0 && (req.GetMaxTokens() == 0 || req.GetMaxTokens() > maxTokens) {
+		req.MaxTokens = maxTokens
 	}
 	if name := req.GetAdapter(); name != "" {
-		a := e.sync.Replica().State().Adapter(name)
-		if a.GetModel() != req.GetModel() {
+		adapter := e.sync.Replica().State().Adapter(name)
+		if adapter.GetModel() != req.GetModel() {
 			return failure.NotRun(kingcupv1.Reason_REASON_UNKNOWN_MODEL, 0, "model %q has no adapter %q", req.GetModel(), name)
 		}
 	}
 	return nil
 }
 
-func checkID(id string, needed bool) error {
-	if needed && id == "" {
+func checkRequestID(id string, isRequired bool) error {
+	if isRequired && id == "" {
 		return failure.NotRun(kingcupv1.Reason_REASON_INVALID, 0, "a non-idempotent request needs a request_id")
 	}
-	if len(id) > maxName {
-		return failure.NotRun(kingcupv1.Reason_REASON_INVALID, 0, "request_id has %d bytes, at most %d are taken", len(id), maxName)
+	if len(id) > maxRequestIDBytes {
+		return failure.NotRun(kingcupv1.Reason_REASON_INVALID, 0, "request_id has %d bytes, at most %d are taken", len(id), maxRequestIDBytes)
 	}
 	return nil
 }
 
-// checkTeam returns the model or service if the team may use it.
-func (e *Entry) checkTeam(teamName, modelName string, kind kingcupv1.ModelKind) (*kingcupv1.Model, error) {
+// authorizeModel returns the model or service if it exists with that kind and
+// the team may use it.
+func (e *Entry) authorizeModel(teamName, modelName string, kind kingcupv1.ModelKind) (*kingcupv1.Model, error) {
 	state := e.sync.Replica().State()
 	team := state.Team(teamName)
 	if team == nil {
@@ -71,13 +74,13 @@
 
 const idBytes = 16
 
-// newID returns an identifier that no other process makes.
+// newID returns a random identifier of 128 bits, unique across processes.
 func newID() string {
 	var b [idBytes]byte
 	for i := 0; i < len(b); i += 8 {
 		v := rand.Uint64()
-		for k := range 8 {
-			b[i+k] = byte(v >> (8 * k))
+		for j := range 8 {
+			b[i+j] = byte(v >> (8 * j))
 		}
 	}
 	return hex.EncodeToString(b[:])
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -15,28 +15,30 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// claimWriters is how many entries write claims for all, once there are twice as
-// many entries. Each of 330 entries sees about one claim a second; only where
-// many meet can they share a transaction.
-const claimWriters = 8
+// claimWriterCount is the number of entries that write the claims of all
+// entries, once there are at least twice as many entries. Each of 330 entries
+// receives about one claim per second; claims can share a store transaction
+// only if many of them arrive at the same entry.
+const claimWriterCount = 8
 
-// chooseWriters picks the entries that write claims, the same at every entry
-// whose list is the same.
-func chooseWriters(listed map[string]vmlist.VM) []string {
+// chooseClaimWriters returns the entries that write claims, or nil if there are
+// too few entries. Entries with the same VM list choose the same writers.
+func chooseClaimWriters(vmsByName map[string]vmlist.VM) []string {
 	var names []string
-	for _, vm := range listed {
+	for _, vm := range vmsByName {
 		if vm.Role == vmlist.RoleEntry && !vm.Leaving {
 			names = append(names, vm.Name)
 		}
 	}
-	if len(names) < 2*claimWriters {
+	if len(names) < 2*claimWriterCount {
 		return nil
 	}
-	return slices.Clone(ranked("claims", names)[:claimWriters])
+	return slices.Clone(sortByScore("claims", names)[:claimWriterCount])
 }
 
-// ranked sorts names by their rendezvous weight with key, highest first.
-func ranked(key string, names []string) []string {
+// sortByScore sorts names in place by their rendezvous score with key, highest
+// first.
+func sortByScore(key string, names []string) []string {
 	slices.SortFunc(names, func(a, b string) int {
 		if subset.Score(key, a) > subset.Score(key, b) {
 			return -1
@@ -46,38 +48,40 @@
 	return names
 }
 
-// writer routes a claim's row to the entry that groups it.
-func (e *Entry) writer(key string) claim.Putter {
+// claimWriter returns the writer for a claim's row: this entry or a link to the
+// entry that groups the row's writes. It returns nil in a small system, where
+// every entry writes its own claims.
+func (e *Entry) claimWriter(key string) claim.Putter {
 	e.mu.Lock()
-	writers := e.writers
+	writers := e.claimWriters
 	e.mu.Unlock()
 	if len(writers) == 0 {
 		return nil
 	}
-	best := writers[0]
+	chosen := writers[0]
 	for _, name := range writers[1:] {
-		if subset.Score(key, name) > subset.Score(key, best) {
-			best = name
+		if subset.Score(key, name) > subset.Score(key, chosen) {
+			chosen = name
 		}
 	}
-	if best == e.cfg.Identity.Name {
+	if chosen == e.cfg.Identity.Name {
 		return e.claims.Forwarded()
 	}
-	return &remoteWriter{e: e, name: best}
+	return &remoteClaimWriter{e: e, name: chosen}
 }
 
-// remoteWriter writes claims through another entry.
-type remoteWriter struct {
+// remoteClaimWriter writes claims through another entry.
+type remoteClaimWriter struct {
 	e    *Entry
 	name string
 }
 
 // Put implements claim.Putter. If the other entry can't be reached or does not
-// answer, the row is written from here. The other write may have been applied or
-// may still be: then one of the two meets a conflict, and the claim tells its own
-// row by the nonce.
-func (w *remoteWriter) Put(ctx context.Context, key string, revision uint64, value []byte) (uint64, error) {
-	done, err := w.ask(ctx, &innerv1.ClaimPut{Key: key, Revision: revision, Value: value})
+// reply, this entry writes the row itself. The other entry's write may have been
+// applied or may still be applied. One of the two writes then gets a conflict,
+// and the claim recognizes its own row by the nonce.
+func (w *remoteClaimWriter) Put(ctx context.Context, key string, revision uint64, value []byte) (uint64, error) {
+	done, err := w.sendPut(ctx, &innerv1.ClaimPut{Key: key, Revision: revision, Value: value})
 	switch {
 	case err != nil:
 		return w.e.claims.Forwarded().Put(ctx, key, revision, value)
@@ -89,8 +93,8 @@
 	return done.GetRevision(), nil
 }
 
-func (w *remoteWriter) ask(ctx context.Context, put *innerv1.ClaimPut) (*innerv1.ClaimDone, error) {
-	st, _, err := w.e.open(ctx, w.name, &innerv1.Open{Kind: &innerv1.Open_ClaimPut{ClaimPut: put}})
+func (w *remoteClaimWriter) sendPut(ctx context.Context, put *innerv1.ClaimPut) (*innerv1.ClaimDone, error) {
+	st, _, err := w.e.openStream(ctx, w.name, &innerv1.Open{Kind: &innerv1.Open_ClaimPut{ClaimPut: put}})
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +105,7 @@
 		return nil, err
 	}
 	if reply.GetClaimDone() == nil {
-		return nil, errors.New("entry does not write claims")
+		return nil, errors.New("reply of the claim-writing entry has no claim result")
 	}
 	return reply.GetClaimDone(), nil
 }
@@ -120,8 +124,8 @@
 	case errors.Is(err, storage.ErrUnavailable):
 		done.Unavailable = true
 	case err != nil:
-		// Without an answer the sender takes the write for unsettled, which
-		// is what it is.
+		// The outcome of the write is unknown. The sender concludes the same
+		// if it gets no reply.
 		return
 	}
 	st.Send(&innerv1.Reply{Kind: &innerv1.Reply_ClaimDone{ClaimDone: done}})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,8 +1,9 @@
-// Package entry is the process that callers and operators talk to. It checks
-// requests against the configuration, places them at agents, relays streams and
-// commits configuration. It keeps nothing: any entry can continue any stream.
+// Package entry implements the process that serves callers and operators. It
+// validates requests against the configuration, places them at agents, relays
+// streams and commits configuration changes. It stores no durable state: any
+// entry can continue any stream.
 //
-// Lock order: Entry.mu is a leaf.
+// Lock order: no other lock is acquired while Entry.mu is locked.
 package entry
 
 import (
@@ -30,34 +31,38 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// Config sets an Entry.
+// Config configures an Entry.
 type Config struct {
 	Identity wire.Identity
-	// ListInterval is the period at which the platform's VM list is read.
+	// ListInterval is the mean interval between two reads of the platform's VM
+	// list. A long list is read less often, see ListIntervalPerVM.
 	ListInterval time.Duration
-	// AgentLinks bounds the agents that are watched, over all models.
+	// AgentLinks is the number of agents to watch, divided over all models.
 	AgentLinks int
-	// EntryLinks is how many other entries are watched.
+	// EntryLinks is the number of other entries to watch.
 	EntryLinks int
-	// AcceptTimeout is how long an agent may take to accept a request.
+	// AcceptTimeout bounds the time that an agent takes to accept a request.
 	AcceptTimeout time.Duration
-	// ReattachTimeout is how long a lost agent is tried before a stream is moved
-	// to another backend server.
+	// ReattachTimeout bounds the attempts to reattach to an agent whose stream
+	// broke, before the stream fails over to another backend server.
 	ReattachTimeout time.Duration
-	// MaxStreamBytes bounds the token text kept per stream, with which it can be
-	// moved.
+	// MaxStreamBytes bounds the token text buffered per stream. A stream whose
+	// text exceeds it can't fail over.
 	MaxStreamBytes int
-	// PropagationTimeout bounds the wait for witnesses of a change.
+	// PropagationTimeout bounds the wait until witnesses have a change.
 	PropagationTimeout time.Duration
-	// MaxServersPerRequest bounds the backend servers that one request is offered to.
+	// MaxServersPerRequest bounds the backend servers that one placement of a
+	// request is offered to.
 	MaxServersPerRequest int
-	// MaxRequests bounds the requests in progress, and so memory.
+	// MaxRequests bounds the requests in progress and thereby the memory they
+	// use; 0 means no bound.
 	MaxRequests int
-	// Random draws for placement; nil takes the process's source.
+	// Random supplies random numbers for placement; nil means math/rand/v2.
 	Random func() uint64
 }
 
-// Deps are what an Entry needs from outside.
+// Deps contains the dependencies of an Entry. Claims may be nil; Observer may
+// be nil.
 type Deps struct {
 	Sync     *confsync.Syncer
 	Store    *conf.Store
@@ -69,8 +74,8 @@
 	Observer Observer
 }
 
-// Observer is told of events for metrics and burn rates. Methods must not
-// block; an Entry without one reports nothing.
+// Observer receives events for metrics and burn rates. Its methods must not
+// block.
 type Observer interface {
 	FirstToken(team string, d time.Duration)
 	BetweenTokens(team string, d time.Duration)
@@ -82,48 +87,49 @@
 	kingcupv1.UnimplementedCallerServiceServer
 	kingcupv1.UnimplementedOperatorServiceServer
 
-	cfg    Config
-	sync   *confsync.Syncer
-	store  *conf.Store
-	links  *link.Manager
-	claims *claim.Claims
-	leases *lease.Manager
-	vms    vmlist.Lister
-	log    logrus.FieldLogger
-	seen   Observer
-	place  placement.Policy
+	cfg      Config
+	sync     *confsync.Syncer
+	store    *conf.Store
+	links    *link.Manager
+	claims   *claim.Claims
+	leases   *lease.Manager
+	vms      vmlist.Lister
+	log      logrus.FieldLogger
+	observer Observer
+	policy   placement.Policy
 
 	leaving atomic.Bool
 	active  atomic.Int64
 
-	mu     sync.Mutex
-	listed map[string]vmlist.VM
-	// writers are the entries that write claims; none in a small system.
-	writers []string
-	budgets map[string]*retry.Budget
+	mu        sync.Mutex
+	vmsByName map[string]vmlist.VM
+	// claimWriters names the entries that write claims. It is empty in a small
+	// system, where every entry writes its own.
+	claimWriters []string
+	retryBudgets map[string]*retry.Budget
 }
 
-// New returns an entry; Run keeps its membership up to date.
+// New returns an entry. Run keeps its VM list and links up to date.
 func New(cfg Config, deps Deps) *Entry {
 	if cfg.Random == nil {
 		cfg.Random = rand.Uint64
 	}
 	e := &Entry{
-		cfg:     cfg,
-		sync:    deps.Sync,
-		store:   deps.Store,
-		links:   deps.Links,
-		claims:  deps.Claims,
-		leases:  deps.Leases,
-		vms:     deps.VMs,
-		log:     deps.Log,
-		seen:    deps.Observer,
-		place:   placement.Default(),
-		listed:  make(map[string]vmlist.VM),
-		budgets: make(map[string]*retry.Budget),
+		cfg:          cfg,
+		sync:         deps.Sync,
+		store:        deps.Store,
+		links:        deps.Links,
+		claims:       deps.Claims,
+		leases:       deps.Leases,
+		vms:          deps.VMs,
+		log:          deps.Log,
+		observer:     deps.Observer,
+		policy:       placement.Default(),
+		vmsByName:    make(map[string]vmlist.VM),
+		retryBudgets: make(map[string]*retry.Budget),
 	}
 	if e.claims != nil {
-		e.claims.SetForwarder(e.writer)
+		e.claims.SetForwarder(e.claimWriter)
 	}
 	return e
 }
@@ -134,59 +140,64 @@
 	kingcupv1.RegisterOperatorServiceServer(s, e)
 }
 
-// Ready reports whether the platform's balancer should send callers here.
+// Ready reports whether the platform's load balancer should send callers to
+// this entry.
 func (e *Entry) Ready() bool {
 	return !e.leaving.Load() && e.sync.Ready()
 }
 
-// Leave ends new work; requests in progress go on.
+// Leave makes the entry refuse new requests. Requests in progress continue.
 func (e *Entry) Leave() {
 	e.leaving.Store(true)
 }
 
-// InProgress is the number of requests that a drain waits for.
+// InProgress returns the number of requests that Shutdown waits for.
 func (e *Entry) InProgress() int {
 	return int(e.active.Load())
 }
 
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is the interval at which Shutdown checks for requests in
+// progress. It is also the shortest heartbeat interval that a peer can request.
+const drainPollInterval = 20 * time.Millisecond
 
-// Shutdown leaves and waits until every request in progress is answered, or ctx
-// ends. It returns what was left in progress.
+// Shutdown calls Leave and waits until no request is in progress or ctx ends.
+// It returns the number of requests still in progress.
 func (e *Entry) Shutdown(ctx context.Context) int {
 	e.Leave()
 	for {
 		n := e.InProgress()
-		if n == 0 || !wait.For(ctx, drainPoll) {
+		if n == 0 || !wait.For(ctx, drainPollInterval) {
 			return n
 		}
 	}
 }
 
-// begin admits a request to this entry; the returned function ends it.
-func (e *Entry) begin() (func(), error) {
-	// active rises before leaving is looked at: a drain that begins in between
-	// sees the request and waits for it.
+// admit counts a request as in progress and returns the function that ends the
+// count. It returns an error if the entry can't serve requests now.
+func (e *Entry) admit() (func(), error) {
+	// active is incremented before leaving is read, so that a Shutdown that
+	// starts in between counts the request and waits for it.
 	active := e.active.Add(1)
-	end := func() { e.active.Add(-1) }
+	release := func() { e.active.Add(-1) }
 	if e.leaving.Load() {
-		end()
-		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, retrySoon, "entry is leaving")
+		release()
+		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, shortRetryAfter, "entry is leaving")
 	}
 	if e.cfg.MaxRequests > 0 && active > int64(e.cfg.MaxRequests) {
-		end()
+		release()
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, time.Second, "entry has %d requests in progress", e.cfg.MaxRequests)
 	}
 	if !e.sync.Ready() {
-		end()
+		release()
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_NOT_READY, time.Second, "configuration is not confirmed")
 	}
-	return end, nil
+	return release, nil
 }
 
-const retrySoon = 100 * time.Millisecond
+// shortRetryAfter is the shortest retry delay sent to callers.
+const shortRetryAfter = 100 * time.Millisecond
 
-// Handle answers one stream of the inner protocol, from other entries.
+// Handle serves one stream of the inner protocol, opened by another entry.
 func (e *Entry) Handle(ctx context.Context, open *innerv1.Open, st *wire.Stream) {
 	switch kind := open.GetKind().(type) {
 	case *innerv1.Open_Watch:
@@ -202,58 +213,64 @@
 	}
 }
 
+// handleWatch sends heartbeats on a stream until ctx ends or the stream breaks.
 func (e *Entry) handleWatch(ctx context.Context, w *innerv1.Watch, st *wire.Stream) {
-	period := max(time.Duration(w.GetPeriodMs())*time.Millisecond, drainPoll)
+	interval := max(time.Duration(w.GetPeriodMs())*time.Millisecond, drainPollInterval)
 	for {
-		beat := &innerv1.Heartbeat{
+		heartbeat := &innerv1.Heartbeat{
 			FailureDomain: e.cfg.Identity.FailureDomain,
 			Leaving:       e.leaving.Load(),
 			ConfigVersion: e.sync.Replica().Version(),
 		}
-		if err := st.Send(&innerv1.Reply{Kind: &innerv1.Reply_Heartbeat{Heartbeat: beat}}); err != nil {
+		if err := st.Send(&innerv1.Reply{Kind: &innerv1.Reply_Heartbeat{Heartbeat: heartbeat}}); err != nil {
 			return
 		}
-		if !wait.For(ctx, period) {
+		if !wait.For(ctx, interval) {
 			return
 		}
 	}
 }
 
+// retryAllowed takes one retry from the team's budget. It returns false if the
+// budget is used up.
 func (e *Entry) retryAllowed(team string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.budget(team).TryTake()
+	return e.retryBudget(team).TryTake()
 }
 
-func (e *Entry) firstTry(team string) {
+// recordFirstTry adds a request to the team's retry budget.
+func (e *Entry) recordFirstTry(team string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.budget(team).RecordFirstTry()
+	e.retryBudget(team).RecordFirstTry()
 }
 
-// Retries may add a fifth to a team's load, after a burst of ten.
+// A team's retries may add 20% to its requests, after a burst of 10 retries.
 const (
 	retryRatio = 0.2
 	retryBurst = 10
 )
 
-func (e *Entry) budget(team string) *retry.Budget {
-	b := e.budgets[team]
+// retryBudget returns the retry budget of a team. e.mu must be locked.
+func (e *Entry) retryBudget(team string) *retry.Budget {
+	b := e.retryBudgets[team]
 	if b == nil {
 		b = &retry.Budget{Ratio: retryRatio, Max: retryBurst}
-		e.budgets[team] = b
+		e.retryBudgets[team] = b
 	}
 	return b
 }
 
-func (e *Entry) finished(team string, err error) {
-	if e.seen == nil {
+// recordOutcome reports the outcome of a request to the observer.
+func (e *Entry) recordOutcome(team string, err error) {
+	if e.observer == nil {
 		return
 	}
 	if err == nil {
-		e.seen.Finished(team, kingcupv1.Outcome_OUTCOME_ANSWERED, kingcupv1.Reason_REASON_UNSPECIFIED)
+		e.observer.Finished(team, kingcupv1.Outcome_OUTCOME_ANSWERED, kingcupv1.Reason_REASON_UNSPECIFIED)
 		return
 	}
-	f := failure.FromError(err)
-	e.seen.Finished(team, f.Outcome, f.Reason)
+	fail := failure.FromError(err)
+	e.observer.Finished(team, fail.Outcome, fail.Reason)
 }
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -15,222 +15,238 @@
 	"kingcupplank.example/kingcup/stream"
 )
 
-// attemptStride separates the attempts of an entry, so that an agent's own
-// attempts after the loss of its engine fall in between.
+// attemptStride is the difference between the attempt numbers of an entry. An
+// agent numbers its own attempts, after the loss of its engine, in between.
 const attemptStride = 1 << 10
 
-// sink takes a stream towards the caller.
-type sink interface {
+// callerStream sends a generation's events to the caller.
+type callerStream interface {
 	Context() context.Context
 	Send(*kingcupv1.GenerateResponse) error
 }
 
-// inflight is one generation on its way through this entry. It is for one
-// goroutine.
+// inflight is one generation that this entry places and relays. It is not safe
+// for concurrent use.
 type inflight struct {
-	e       *Entry
-	req     *kingcupv1.GenerateRequest
-	id      string
-	attempt uint32
-	out     sink
-	began   time.Time
-	// kept holds the tokens sent to the caller, with which the generation can
-	// be moved to another backend server.
-	kept *stream.Buffer
-	// server is the backend server that has the generation.
+	e         *Entry
+	req       *kingcupv1.GenerateRequest
+	id        string
+	attempt   uint32
+	out       callerStream
+	startTime time.Time
+	// delivered buffers the tokens sent to the caller. After a failover they are
+	// the prefix from which another backend server continues.
+	delivered *stream.Buffer
+	// server is the backend server that runs the generation.
 	server string
 	tried  []string
-	// lost counts the backend servers that the generation was moved off.
-	lost int
-	// ran is set once a backend server may have run the request.
-	ran bool
-	// retryAfter is the earliest that a refusing server gave.
-	retryAfter time.Duration
-	refusal    *failure.Error
-	lastToken  time.Time
-	// heard is when the agent last sent something.
-	heard  time.Time
-	msg    kingcupv1.GenerateResponse
-	tokens kingcupv1.GenerateResponse_Tokens
+	// lostServers counts the backend servers that were lost during the
+	// generation.
+	lostServers int
+	// mayHaveRun reports whether a backend server may have run the request.
+	mayHaveRun bool
+	// minRetryAfter is the shortest retry delay in the refusals so far.
+	minRetryAfter time.Duration
+	lastRefusal   *failure.Error
+	lastTokenTime time.Time
+	// lastReceived is when the last frame from the agent arrived.
+	lastReceived time.Time
+	response     kingcupv1.GenerateResponse
+	tokensEvent  kingcupv1.GenerateResponse_Tokens
 }
 
-func (e *Entry) newInflight(req *kingcupv1.GenerateRequest, id string, out sink) *inflight {
+func (e *Entry) newInflight(req *kingcupv1.GenerateRequest, id string, out callerStream) *inflight {
 	return &inflight{
-		e: e, req: req, id: id, out: out, attempt: 1, began: time.Now(), heard: time.Now(),
-		kept: stream.NewBuffer(e.cfg.MaxStreamBytes),
+		e: e, req: req, id: id, out: out, attempt: 1, startTime: time.Now(), lastReceived: time.Now(),
+		delivered: stream.NewBuffer(e.cfg.MaxStreamBytes),
 	}
 }
 
-// errBroken says that the way to the agent failed in mid-stream.
-var errBroken = errors.New("stream to the agent broke")
+// errStreamBroken reports that the connection to the agent failed in the middle
+// of a stream.
+var errStreamBroken = errors.New("stream to the agent broke")
 
-// run places the generation and relays it to its end, through the loss of
-// agents. Its error is the caller's final answer.
+// run places the generation and relays it to its end, with failover if agents
+// are lost. Its error is the caller's final response.
 func (f *inflight) run(ctx context.Context) error {
-	st, err := f.start(ctx)
-	return f.follow(ctx, st, err)
+	st, err := f.place(ctx)
+	return f.relayToEnd(ctx, st, err)
 }
 
-// follow relays st, and the streams that go on after it, to the end.
-func (f *inflight) follow(ctx context.Context, st *agentStream, err error) error {
+// relayToEnd relays st and the streams that replace it after failures. err is
+// the error of opening st; if it is not nil, relayToEnd returns it.
+func (f *inflight) relayToEnd(ctx context.Context, st *agentStream, err error) error {
 	for err == nil {
 		if err = f.relay(ctx, st); err == nil {
 			return nil
 		}
-		st, err = f.next(ctx, err)
+		st, err = f.recover(ctx, err)
 	}
 	return err
 }
 
-// next finds the stream that goes on after err, or the final answer.
-func (f *inflight) next(ctx context.Context, err error) (*agentStream, error) {
+// recover returns a stream that continues the generation after err, or the
+// error for the caller if the generation can't continue.
+func (f *inflight) recover(ctx context.Context, err error) (*agentStream, error) {
 	if ctx.Err() != nil {
-		return nil, f.ended(ctx)
+		return nil, f.contextError(ctx)
 	}
-	if errors.Is(err, errBroken) {
-		if st, again := f.reattach(ctx); again == nil {
+	if errors.Is(err, errStreamBroken) {
+		if st, reattachErr := f.reattach(ctx); reattachErr == nil {
 			return st, nil
 		}
-		return f.move(ctx, failure.Unknown(kingcupv1.Reason_REASON_BACKEND_LOST, time.Second, "backend server %s was lost", f.server))
+		return f.failOver(ctx, failure.Unknown(kingcupv1.Reason_REASON_BACKEND_LOST, time.Second, "backend server %s was lost", f.server))
 	}
 	fail := failure.FromError(err)
 	switch {
-	case fail.Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN && f.kept.NextIndex() == 0:
-		f.refused(f.server, fail)
-		// A request that has waited its longest in one queue is answered at
-		// once; another queue would keep its caller for as long again.
+	case fail.Outcome == kingcupv1.Outcome_OUTCOME_NOT_RUN && f.delivered.NextIndex() == 0:
+		f.recordRefusal(f.server, fail)
+		// The request has waited for the maximum time in one agent's queue. It
+		// is refused at once, because another queue could double the wait.
 		if fail.Reason == kingcupv1.Reason_REASON_OVERLOADED {
-			return nil, f.unplaced()
+			return nil, f.notPlacedError()
 		}
-		return f.start(ctx)
-	case lost(fail.Reason):
-		return f.move(ctx, fail)
+		return f.place(ctx)
+	case isServerLost(fail.Reason):
+		return f.failOver(ctx, fail)
 	}
 	return nil, fail
 }
 
-func lost(r kingcupv1.Reason) bool {
-	switch r {
+// isServerLost reports whether the reason means that the generation no longer
+// runs at its backend server.
+func isServerLost(reason kingcupv1.Reason) bool {
+	switch reason {
 	case kingcupv1.Reason_REASON_ENGINE_LOST, kingcupv1.Reason_REASON_BACKEND_LOST, kingcupv1.Reason_REASON_UNKNOWN_GENERATION:
 		return true
 	}
 	return false
 }
 
-// mostLost is how many backend servers may be lost under a generation: it may be what ends
-// them, and what runs beside it is lost with each.
-const mostLost = 3
-
-// move continues a generation at another backend server, after the tokens that
-// the caller has. cause is the answer if that can't be.
-func (f *inflight) move(ctx context.Context, cause *failure.Error) (*agentStream, error) {
-	f.ran = true
-	f.lost++
-	if f.lost == mostLost {
-		return nil, failure.Unknown(kingcupv1.Reason_REASON_HARMFUL, 0, "%d backend servers were lost under it, the last: %s", f.lost, cause.Detail)
-	}
-	// The budget bounds repeats that add load. A stream that its caller has a
-	// part of is work in progress: when a failure domain goes, all its streams
-	// move at once, and a budget would cut most of them off.
-	if f.req.GetNonIdempotent() || f.kept.NextIndex() == 0 && !f.e.retryAllowed(f.req.GetTeam()) {
+// maxLostServers is the number of lost backend servers after which a generation
+// is not continued. The generation itself may crash the servers, and every crash
+// also loses the other requests of that server.
+const maxLostServers = 3
+
+// failOver continues the generation at another backend server, after the tokens
+// that the caller already has. It returns cause if the generation must not be
+// repeated.
+func (f *inflight) failOver(ctx context.Context, cause *failure.Error) (*agentStream, error) {
+	f.mayHaveRun = true
+	f.lostServers++
+	if f.lostServers == maxLostServers {
+		return nil, failure.Unknown(kingcupv1.Reason_REASON_HARMFUL, 0, "%d backend servers were lost under it, the last: %s", f.lostServers, cause.Detail)
+	}
+	// The retry budget bounds retries, which add load. It doesn't apply to a
+	// stream of which the caller already has a part. When a failure domain is
+	// lost, all its streams fail over at once, and the budget would abort most
+	// of them.
+	if f.req.GetNonIdempotent() || f.delivered.NextIndex() == 0 && !f.e.retryAllowed(f.req.GetTeam()) {
 		return nil, cause
 	}
 	f.tried = append(f.tried, f.server)
 	f.attempt += attemptStride
-	return f.start(ctx)
+	return f.place(ctx)
 }
 
-// start offers the generation to backend servers until one accepts it.
-func (f *inflight) start(ctx context.Context) (*agentStream, error) {
+// place offers the generation to backend servers until one accepts it. It
+// returns the accepting server's stream, or the error for the caller.
+func (f *inflight) place(ctx context.Context) (*agentStream, error) {
 	for range f.e.cfg.MaxServersPerRequest {
-		server := f.pick()
+		server := f.pickServer()
 		if server == "" {
 			break
 		}
 		st, err := f.offer(ctx, server)
 		if err == nil {
-			return f.announced(server, st)
+			return f.announce(server, st)
 		}
 		if ctx.Err() != nil {
-			return nil, f.ended(ctx)
+			return nil, f.contextError(ctx)
 		}
 		fail := failure.FromError(err)
-		f.refused(server, fail)
-		if f.ran && f.req.GetNonIdempotent() {
+		f.recordRefusal(server, fail)
+		if f.mayHaveRun && f.req.GetNonIdempotent() {
 			return nil, fail
 		}
 	}
-	return nil, f.unplaced()
+	return nil, f.notPlacedError()
 }
 
-// unplaced is the answer when no backend server took the generation. It is at
-// once, with when to come back. "Not run" is only said if every server that was
-// asked confirmed it.
-func (f *inflight) unplaced() *failure.Error {
+// notPlacedError returns the error for a generation that no backend server
+// accepted, with a retry delay. Its outcome is "not run" only if every server
+// that was asked confirmed that.
+func (f *inflight) notPlacedError() *failure.Error {
 	reason, detail := kingcupv1.Reason_REASON_NO_BACKEND, "no backend server serves "+f.req.GetModel()
-	after := max(f.retryAfter, retrySoon)
-	if f.refusal != nil {
-		reason, detail = f.refusal.Reason, f.refusal.Detail
+	retryAfter := max(f.minRetryAfter, shortRetryAfter)
+	if f.lastRefusal != nil {
+		reason, detail = f.lastRefusal.Reason, f.lastRefusal.Detail
 	} else {
-		after = time.Second
+		retryAfter = time.Second
 	}
-	if f.ran {
-		return failure.Unknown(reason, after, "%s", detail)
+	if f.mayHaveRun {
+		return failure.Unknown(reason, retryAfter, "%s", detail)
 	}
-	return failure.NotRun(reason, after, "%s", detail)
+	return failure.NotRun(reason, retryAfter, "%s", detail)
 }
 
-func (f *inflight) refused(server string, fail *failure.Error) {
+// recordRefusal records that a backend server did not accept the generation.
+func (f *inflight) recordRefusal(server string, fail *failure.Error) {
 	f.tried = append(f.tried, server)
-	f.refusal = fail
+	f.lastRefusal = fail
 	if fail.Outcome != kingcupv1.Outcome_OUTCOME_NOT_RUN {
-		f.ran = true
+		f.mayHaveRun = true
 	}
-	if f.retryAfter == 0 || fail.RetryAfter < f.retryAfter {
-		f.retryAfter = fail.RetryAfter
+	if f.minRetryAfter == 0 || fail.RetryAfter < f.minRetryAfter {
+		f.minRetryAfter = fail.RetryAfter
 	}
 	f.attempt += attemptStride
 }
 
-// ended is the answer to a caller whose context is over.
-func (f *inflight) ended(ctx context.Context) *failure.Error {
+// contextError returns the error for a caller whose context has ended.
+func (f *inflight) contextError(ctx context.Context) *failure.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return failure.Unknown(kingcupv1.Reason_REASON_DEADLINE, 0, "deadline passed")
 	}
 	return failure.Unknown(kingcupv1.Reason_REASON_CANCELLED, 0, "caller is gone")
 }
 
-func (f *inflight) pick() string {
-	servers := f.e.servers()
+// pickServer returns the backend server for the next attempt, or "" if there is
+// none besides those already tried.
+func (f *inflight) pickServer() string {
+	servers := f.e.placementServers()
 	r := &placement.Request{
 		Team: f.req.GetTeam(), Model: f.req.GetModel(), Adapter: f.req.GetAdapter(),
 		FailureDomain: f.e.cfg.Identity.FailureDomain, Tried: f.tried,
 	}
-	i := f.e.place.Pick(r, servers, f.e.cfg.Random())
+	i := f.e.policy.Pick(r, servers, f.e.cfg.Random())
 	if i < 0 {
 		return ""
 	}
 	return servers[i].Name
 }
 
-// agentStream is a generation's stream from its agent.
+// agentStream is a stream to an agent or another entry, with the use of the
+// session that carries it.
 type agentStream struct {
 	*wire.Stream
-	release func()
-	unhook  func() bool
+	releaseSession func()
+	// stopCloseOnDone unregisters the function that runs when the caller's
+	// context ends.
+	stopCloseOnDone func() bool
 }
 
 func (s *agentStream) close() {
-	s.unhook()
+	s.stopCloseOnDone()
 	s.Stream.Close()
-	s.release()
+	s.releaseSession()
 }
 
-// offer sends Start to an agent and waits until it is accepted or refused.
+// offer sends Start to an agent and waits until the agent accepts or refuses it.
 func (f *inflight) offer(ctx context.Context, server string) (*agentStream, error) {
 	start := &innerv1.Start{GenerationId: f.id, Attempt: f.attempt, Request: f.req}
-	if f.kept.NextIndex() > 0 {
-		prefix, err := f.kept.Prefix()
+	if f.delivered.NextIndex() > 0 {
+		prefix, err := f.delivered.Prefix()
 		if err != nil {
 			return nil, failure.Unknown(kingcupv1.Reason_REASON_BACKEND_LOST, 0, "too long to be moved: %v", err)
 		}
@@ -239,15 +255,15 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		start.DeadlineMs = uint64(max(1, time.Until(deadline).Milliseconds()))
 	}
-	st, sent, err := f.e.open(ctx, server, &innerv1.Open{Kind: &innerv1.Open_Start{Start: start}})
+	st, wasSent, err := f.e.openStream(ctx, server, &innerv1.Open{Kind: &innerv1.Open_Start{Start: start}})
 	if err != nil {
-		return nil, unanswered(sent, err)
+		return nil, noResponseError(wasSent, err)
 	}
 	reply := &innerv1.Reply{}
 	st.SetReadDeadline(time.Now().Add(f.e.cfg.AcceptTimeout))
 	if err := st.Recv(reply); err != nil {
 		st.close()
-		return nil, unanswered(true, err)
+		return nil, noResponseError(true, err)
 	}
 	st.SetReadDeadline(time.Time{})
 	if fail := reply.GetFailure(); fail != nil {
@@ -258,32 +274,33 @@
 	return st, nil
 }
 
-// withdrawOnDone takes the request out of the agent's queue when its caller is
-// gone. A non-idempotent one stays: its caller may come back for the answer, and
-// could never ask again once its key is claimed.
+// withdrawOnDone removes the request from the agent's queue when its caller's
+// context ends. A non-idempotent request stays queued: its key is claimed, so
+// the caller could not send it again, but may come back for the answer.
 func (f *inflight) withdrawOnDone(ctx context.Context, st *agentStream) {
-	if f.req.GetNonIdempotent() || f.kept.NextIndex() > 0 {
+	if f.req.GetNonIdempotent() || f.delivered.NextIndex() > 0 {
 		return
 	}
-	st.unhook()
-	st.unhook = context.AfterFunc(ctx, func() {
+	st.stopCloseOnDone()
+	st.stopCloseOnDone = context.AfterFunc(ctx, func() {
 		st.Send(&innerv1.Control{Withdraw: true})
 		st.Stream.Close()
 	})
 }
 
-// unanswered is the error of a request to an agent that has no answer. A request
-// of which any byte was written may have run, whatever the entry would like to
-// believe.
-func unanswered(sent bool, err error) *failure.Error {
-	if !sent {
-		return failure.NotRun(kingcupv1.Reason_REASON_BACKEND_LOST, retrySoon, "%v", err)
+// noResponseError returns the error for a request to which an agent did not
+// reply. A request may have run if any byte of it was written.
+func noResponseError(wasSent bool, err error) *failure.Error {
+	if !wasSent {
+		return failure.NotRun(kingcupv1.Reason_REASON_BACKEND_LOST, shortRetryAfter, "%v", err)
 	}
 	return failure.Unknown(kingcupv1.Reason_REASON_BACKEND_LOST, time.Second, "%v", err)
 }
 
-// open begins a stream to an agent, over its link or a session of its own.
-func (e *Entry) open(ctx context.Context, server string, open *innerv1.Open) (*agentStream, bool, error) {
+// openStream opens a stream to an agent or another entry, over the link to it or,
+// if it is not watched, over a new session. The boolean is false if certainly no
+// byte of open was written.
+func (e *Entry) openStream(ctx context.Context, server string, open *innerv1.Open) (*agentStream, bool, error) {
 	sess, release, err := e.session(ctx, server)
 	if err != nil {
 		return nil, false, err
@@ -294,9 +311,11 @@
 		release()
 		return nil, sent, err
 	}
-	return &agentStream{Stream: st, release: release, unhook: st.CloseOnDone(ctx)}, true, nil
+	return &agentStream{Stream: st, releaseSession: release, stopCloseOnDone: st.CloseOnDone(ctx)}, true, nil
 }
 
+// session returns a session to the named process and a function that ends its
+// use.
 func (e *Entry) session(ctx context.Context, server string) (*wire.Session, func(), error) {
 	if l := e.links.Get(server); l != nil {
 		sess, release := l.Acquire()
@@ -306,7 +325,7 @@
 		l.RecordSent()
 		return sess, release, nil
 	}
-	address, ok := e.address(server)
+	address, ok := e.addressOf(server)
 	if !ok {
 		return nil, nil, errors.Errorf("backend server %s is not in the list", server)
 	}
@@ -317,8 +336,9 @@
 	return sess, func() { sess.Close() }, nil
 }
 
-// announced tells the caller where its generation runs.
-func (f *inflight) announced(server string, st *agentStream) (*agentStream, error) {
+// announce sends the caller the Started event, which names the backend server
+// that runs its generation.
+func (f *inflight) announce(server string, st *agentStream) (*agentStream, error) {
 	f.server = server
 	started := &kingcupv1.Started{GenerationId: f.id, BackendServer: server, Entry: f.e.cfg.Identity.Name}
 	err := f.out.Send(&kingcupv1.GenerateResponse{Event: &kingcupv1.GenerateResponse_Started{Started: started}})
@@ -329,38 +349,42 @@
 	return st, nil
 }
 
-const reattachEvery = 100 * time.Millisecond
+const reattachInterval = 100 * time.Millisecond
 
-// reattach finds the generation again at its agent, whose link broke or whose
-// process was replaced. The time it may take counts from the agent's last word:
-// a stream that broke after a long stall has waited enough and is moved.
+// reattach reopens the generation's stream at its agent, whose link broke or
+// whose process was replaced. The timeout counts from the last frame received
+// from the agent, so that a stream that broke after a long stall fails over
+// without a further wait.
 func (f *inflight) reattach(ctx context.Context) (*agentStream, error) {
-	deadline := f.heard.Add(f.e.cfg.ReattachTimeout)
+	deadline := f.lastReceived.Add(f.e.cfg.ReattachTimeout)
 	for {
-		st, _, err := f.e.open(ctx, f.server, f.attachment())
+		st, _, err := f.e.openStream(ctx, f.server, f.attachRequest())
 		if err == nil {
 			return st, nil
 		}
-		if time.Now().After(deadline) || !wait.For(ctx, reattachEvery) {
+		if time.Now().After(deadline) || !wait.For(ctx, reattachInterval) {
 			return nil, err
 		}
 	}
 }
 
-func (f *inflight) attachment() *innerv1.Open {
-	attach := &innerv1.Attach{GenerationId: f.id, NextIndex: f.kept.NextIndex(), Team: f.req.GetTeam()}
+// attachRequest returns the frame that reattaches to the generation after the
+// delivered tokens.
+func (f *inflight) attachRequest() *innerv1.Open {
+	attach := &innerv1.Attach{GenerationId: f.id, NextIndex: f.delivered.NextIndex(), Team: f.req.GetTeam()}
 	return &innerv1.Open{Kind: &innerv1.Open_Attach{Attach: attach}}
 }
 
-// relay copies frames from the agent to the caller until the end.
+// relay copies frames from the agent to the caller until the generation ends. It
+// closes st. Errors: errStreamBroken, or a *failure.Error.
 func (f *inflight) relay(ctx context.Context, st *agentStream) error {
 	defer st.close()
 	reply := &innerv1.Reply{}
 	for {
 		if err := st.Recv(reply); err != nil {
-			return errors.Wrap(errBroken, err.Error())
+			return errors.Wrap(errStreamBroken, err.Error())
 		}
-		f.heard = time.Now()
+		f.lastReceived = time.Now()
 		switch kind := reply.GetKind().(type) {
 		case *innerv1.Reply_Tokens:
 			if err := f.forward(kind.Tokens); err != nil {
@@ -374,52 +398,55 @@
 	}
 }
 
-// forward sends the tokens that the caller does not have yet.
+// forward sends the caller those tokens of t that it does not have yet.
 func (f *inflight) forward(t *kingcupv1.Tokens) error {
-	next := f.kept.NextIndex()
-	if t.GetFirstIndex() > next {
-		return errors.Wrapf(errBroken, "token %d came, %d was due", t.GetFirstIndex(), next)
+	nextIndex := f.delivered.NextIndex()
+	if t.GetFirstIndex() > nextIndex {
+		return errors.Wrapf(errStreamBroken, "token %d came, %d was due", t.GetFirstIndex(), nextIndex)
 	}
-	if t.GetFirstIndex()+uint64(len(t.GetTexts())) <= next {
+	if t.GetFirstIndex()+uint64(len(t.GetTexts())) <= nextIndex {
 		return nil
 	}
-	// A second copy of a token can come after a re-attach; it is cut off here,
-	// at the one place that all tokens of this caller pass.
-	t.Texts = t.Texts[next-t.GetFirstIndex():]
-	t.FirstIndex = next
+	// After a reattach, tokens can arrive a second time. They are dropped here,
+	// since all tokens for this caller pass through this function.
+	t.Texts = t.Texts[nextIndex-t.GetFirstIndex():]
+	t.FirstIndex = nextIndex
 	for i, text := range t.GetTexts() {
-		if err := f.kept.Append(0, next+uint64(i), text); err != nil {
+		if err := f.delivered.Append(0, nextIndex+uint64(i), text); err != nil {
 			return err
 		}
 	}
-	f.observe(len(t.GetTexts()))
+	f.recordTokens(len(t.GetTexts()))
 	f.attempt = max(f.attempt, t.GetAttempt())
-	f.tokens.Tokens = t
-	f.msg.Event = &f.tokens
-	if err := f.out.Send(&f.msg); err != nil {
+	f.tokensEvent.Tokens = t
+	f.response.Event = &f.tokensEvent
+	if err := f.out.Send(&f.response); err != nil {
 		return failure.Unknown(kingcupv1.Reason_REASON_CANCELLED, 0, "caller is gone")
 	}
 	return nil
 }
 
-func (f *inflight) observe(tokens int) {
+// recordTokens reports the delay of n new tokens to the observer.
+func (f *inflight) recordTokens(n int) {
 	now := time.Now()
-	if f.e.seen != nil && f.lastToken.IsZero() {
-		f.e.seen.FirstToken(f.req.GetTeam(), now.Sub(f.began))
+	if f.e.observer != nil && f.lastTokenTime.IsZero() {
+		f.e.observer.FirstToken(f.req.GetTeam(), now.Sub(f.startTime))
 	}
-	if f.e.seen != nil && !f.lastToken.IsZero() {
-		f.e.seen.BetweenTokens(f.req.GetTeam(), now.Sub(f.lastToken)/time.Duration(tokens))
+	if f.e.observer != nil && !f.lastTokenTime.IsZero() {
+		f.e.observer.BetweenTokens(f.req.GetTeam(), now.Sub(f.lastTokenTime)/time.Duration(n))
 	}
-	f.lastToken = now
+	f.lastTokenTime = now
 }
 
+// finish checks the end of the generation against the delivered tokens and sends
+// it to the caller.
 func (f *inflight) finish(end *kingcupv1.End) error {
-	err := f.kept.Finish(0, stream.End{Tokens: end.GetTokens(), Digest: end.GetDigest(), FinishReason: end.GetFinishReason()})
+	err := f.delivered.Finish(0, stream.End{Tokens: end.GetTokens(), Digest: end.GetDigest(), FinishReason: end.GetFinishReason()})
 	if err != nil {
 		return failure.Unknown(kingcupv1.Reason_REASON_INTERNAL, 0, "%v", err)
 	}
-	f.msg.Event = &kingcupv1.GenerateResponse_End{End: end}
-	if err := f.out.Send(&f.msg); err != nil {
+	f.response.Event = &kingcupv1.GenerateResponse_End{End: end}
+	if err := f.out.Send(&f.response); err != nil {
 		return failure.Unknown(kingcupv1.Reason_REASON_CANCELLED, 0, "caller is gone")
 	}
 	return nil
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -14,56 +14,58 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// Run reads the platform's VM list until ctx ends. While the list is away the
-// peers stay as they are.
+// Run reads the platform's VM list periodically until ctx ends. While the list
+// is unavailable, the watched peers stay the same.
 func (e *Entry) Run(ctx context.Context) {
 	for {
 		e.Refresh(ctx)
-		pause := e.listPause()/2 + rand.N(e.listPause())
+		pause := e.listInterval()/2 + rand.N(e.listInterval())
 		if !wait.For(ctx, pause) {
 			return
 		}
 	}
 }
 
-// ListIntervalPerVM stretches the time between two looks at the list with its length.
-// The list of the target size has some 80 KB; read every 5 s, it would take the
-// whole of a node's bound for control. Heartbeats tell of leaving servers
-// meanwhile, so only the discovery of new ones slows down, to half a minute.
+// ListIntervalPerVM makes the mean interval between two reads of the VM list
+// grow with the length of the list. At the target size the list has about 80 KB;
+// reading it every 5 s would use a VM's whole bandwidth limit for control
+// traffic. Heartbeats report leaving servers in the meantime, so only the
+// discovery of new servers slows down, to half a minute.
 const ListIntervalPerVM = 25 * time.Millisecond
 
-func (e *Entry) listPause() time.Duration {
+// listInterval returns the mean interval between two reads of the VM list.
+func (e *Entry) listInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.cfg.ListInterval, time.Duration(len(e.listed))*ListIntervalPerVM)
+	return max(e.cfg.ListInterval, time.Duration(len(e.vmsByName))*ListIntervalPerVM)
 }
 
-// Refresh reads the VM list once and watches the peers it gives.
+// Refresh reads the VM list once and updates the watched peers from it.
 func (e *Entry) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ListInterval)
 	defer cancel()
 	vms, err := e.vms.ListVMs(ctx)
 	if err != nil {
-		e.log.WithError(err).Debug("VM list not read")
+		e.log.WithError(err).Debug("failed to read the VM list")
 		return
 	}
-	listed := make(map[string]vmlist.VM, len(vms))
+	vmsByName := make(map[string]vmlist.VM, len(vms))
 	for _, vm := range vms {
-		listed[vm.Name] = vm
+		vmsByName[vm.Name] = vm
 	}
 	e.mu.Lock()
-	e.listed = listed
-	e.writers = chooseWriters(listed)
+	e.vmsByName = vmsByName
+	e.claimWriters = chooseClaimWriters(vmsByName)
 	e.mu.Unlock()
-	e.links.SetPeers(e.choose(listed))
+	e.links.SetPeers(e.choosePeers(vmsByName))
 }
 
-// choose picks the peers to watch: for each model a bounded subset of the
-// agents that serve it, and some other entries.
-func (e *Entry) choose(listed map[string]vmlist.VM) []link.Peer {
+// choosePeers returns the peers to watch: a bounded subset of the agents of each
+// model, some other entries, and all entries that write claims.
+func (e *Entry) choosePeers(vmsByName map[string]vmlist.VM) []link.Peer {
 	byModel := make(map[string][]subset.Item)
 	var entries []subset.Item
-	for _, vm := range listed {
+	for _, vm := range vmsByName {
 		item := subset.Item{Name: vm.Name, FailureDomain: vm.FailureDomain}
 		if vm.Role == vmlist.RoleEntry && vm.Name != e.cfg.Identity.Name {
 			entries = append(entries, item)
@@ -81,53 +83,57 @@
 		}
 	}
 	add(entries, e.cfg.EntryLinks)
-	for _, name := range chooseWriters(listed) {
+	for _, name := range chooseClaimWriters(vmsByName) {
 		if name != e.cfg.Identity.Name {
 			names[name] = true
 		}
 	}
 	for _, m := range slices.Sorted(maps.Keys(byModel)) {
-		add(byModel[m], e.perModel(len(byModel)))
+		add(byModel[m], e.agentsPerModel(len(byModel)))
 	}
 	peers := make([]link.Peer, 0, len(names))
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		vm := listed[name]
+		vm := vmsByName[name]
 		peers = append(peers, link.Peer{Name: vm.Name, Address: vm.Address, FailureDomain: vm.FailureDomain})
 	}
 	return peers
 }
 
-// leastPerModel leaves a choice however many models there are.
-const leastPerModel = 2
+// minAgentsPerModel leaves placement a choice for every model, even with many
+// models.
+const minAgentsPerModel = 2
 
-// perModel divides the bound on links over the models. With few models an entry
-// watches every agent: a fixed small number would leave some agent unwatched
-// where there are few entries, with no work and, in an outage of the store, no
-// changes of configuration.
-func (e *Entry) perModel(models int) int {
-	return max(leastPerModel, e.cfg.AgentLinks/models)
+// agentsPerModel divides Config.AgentLinks over the models. With few models an
+// entry watches every agent. If a small system used a fixed small number, some
+// agents would be watched by no entry: they would get no requests and, while the
+// store is unavailable, no configuration changes.
+func (e *Entry) agentsPerModel(models int) int {
+	return max(minAgentsPerModel, e.cfg.AgentLinks/models)
 }
 
-// servers is the view that placement decides on.
-func (e *Entry) servers() []placement.Server {
+// placementServers returns the watched backend servers as placement needs them.
+func (e *Entry) placementServers() []placement.Server {
 	links := e.links.All()
 	e.mu.Lock()
-	listed := e.listed
+	vmsByName := e.vmsByName
 	e.mu.Unlock()
 	out := make([]placement.Server, 0, len(links))
 	for _, l := range links {
-		if s, ok := e.server(l.Status(), listed); ok {
+		if s, ok := e.placementServer(l.Status(), vmsByName); ok {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// staleBeat is the age of a heartbeat from which its sender is not asked.
-const staleBeat = 3 * time.Second
+// staleHeartbeatAge is the age of the last heartbeat from which a server counts
+// as disconnected.
+const staleHeartbeatAge = 3 * time.Second
 
-func (e *Entry) server(st link.Status, listed map[string]vmlist.VM) (placement.Server, bool) {
-	vm := listed[st.Peer.Name]
+// placementServer describes a watched peer for placement. It returns false if
+// the peer is no agent or has sent no heartbeat yet.
+func (e *Entry) placementServer(st link.Status, vmsByName map[string]vmlist.VM) (placement.Server, bool) {
+	vm := vmsByName[st.Peer.Name]
 	if vm.Role != vmlist.RoleAgent || st.Heartbeat == nil {
 		return placement.Server{}, false
 	}
@@ -138,7 +144,7 @@
 		Models:          hb.GetModels(),
 		Adapters:        hb.GetAdapters(),
 		Leaving:         hb.GetLeaving() || vm.Leaving,
-		Connected:       st.Connected && st.HeartbeatAge < staleBeat,
+		Connected:       st.Connected && st.HeartbeatAge < staleHeartbeatAge,
 		Age:             st.HeartbeatAge,
 		Running:         int(hb.GetLoad().GetRunning()),
 		Queued:          int(hb.GetLoad().GetQueued()),
@@ -148,10 +154,10 @@
 	}, true
 }
 
-// address finds an agent that is not watched in the VM list.
-func (e *Entry) address(name string) (string, bool) {
+// addressOf returns the address of a VM in the VM list.
+func (e *Entry) addressOf(name string) (string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	vm, ok := e.listed[name]
+	vm, ok := e.vmsByName[name]
 	return vm.Address, ok
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -17,8 +17,9 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// applyTries bounds the tries of a change that names no expected version.
-const applyTries = 8
+// maxApplyAttempts bounds the attempts to commit a change without an expected
+// version. Such a change is retried when another change was committed first.
+const maxApplyAttempts = 8
 
 // Apply implements OperatorService.
 func (e *Entry) Apply(ctx context.Context, req *kingcupv1.ApplyRequest) (*kingcupv1.ApplyResponse, error) {
@@ -30,7 +31,7 @@
 		changeID = newID()
 	}
 	var err error
-	for range applyTries {
+	for range maxApplyAttempts {
 		var resp *kingcupv1.ApplyResponse
 		resp, err = e.applyOnce(ctx, req, changeID)
 		if err == nil {
@@ -44,6 +45,8 @@
 	return nil, applyError(err)
 }
 
+// applyOnce validates and commits a change on top of the expected version, or of
+// the latest version if the request names none, and propagates it.
 func (e *Entry) applyOnce(ctx context.Context, req *kingcupv1.ApplyRequest, changeID string) (*kingcupv1.ApplyResponse, error) {
 	if err := e.store.CatchUp(ctx, e.sync.Replica()); err != nil {
 		return nil, err
@@ -67,10 +70,11 @@
 		return nil, err
 	}
 	e.sync.Replica().Apply(delta)
-	e.snapshot(ctx)
-	return e.spread(ctx, delta.GetVersion()), nil
+	e.saveSnapshotIfDue(ctx)
+	return e.propagate(ctx, delta.GetVersion()), nil
 }
 
+// applyError turns an error of applyOnce into a *failure.Error for the operator.
 func applyError(err error) error {
 	var conflict *conf.ConflictError
 	switch {
@@ -79,46 +83,47 @@
 	case errors.Is(err, conf.ErrInvalid), errors.Is(err, conf.ErrGap):
 		return failure.NotRun(kingcupv1.Reason_REASON_INVALID, 0, "%v", err)
 	case errors.Is(err, storage.ErrUnavailable):
-		return failure.NotRun(kingcupv1.Reason_REASON_STORE_UNAVAILABLE, storeRetry, "%v", err)
+		return failure.NotRun(kingcupv1.Reason_REASON_STORE_UNAVAILABLE, storeRetryAfter, "%v", err)
 	}
-	return failure.Unknown(kingcupv1.Reason_REASON_STORE_UNAVAILABLE, storeRetry, "%v", err)
+	return failure.Unknown(kingcupv1.Reason_REASON_STORE_UNAVAILABLE, storeRetryAfter, "%v", err)
 }
 
-// snapshot writes the state to the object store now and then, so that a process
-// that starts reads one object and few deltas.
-func (e *Entry) snapshot(ctx context.Context) {
+// saveSnapshotIfDue writes a snapshot of the configuration to the object store
+// every conf.VersionsPerSnapshot versions and deletes the deltas that it
+// replaces. A starting process then reads one object and few deltas.
+func (e *Entry) saveSnapshotIfDue(ctx context.Context) {
 	state := e.sync.Replica().State()
 	if state.Version()%conf.VersionsPerSnapshot != 0 {
 		return
 	}
 	if err := e.store.SaveSnapshot(ctx, state); err != nil {
-		e.log.WithError(err).Warn("snapshot not written")
+		e.log.WithError(err).Warn("failed to write the configuration snapshot")
 		return
 	}
 	if err := e.store.Prune(ctx, state.Version()); err != nil {
-		e.log.WithError(err).Warn("old deltas not deleted")
+		e.log.WithError(err).Warn("failed to delete old configuration deltas")
 	}
 }
 
-// witnessDomains is the number of failure domains that must hold a change
-// before it is called spread.
+// witnessDomains is the number of failure domains that must have a change before
+// the response reports it as spread.
 const witnessDomains = 2
 
-// spread pushes the version to all watched peers and waits until witnesses in
-// enough failure domains hold it.
+// propagate pushes the version to all watched peers and waits until witnesses in
+// enough failure domains have it, at most for Config.PropagationTimeout.
 //
-// An entry that answered "accepted" and died during an outage of the store
-// would leave a change that nobody can read. With a witness in a second domain
-// a peer can pass it on, whatever single domain is lost.
-func (e *Entry) spread(ctx context.Context, version uint64) *kingcupv1.ApplyResponse {
+// If an entry accepted a change and crashed while the store is unavailable, no
+// process could read the change. With a witness in a second failure domain, a
+// peer can still forward the change after the loss of any one domain.
+func (e *Entry) propagate(ctx context.Context, version uint64) *kingcupv1.ApplyResponse {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.PropagationTimeout)
 	defer cancel()
 	links := e.links.All()
-	held := make(chan *link.Link, len(links))
+	updated := make(chan *link.Link, len(links))
 	for _, l := range links {
 		go func() {
 			if v, ok := l.Push(); ok && v >= version {
-				held <- l
+				updated <- l
 			}
 		}()
 	}
@@ -126,7 +131,7 @@
 	resp := &kingcupv1.ApplyResponse{Version: version, Witnesses: []string{e.cfg.Identity.Name}}
 	for len(domains) < witnessDomains {
 		select {
-		case l := <-held:
+		case l := <-updated:
 			domains[l.Status().Peer.FailureDomain] = true
 			resp.Witnesses = append(resp.Witnesses, l.Status().Peer.Name)
 		case <-ctx.Done():
@@ -155,7 +160,7 @@
 			}
 		}
 		if e.leaving.Load() {
-			return failure.Unknown(kingcupv1.Reason_REASON_LEAVING, retrySoon, "entry is leaving")
+			return failure.Unknown(kingcupv1.Reason_REASON_LEAVING, shortRetryAfter, "entry is leaving")
 		}
 		select {
 		case <-changed:
@@ -169,20 +174,22 @@
 // BackendServers implements OperatorService.
 func (e *Entry) BackendServers(context.Context, *kingcupv1.BackendServersRequest) (*kingcupv1.BackendServersResponse, error) {
 	e.mu.Lock()
-	listed := e.listed
+	vmsByName := e.vmsByName
 	e.mu.Unlock()
 	resp := &kingcupv1.BackendServersResponse{ConfigVersion: e.sync.Replica().Version()}
-	for _, name := range slices.Sorted(maps.Keys(listed)) {
-		vm := listed[name]
+	for _, name := range slices.Sorted(maps.Keys(vmsByName)) {
+		vm := vmsByName[name]
 		if vm.Role != vmlist.RoleAgent {
 			continue
 		}
-		resp.Servers = append(resp.Servers, e.describe(vm))
+		resp.Servers = append(resp.Servers, e.describeServer(vm))
 	}
 	return resp, nil
 }
 
-func (e *Entry) describe(vm vmlist.VM) *kingcupv1.BackendServer {
+// describeServer combines what the VM list and the last heartbeat say about a
+// backend server.
+func (e *Entry) describeServer(vm vmlist.VM) *kingcupv1.BackendServer {
 	out := &kingcupv1.BackendServer{
 		Name: vm.Name, Address: vm.Address, FailureDomain: vm.FailureDomain, Models: vm.Models, Leaving: vm.Leaving,
 	}
@@ -208,52 +215,53 @@
 
 // Drain implements OperatorService.
 func (e *Entry) Drain(ctx context.Context, req *kingcupv1.DrainRequest) (*kingcupv1.DrainResponse, error) {
-	reply, err := e.ask(ctx, req.GetBackendServer(), &innerv1.Open{Kind: &innerv1.Open_Leave{Leave: &innerv1.Leave{}}})
+	reply, err := e.requestAgent(ctx, req.GetBackendServer(), &innerv1.Open{Kind: &innerv1.Open_Leave{Leave: &innerv1.Leave{}}})
 	if err != nil {
 		return nil, err
 	}
 	return &kingcupv1.DrainResponse{InProgress: reply.GetDone().GetInProgress()}, nil
 }
 
-// Order implements OperatorService. The order goes out under a lease, whose
-// term fences it at the agent.
+// Order implements OperatorService. It sends the order under a lease. The agent
+// rejects an order whose lease term is older than one it has seen.
 func (e *Entry) Order(ctx context.Context, req *kingcupv1.OrderRequest) (*kingcupv1.OrderResponse, error) {
 	if req.GetVerb() == kingcupv1.OrderVerb_ORDER_VERB_UNSPECIFIED || req.GetModel() == "" {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_INVALID, 0, "an order needs a verb and a model")
 	}
 	name := OrderLeaseName(req.GetBackendServer())
-	held, err := e.leases.Acquire(ctx, name)
+	acquired, err := e.leases.Acquire(ctx, name)
 	if err != nil {
-		return nil, failure.NotRun(kingcupv1.Reason_REASON_CONFLICT, storeRetry, "%v", err)
+		return nil, failure.NotRun(kingcupv1.Reason_REASON_CONFLICT, storeRetryAfter, "%v", err)
 	}
-	defer e.leases.Release(context.WithoutCancel(ctx), name, held)
+	defer e.leases.Release(context.WithoutCancel(ctx), name, acquired)
 	now := time.Now()
-	if !held.Valid(now) {
+	if !acquired.Valid(now) {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_FENCED, 0, "lease has lapsed")
 	}
-	order := &innerv1.Order{Term: held.Term, DeadlineMs: uint64(held.Deadline.Sub(now).Milliseconds()), Request: req}
-	if _, err := e.ask(ctx, req.GetBackendServer(), &innerv1.Open{Kind: &innerv1.Open_Order{Order: order}}); err != nil {
+	order := &innerv1.Order{Term: acquired.Term, DeadlineMs: uint64(acquired.Deadline.Sub(now).Milliseconds()), Request: req}
+	if _, err := e.requestAgent(ctx, req.GetBackendServer(), &innerv1.Open{Kind: &innerv1.Open_Order{Order: order}}); err != nil {
 		return nil, err
 	}
-	return &kingcupv1.OrderResponse{Term: held.Term, Outcome: kingcupv1.Outcome_OUTCOME_ANSWERED}, nil
+	return &kingcupv1.OrderResponse{Term: acquired.Term, Outcome: kingcupv1.Outcome_OUTCOME_ANSWERED}, nil
 }
 
-// OrderLeaseName is the name of the lease that orders to a backend server need.
+// OrderLeaseName returns the name of the lease that an order to a backend server
+// requires.
 func OrderLeaseName(server string) string {
 	return "order/" + server
 }
 
-// ask sends one request to an agent and waits for its one answer.
-func (e *Entry) ask(ctx context.Context, server string, open *innerv1.Open) (*innerv1.Reply, error) {
-	st, sent, err := e.open(ctx, server, open)
+// requestAgent sends one request to an agent and returns its reply.
+func (e *Entry) requestAgent(ctx context.Context, server string, open *innerv1.Open) (*innerv1.Reply, error) {
+	st, wasSent, err := e.openStream(ctx, server, open)
 	if err != nil {
-		return nil, unanswered(sent, err)
+		return nil, noResponseError(wasSent, err)
 	}
 	defer st.close()
-	st.SetReadDeadline(time.Now().Add(defaultCall))
+	st.SetReadDeadline(time.Now().Add(defaultCallTimeout))
 	reply := &innerv1.Reply{}
 	if err := st.Recv(reply); err != nil {
-		return nil, unanswered(true, err)
+		return nil, noResponseError(true, err)
 	}
 	if fail := reply.GetFailure(); fail != nil {
 		return nil, failure.FromProto(fail)
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -34,9 +34,9 @@
 	DialTimeout time.Duration
 }
 
-// missedBeats is how many heartbeats may be missing before the link counts as
+// maxMissedHeartbeats is how many heartbeats may be missing before the link counts as
 // stalled and a second path is tried.
-const missedBeats = 3
+const maxMissedHeartbeats = 3
 
 // Manager keeps one Link for each peer. It is safe for concurrent use.
 type Manager struct {
@@ -72,7 +72,7 @@
 		if old != nil {
 			old.cancel()
 		}
-		m.links[p.Name] = m.start(p)
+		m.links[p.Name] = m.startLink(p)
 	}
 	for name, l := range m.links {
 		if !keep[name] {
@@ -82,9 +82,9 @@
 	}
 }
 
-func (m *Manager) start(p Peer) *Link {
+func (m *Manager) startLink(p Peer) *Link {
 	ctx, cancel := context.WithCancel(m.ctx)
-	l := &Link{m: m, peer: p, cancel: cancel}
+	l := &Link{manager: m, peer: p, cancel: cancel}
 	m.wg.Go(func() { l.run(ctx) })
 	return l
 }
@@ -122,17 +122,17 @@
 
 // Link is the session to one peer. It is safe for concurrent use.
 type Link struct {
-	m      *Manager
-	peer   Peer
-	cancel context.CancelFunc
+	manager *Manager
+	peer    Peer
+	cancel  context.CancelFunc
 
-	mu      sync.Mutex
-	session *wire.Session
-	beat    *innerv1.Heartbeat
-	heard   time.Time
-	sent    int
-	retired bool
-	users   int
+	mu                 sync.Mutex
+	session            *wire.Session
+	lastHeartbeat      *innerv1.Heartbeat
+	lastHeartbeatTime  time.Time
+	sentSinceHeartbeat int
+	isRetired          bool
+	streamCount        int
 }
 
 // Status is what is known of a peer.
@@ -149,9 +149,9 @@
 func (l *Link) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Status{Peer: l.peer, Connected: l.session != nil, Heartbeat: l.beat, SentSinceHeartbeat: l.sent}
-	if l.beat != nil {
-		s.HeartbeatAge = time.Since(l.heard)
+	s := Status{Peer: l.peer, Connected: l.session != nil, Heartbeat: l.lastHeartbeat, SentSinceHeartbeat: l.sentSinceHeartbeat}
+	if l.lastHeartbeat != nil {
+		s.HeartbeatAge = time.Since(l.lastHeartbeatTime)
 	}
 	return s
 }
@@ -160,11 +160,11 @@
 func (l *Link) RecordSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sent++
+	l.sentSinceHeartbeat++
 }
 
 func (l *Link) run(ctx context.Context) {
-	backoff := retry.Backoff{Base: l.m.cfg.HeartbeatInterval / 4, Max: 4 * l.m.cfg.HeartbeatInterval}
+	backoff := retry.Backoff{Base: l.manager.cfg.HeartbeatInterval / 4, Max: 4 * l.manager.cfg.HeartbeatInterval}
 	for failures := 0; ctx.Err() == nil; {
 		sess, st, err := l.connect(ctx)
 		if err == nil {
@@ -172,16 +172,16 @@
 			l.watch(ctx, sess, st)
 			continue
 		}
-		l.swap(nil)
-		l.m.log.WithField("peer", l.peer.Name).WithError(err).Debug("peer not reached")
+		l.replaceSession(nil)
+		l.manager.log.WithField("peer", l.peer.Name).WithError(err).Debug("peer not reached")
 		wait.For(ctx, backoff.Delay(failures, rand.Float64()))
 		failures++
 	}
 	l.mu.Lock()
-	used := l.retired && l.users > 0 && l.m.ctx.Err() == nil
+	used := l.isRetired && l.streamCount > 0 && l.manager.ctx.Err() == nil
 	l.mu.Unlock()
 	if !used {
-		l.swap(nil)
+		l.replaceSession(nil)
 	}
 }
 
@@ -190,7 +190,7 @@
 // its streams for no reason.
 func (l *Link) retire() {
 	l.mu.Lock()
-	l.retired = true
+	l.isRetired = true
 	l.mu.Unlock()
 	l.cancel()
 }
@@ -203,17 +203,17 @@
 	if l.session == nil {
 		return nil, func() {}
 	}
-	l.users++
+	l.streamCount++
 	return l.session, sync.OnceFunc(l.release)
 }
 
 func (l *Link) release() {
 	l.mu.Lock()
-	l.users--
-	unused := l.retired && l.users == 0
+	l.streamCount--
+	unused := l.isRetired && l.streamCount == 0
 	l.mu.Unlock()
 	if unused {
-		l.swap(nil)
+		l.replaceSession(nil)
 	}
 }
 
@@ -221,9 +221,9 @@
 // use stays open meanwhile: where a link is merely stalled, its streams go on
 // if the second path fails too, and are moved only once the second path works.
 func (l *Link) connect(ctx context.Context) (*wire.Session, *wire.Stream, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.m.cfg.DialTimeout)
+	ctx, cancel := context.WithTimeout(ctx, l.manager.cfg.DialTimeout)
 	defer cancel()
-	sess, err := l.m.Dial(ctx, l.peer.Address)
+	sess, err := l.manager.Dial(ctx, l.peer.Address)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -231,22 +231,22 @@
 	// bound covers the first heartbeat too.
 	defer context.AfterFunc(ctx, func() { sess.Close() })()
 	st, _, err := sess.Open(&innerv1.Open{
-		ConfigVersion: l.m.sync.Replica().Version(),
-		Kind:          &innerv1.Open_Watch{Watch: &innerv1.Watch{PeriodMs: uint32(l.m.cfg.HeartbeatInterval.Milliseconds())}},
+		ConfigVersion: l.manager.sync.Replica().Version(),
+		Kind:          &innerv1.Open_Watch{Watch: &innerv1.Watch{PeriodMs: uint32(l.manager.cfg.HeartbeatInterval.Milliseconds())}},
 	})
 	if err != nil {
 		sess.Close()
 		return nil, nil, err
 	}
-	if err := l.hear(st); err != nil {
+	if err := l.receiveHeartbeat(st); err != nil {
 		sess.Close()
 		return nil, nil, err
 	}
 	return sess, st, nil
 }
 
-func (l *Link) hear(st *wire.Stream) error {
-	st.SetReadDeadline(time.Now().Add(missedBeats * l.m.cfg.HeartbeatInterval))
+func (l *Link) receiveHeartbeat(st *wire.Stream) error {
+	st.SetReadDeadline(time.Now().Add(maxMissedHeartbeats * l.manager.cfg.HeartbeatInterval))
 	reply := &innerv1.Reply{}
 	if err := st.Recv(reply); err != nil {
 		return err
@@ -256,54 +256,54 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.beat = reply.GetHeartbeat()
-	l.heard = time.Now()
-	l.sent = 0
+	l.lastHeartbeat = reply.GetHeartbeat()
+	l.lastHeartbeatTime = time.Now()
+	l.sentSinceHeartbeat = 0
 	return nil
 }
 
 func (l *Link) watch(ctx context.Context, sess *wire.Session, st *wire.Stream) {
 	defer st.Close()
 	defer st.CloseOnDone(ctx)()
-	l.swap(sess)
+	l.replaceSession(sess)
 	for {
-		l.reconcile(sess)
-		if err := l.hear(st); err != nil {
+		l.reconcileConfig(sess)
+		if err := l.receiveHeartbeat(st); err != nil {
 			return
 		}
 	}
 }
 
-// reconcile levels the configuration with the peer: a heartbeat carries the
+// reconcileConfig levels the configuration with the peer: a heartbeat carries the
 // peer's version, so a gap is noticed within one period without the store.
-func (l *Link) reconcile(sess *wire.Session) {
+func (l *Link) reconcileConfig(sess *wire.Session) {
 	l.mu.Lock()
-	theirs := l.beat.GetConfigVersion()
+	theirs := l.lastHeartbeat.GetConfigVersion()
 	l.mu.Unlock()
-	mine := l.m.sync.Replica().Version()
+	mine := l.manager.sync.Replica().Version()
 	switch {
 	case theirs > mine:
-		l.m.sync.Pull(sess)
+		l.manager.sync.Pull(sess)
 	case theirs < mine:
-		l.m.sync.Push(sess, theirs)
+		l.manager.sync.Push(sess, theirs)
 	case mine > 0:
-		l.m.sync.MarkConfirmed()
+		l.manager.sync.MarkConfirmed()
 	}
 }
 
 // Push brings the peer to the version in force here, and returns its version.
 func (l *Link) Push() (uint64, bool) {
 	l.mu.Lock()
-	sess, have := l.session, l.beat.GetConfigVersion()
+	sess, have := l.session, l.lastHeartbeat.GetConfigVersion()
 	l.mu.Unlock()
 	if sess == nil {
 		return 0, false
 	}
-	version, err := l.m.sync.Push(sess, have)
+	version, err := l.manager.sync.Push(sess, have)
 	return version, err == nil
 }
 
-func (l *Link) swap(sess *wire.Session) {
+func (l *Link) replaceSession(sess *wire.Session) {
 	l.mu.Lock()
 	old := l.session
 	l.session = sess
--- a/internal/mux/frame.go
+++ b/internal/mux/frame.go
@@ -16,7 +16,7 @@
 // before anything is allocated for it.
 const MaxFrameBytes = 4 << 20
 
-const headerLen = 4
+const frameHeaderLen = 4
 
 // Errors of the inner protocol.
 var (
@@ -24,12 +24,12 @@
 	ErrMalformed     = errors.New("malformed frame")
 )
 
-var scratch = sync.Pool{New: func() any { return new([]byte) }}
+var writeBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
 // WriteFrame writes msg with its length in front, in one Write.
 func WriteFrame(w io.Writer, msg proto.Message) error {
-	p := scratch.Get().(*[]byte)
-	defer scratch.Put(p)
+	p := writeBuffers.Get().(*[]byte)
+	defer writeBuffers.Put(p)
 	buf, err := appendFrame((*p)[:0], msg)
 	if err != nil {
 		return err
@@ -44,12 +44,12 @@
 func EncodeFrame(msg proto.Message) ([]byte, error) { return appendFrame(nil, msg) }
 
 func appendFrame(buf []byte, msg proto.Message) ([]byte, error) {
-	buf = append(buf, make([]byte, headerLen)...)
+	buf = append(buf, make([]byte, frameHeaderLen)...)
 	buf, err := proto.MarshalOptions{}.MarshalAppend(buf, msg)
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	size := len(buf) - headerLen
+	size := len(buf) - frameHeaderLen
 	if size > MaxFrameBytes {
 		return nil, errors.Wrapf(ErrFrameTooLarge, "%d bytes", size)
 	}
@@ -64,17 +64,17 @@
 	buf []byte
 }
 
-const readBuffer = 1 << 10
+const readBufferBytes = 1 << 10
 
 // NewFrameReader reads frames from r.
 func NewFrameReader(r io.Reader) *FrameReader {
-	return &FrameReader{r: bufio.NewReaderSize(r, readBuffer)}
+	return &FrameReader{r: bufio.NewReaderSize(r, readBufferBytes)}
 }
 
 // Read fills msg with the next frame. io.EOF means that the peer closed
 // between two frames.
 func (f *FrameReader) Read(msg proto.Message) error {
-	var header [headerLen]byte
+	var header [frameHeaderLen]byte
 	if _, err := io.ReadFull(f.r, header[:]); err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	}
 	f.buf = f.buf[:size]
 	if _, err := io.ReadFull(f.r, f.buf); err != nil {
-		return unexpected(err)
+		return toUnexpectedEOF(err)
 	}
 	if err := proto.Unmarshal(f.buf, msg); err != nil {
 		return errors.Wrap(ErrMalformed, err.Error())
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func unexpected(err error) error {
+func toUnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -66,7 +66,7 @@
 // as pings and window updates, must not wait for anything.
 func TestCorkedJoinsHeaderAndBody(t *testing.T) {
 	out := &writes{}
-	c := &corked{Conn: out}
+	c := &coalescingConn{Conn: out}
 	data := []byte{0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 3}
 	ping := []byte{0, 2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9}
 	for _, p := range [][]byte{ping, data, []byte("abc"), data, []byte("xyz"), ping} {
--- a/internal/mux/session.go
+++ b/internal/mux/session.go
@@ -12,14 +12,14 @@
 	acceptBacklog = 1024
 	// A dead peer is noticed by its missing heartbeats before the keepalive;
 	// the keepalive closes sessions that nothing watches.
-	keepAlive    = 10 * time.Second
-	writeTimeout = 2 * time.Second
+	keepAliveInterval = 10 * time.Second
+	writeTimeout      = 2 * time.Second
 )
 
-func config() *yamux.Config {
+func yamuxConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
 	cfg.AcceptBacklog = acceptBacklog
-	cfg.KeepAliveInterval = keepAlive
+	cfg.KeepAliveInterval = keepAliveInterval
 	cfg.ConnectionWriteTimeout = writeTimeout
 	cfg.LogOutput = io.Discard
 	return cfg
@@ -27,10 +27,10 @@
 
 // Client makes a session of a connection that this side has dialed.
 func Client(conn net.Conn) (*yamux.Session, error) {
-	return yamux.Client(&corked{Conn: conn}, config())
+	return yamux.Client(&coalescingConn{Conn: conn}, yamuxConfig())
 }
 
 // Server makes a session of a connection that this side has accepted.
 func Server(conn net.Conn) (*yamux.Session, error) {
-	return yamux.Server(&corked{Conn: conn}, config())
+	return yamux.Server(&coalescingConn{Conn: conn}, yamuxConfig())
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -21,7 +21,7 @@
 // Server accepts sessions and hands their streams to a Handler.
 type Server struct {
 	listener net.Listener
-	handle   Handler
+	handler  Handler
 
 	mu       sync.Mutex
 	closed   bool
@@ -31,7 +31,7 @@
 
 // NewServer serves l with h until Close.
 func NewServer(l net.Listener, h Handler) *Server {
-	return &Server{listener: l, handle: h, sessions: make(map[*yamux.Session]struct{})}
+	return &Server{listener: l, handler: h, sessions: make(map[*yamux.Session]struct{})}
 }
 
 // Serve accepts until the listener closes.
@@ -46,15 +46,15 @@
 			conn.Close()
 			continue
 		}
-		if !s.add(session) {
+		if !s.addSession(session) {
 			session.Close()
 			return
 		}
-		go s.session(session)
+		go s.serveSession(session)
 	}
 }
 
-func (s *Server) add(session *yamux.Session) bool {
+func (s *Server) addSession(session *yamux.Session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -65,7 +65,7 @@
 	return true
 }
 
-func (s *Server) session(session *yamux.Session) {
+func (s *Server) serveSession(session *yamux.Session) {
 	defer s.wg.Done()
 	ctx, cancel := context.WithCancel(context.Background())
 	var streams sync.WaitGroup
@@ -74,7 +74,7 @@
 		if err != nil {
 			break
 		}
-		streams.Go(func() { s.stream(ctx, newStream(conn)) })
+		streams.Go(func() { s.serveStream(ctx, newStream(conn)) })
 	}
 	cancel()
 	session.Close()
@@ -84,10 +84,10 @@
 	s.mu.Unlock()
 }
 
-func (s *Server) stream(ctx context.Context, st *Stream) {
+func (s *Server) serveStream(ctx context.Context, st *Stream) {
 	defer st.Close()
 	// A peer that opens streams and sends nothing would hold a goroutine each.
-	st.SetReadDeadline(time.Now().Add(openTimeout))
+	st.SetReadDeadline(time.Now().Add(firstFrameTimeout))
 	open := &innerv1.Open{}
 	if err := st.Recv(open); err != nil {
 		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "first frame: %v", err))
@@ -98,7 +98,7 @@
 		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "%v: got %d, want %d", ErrProtocolVersion, open.GetProtocol(), ProtocolVersion))
 		return
 	}
-	s.handle(ctx, open, st)
+	s.handler(ctx, open, st)
 }
 
 // Close stops accepting, ends all sessions and waits for their handlers.
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -39,7 +39,7 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-const openTimeout = 5 * time.Second
+const firstFrameTimeout = 5 * time.Second
 
 // ProtocolVersion is the version in every Open; a peer with another one is refused.
 const ProtocolVersion = 1
@@ -56,8 +56,8 @@
 // Session is one connection to a peer that carries many streams. It is safe
 // for concurrent use.
 type Session struct {
-	id  Identity
-	mux *yamux.Session
+	identity Identity
+	mux      *yamux.Session
 }
 
 // Dial connects to the peer at address.
@@ -71,7 +71,7 @@
 		conn.Close()
 		return nil, errors.Wrap(err, "yamux client")
 	}
-	return &Session{id: id, mux: session}, nil
+	return &Session{identity: id, mux: session}, nil
 }
 
 // Close ends the session and all its streams.
@@ -92,8 +92,8 @@
 		return nil, false, errors.Wrap(err, "open stream")
 	}
 	open.Protocol = ProtocolVersion
-	open.Peer = s.id.Name
-	open.FailureDomain = s.id.FailureDomain
+	open.Peer = s.identity.Name
+	open.FailureDomain = s.identity.FailureDomain
 	st = newStream(conn)
 	if err := st.Send(open); err != nil {
 		conn.Close()
@@ -105,14 +105,14 @@
 // Stream is one exchange with a peer. One goroutine may read while others
 // write.
 type Stream struct {
-	conn *yamux.Stream
-	in   *mux.FrameReader
-	// writing serializes frames.
-	writing sync.Mutex
+	conn   *yamux.Stream
+	reader *mux.FrameReader
+	// writeMu serializes frames.
+	writeMu sync.Mutex
 
-	// silence is how long RecvWithin waits for the next bytes, in nanoseconds; 0 is
+	// idleTimeout is how long RecvWithin waits for the next bytes, in nanoseconds; 0 is
 	// without end.
-	silence atomic.Int64
+	idleTimeout atomic.Int64
 
 	mu     sync.Mutex
 	closed bool
@@ -120,16 +120,16 @@
 
 func newStream(conn *yamux.Stream) *Stream {
 	st := &Stream{conn: conn}
-	st.in = mux.NewFrameReader(watched{st})
+	st.reader = mux.NewFrameReader(idleTimeoutReader{st})
 	return st
 }
 
-// watched moves a stream's read deadline on before each read.
-type watched struct{ *Stream }
+// idleTimeoutReader moves a stream's read deadline on before each read.
+type idleTimeoutReader struct{ *Stream }
 
 // Read implements io.Reader.
-func (w watched) Read(p []byte) (int, error) {
-	if d := time.Duration(w.silence.Load()); d > 0 {
+func (w idleTimeoutReader) Read(p []byte) (int, error) {
+	if d := time.Duration(w.idleTimeout.Load()); d > 0 {
 		w.SetReadDeadline(time.Now().Add(d))
 	}
 	return w.conn.Read(p)
@@ -152,23 +152,23 @@
 
 // Send writes one frame.
 func (s *Stream) Send(msg proto.Message) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	return mux.WriteFrame(s.conn, msg)
 }
 
 // Recv reads one frame into msg.
 func (s *Stream) Recv(msg proto.Message) error {
-	return s.in.Read(msg)
+	return s.reader.Read(msg)
 }
 
 // RecvWithIdleTimeout reads one frame into msg and gives up when nothing has come in for silence.
 // A frame may be a whole configuration: a bound on its time would be one on its size, and
 // over a thin link each try would be given up midway and begun anew.
 func (s *Stream) RecvWithIdleTimeout(msg proto.Message, silence time.Duration) error {
-	s.silence.Store(int64(silence))
-	defer s.silence.Store(0)
-	return s.in.Read(msg)
+	s.idleTimeout.Store(int64(silence))
+	defer s.idleTimeout.Store(0)
+	return s.reader.Read(msg)
 }
 
 // SendFailure sends err as the stream's answer.
