--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -352,7 +352,7 @@
 	}
 	g.registry.SetDomainRegions(set.Regions)
 	g.store.SetAddress(set.Store)
-	g.store.SetLink(set.LinkMbps)
+	g.store.SetBandwidth(set.LinkMbps)
 	g.relay.Configure(relayConfig(set))
 	debug.SetMemoryLimit(int64(memoryShare * float64(set.MemoryBytes)))
 }
