--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -324,7 +324,7 @@
 func (g *Gateway) Stop() {
 	begun := time.Now()
 	g.stopping.Store(true)
-	g.callers.Stop()
+	g.callers.StartDraining()
 	g.group.stop()
 	g.relay.SetShutdown(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
