--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -336,7 +336,7 @@
 		}
 	}
 	left := g.relay.InProgress()
-	g.callers.Finish(lastWrites)
+	g.callers.Shutdown(lastWrites)
 	g.cancel()
 	g.log.WithField("in_progress", left).Info("stopped")
 }
