--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -201,7 +201,7 @@
 	if !ok {
 		return nil, nil, errNoTable
 	}
-	if s.sink.Unreadable() {
+	if s.sink.IsNewestUnreadable() {
 		return nil, nil, errUnreadable
 	}
 	if s.replica.Version() < ask.GetVersion() {
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -154,7 +154,7 @@
 func (g *group) positions() (out []*peerv1.Position) {
 	for table, f := range g.followers {
 		p, ok := f.Position()
-		if !ok || table == g.config.table() && g.config.sink.Unreadable() {
+		if !ok || table == g.config.table() && g.config.sink.IsNewestUnreadable() {
 			continue
 		}
 		out = append(out, &peerv1.Position{Table: table, Changed: p.Changed.Wire(), Revision: p.Revision.Wire(), ClockMs: p.Clock.Milliseconds()})
