--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -24,7 +24,7 @@
 	beat := s.Duration("heartbeat", def.Heartbeat, 50*time.Millisecond, time.Minute, "time between heartbeats of an agent")
 	list := s.Duration("list-every", def.ListInterval, 100*time.Millisecond, 10*time.Minute, "time between looks at the VM list")
 	accept := s.Duration("accept-timeout", def.AcceptTimeout, 10*time.Millisecond, time.Minute, "longest wait for an agent's first answer")
-	reattach := s.Duration("reattach-for", def.ReattachFor, 0, 10*time.Minute, "how long a lost agent is tried before its streams are moved")
+	reattach := s.Duration("reattach-for", def.ReattachTimeout, 0, 10*time.Minute, "how long a lost agent is tried before its streams are moved")
 	s.Group("Platform")
 	window := s.Duration("claim-window", def.ClaimWindow, 0, time.Second, "time over which claims are grouped into a transaction")
 	ttl := s.Duration("lease-ttl", def.LeaseTTL, 2*time.Second, 10*time.Minute, "time to live of a lease for engine orders")
@@ -32,7 +32,7 @@
 
 	o := app.EntryOptions{
 		CommonOptions: common(), CallerAddress: *callers, AgentLinks: *links, EntryLinks: *peers, Heartbeat: *beat,
-		ListInterval: *list, AcceptTimeout: *accept, ReattachFor: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
+		ListInterval: *list, AcceptTimeout: *accept, ReattachTimeout: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
 		MaxRequests: *most,
 	}
 	log := app.NewLog(o.CommonOptions)
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -26,16 +26,16 @@
 // EntryOptions are the settings of an entry.
 type EntryOptions struct {
 	CommonOptions
-	CallerAddress string
-	AgentLinks    int
-	EntryLinks    int
-	Heartbeat     time.Duration
-	ListInterval  time.Duration
-	AcceptTimeout time.Duration
-	ReattachFor   time.Duration
-	ClaimWindow   time.Duration
-	LeaseTTL      time.Duration
-	MaxRequests   int
+	CallerAddress   string
+	AgentLinks      int
+	EntryLinks      int
+	Heartbeat       time.Duration
+	ListInterval    time.Duration
+	AcceptTimeout   time.Duration
+	ReattachTimeout time.Duration
+	ClaimWindow     time.Duration
+	LeaseTTL        time.Duration
+	MaxRequests     int
 	// Random draws for placement; nil takes the process's source.
 	Random func() uint64
 }
@@ -45,7 +45,7 @@
 func DefaultEntryOptions(c CommonOptions) EntryOptions {
 	return EntryOptions{
 		CommonOptions: c, AgentLinks: 96, EntryLinks: 4, Heartbeat: time.Second, ListInterval: 5 * time.Second,
-		AcceptTimeout: 2 * time.Second, ReattachFor: 3 * time.Second,
+		AcceptTimeout: 2 * time.Second, ReattachTimeout: 3 * time.Second,
 		ClaimWindow: 3 * time.Millisecond, LeaseTTL: 15 * time.Second, MaxRequests: 10000,
 	}
 }
@@ -119,7 +119,7 @@
 		func(s *confsync.Syncer, store *conf.Store, links *link.Manager, claims *claim.Claims, leases *lease.Manager, p Platform, log logrus.FieldLogger, rec *metrics.Recorder) *entry.Entry {
 			return entry.New(entry.Config{
 				Identity: o.Identity(), ListInterval: o.ListInterval, AgentLinks: o.AgentLinks, EntryLinks: o.EntryLinks,
-				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachFor, MaxStreamBytes: streamBytes,
+				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachTimeout, MaxStreamBytes: streamBytes,
 				PropagationTimeout: spreadTimeout, MaxServersPerRequest: placeTries, Random: o.Random,
 				MaxRequests: o.MaxRequests,
 			}, entry.Deps{Sync: s, Store: store, Links: links, Claims: claims, Leases: leases, VMs: p.VMs, Log: log, Observer: rec})
