--- a/internal/dev/gateway.go
+++ b/internal/dev/gateway.go
@@ -24,12 +24,12 @@
 func ShowGateway(ctx context.Context, out io.Writer, gateways int, log *logrus.Logger) error {
 	f := fleet.New()
 	defer f.Close()
-	engines := fleet.Behaviour{Events: 40, EventEvery: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond}
+	engines := fleet.Behavior{Events: 40, EventEvery: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond}
 	first, err := f.Add(fleet.ModelService, gatewayDomain, engines)
 	if err != nil {
 		return err
 	}
-	if _, err := f.Add(fleet.DeskService, gatewayDomain, fleet.Behaviour{}); err != nil {
+	if _, err := f.Add(fleet.DeskService, gatewayDomain, fleet.Behavior{}); err != nil {
 		return err
 	}
 	var address string
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -75,10 +75,10 @@
 func TestLimitedServersGetTheirLimitFromAllGateways(t *testing.T) {
 	s := newSystem(t)
 	limits := map[*fleet.Server]float64{
-		s.server(fleet.DeskService, fleet.Behaviour{}): 2.3,
-		s.server(fleet.DeskService, fleet.Behaviour{}): 3.9,
+		s.server(fleet.DeskService, fleet.Behavior{}): 2.3,
+		s.server(fleet.DeskService, fleet.Behavior{}): 3.9,
 	}
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
 		n.eventually(func() bool {
@@ -87,7 +87,7 @@
 	}
 	pressAll(nodes, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
-		srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(limit)})
+		srv.SetBehaviour(fleet.Behavior{Says: fleet.NamesLimit(limit)})
 	}
 	named := time.Now()
 	_, refused := pressAll(nodes, 1, limitWindow+time.Second, plain(fleet.OncePath))
@@ -103,7 +103,7 @@
 // store tells them nothing of it.
 func TestLimitIsKnownToAllGatewaysAtOnce(t *testing.T) {
 	s := newSystem(t)
-	srv := s.server(fleet.DeskService, fleet.Behaviour{})
+	srv := s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
 		n.eventually(func() bool {
@@ -120,10 +120,10 @@
 		}
 		t.Fatalf("not known to all within %v", knownWithin)
 	}
-	srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(20)})
+	srv.SetBehaviour(fleet.Behavior{Says: fleet.NamesLimit(20)})
 	require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OncePath)).status)
 	know(1)
-	srv.SetBehaviour(fleet.Behaviour{})
+	srv.SetBehaviour(fleet.Behavior{})
 	nodes[0].eventually(func() bool {
 		nodes[0].do(plain(fleet.OncePath))
 		return nodes[0].registry.CountRateLimited() == 0
@@ -145,8 +145,8 @@
 // store is away and when it returns with an entry that still says that the server is ready.
 func TestServerThatSaysItIsLeavingGetsNothingNew(t *testing.T) {
 	s := newSystem(t)
-	leaves := s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	leaves := s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
 		n.eventually(func() bool {
@@ -176,8 +176,8 @@
 func TestServerThatAsksForRestGetsNone(t *testing.T) {
 	const rest = 2 * time.Second
 	s := newSystem(t)
-	tired := s.server(fleet.DeskService, fleet.Behaviour{Full: true, Says: fleet.AsksForRest(rest)})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	tired := s.server(fleet.DeskService, fleet.Behavior{Full: true, Says: fleet.AsksForRest(rest)})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i, n := range nodes {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
@@ -193,7 +193,7 @@
 			require.False(t, a.At.Sub(turned) < rest, "asked again %v after it was turned away", a.At.Sub(turned))
 		}
 	}
-	tired.SetBehaviour(fleet.Behaviour{})
+	tired.SetBehaviour(fleet.Behavior{})
 	served := len(tired.Seen())
 	ask(t, nodes, rest, plain(fleet.OncePath))
 	require.Greater(t, len(tired.Seen()), served, "used again")
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -15,7 +15,7 @@
 const benchServers, benchCallers = 24, 64
 
 // underLoad starts two gateways before servers of a service and returns the first.
-func underLoad(b *testing.B, service string, how fleet.Behaviour) *node {
+func underLoad(b *testing.B, service string, how fleet.Behavior) *node {
 	s := newSystem(b)
 	for range benchServers {
 		s.server(service, how)
@@ -55,11 +55,11 @@
 
 // A plain request and its answer, the stand-ins of callers and servers included.
 func BenchmarkPlainRequest(b *testing.B) {
-	load(b, underLoad(b, fleet.DeskService, fleet.Behaviour{}), plain(fleet.SafePath))
+	load(b, underLoad(b, fleet.DeskService, fleet.Behavior{}), plain(fleet.SafePath))
 }
 
 // A generation of 100 events, the stand-ins included.
 func BenchmarkGeneration(b *testing.B) {
-	n := underLoad(b, fleet.ModelService, fleet.Behaviour{Events: 100, EventEvery: time.Millisecond})
+	n := underLoad(b, fleet.ModelService, fleet.Behavior{Events: 100, EventEvery: time.Millisecond})
 	load(b, n, generation(fleet.PlanPath))
 }
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -24,15 +24,15 @@
 // emptiedSystem has servers of both services in two zones.
 func emptiedSystem(t *testing.T) (s *system, inside []*fleet.Server) {
 	s = newSystem(t)
-	add := func(service, zone string, b fleet.Behaviour) *fleet.Server {
+	add := func(service, zone string, b fleet.Behavior) *fleet.Server {
 		srv, err := s.fleet.Add(service, zone, b)
 		require.NoError(t, err)
 		return srv
 	}
-	short := fleet.Behaviour{Events: 3, EventEvery: time.Millisecond}
+	short := fleet.Behavior{Events: 3, EventEvery: time.Millisecond}
 	for range 2 {
-		inside = append(inside, add(fleet.DeskService, emptied, fleet.Behaviour{}), add(fleet.ModelService, emptied, short))
-		add(fleet.DeskService, kept, fleet.Behaviour{})
+		inside = append(inside, add(fleet.DeskService, emptied, fleet.Behavior{}), add(fleet.ModelService, emptied, short))
+		add(fleet.DeskService, kept, fleet.Behavior{})
 		add(fleet.ModelService, kept, short)
 	}
 	return s, inside
@@ -173,8 +173,8 @@
 // Guards against a caller waiting for servers that are all in emptied domains.
 func TestServiceOfEmptiedDomainsIsRefusedAtOnce(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.ModelService, fleet.Behaviour{Events: 3})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.ModelService, fleet.Behavior{Events: 3})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Cordon("zone-1")
@@ -196,7 +196,7 @@
 func TestStreamInAnEmptiedDomainGoesOn(t *testing.T) {
 	s := newSystem(t)
 	const events = 60
-	srv := s.server(fleet.ModelService, fleet.Behaviour{Events: events, EventEvery: 20 * time.Millisecond})
+	srv := s.server(fleet.ModelService, fleet.Behavior{Events: events, EventEvery: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -47,7 +47,7 @@
 	if *drilled == many {
 		s.peerLinks = fewLinks
 	}
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	var nodes []*node
 	var copied *fleet.Copy
 	kept := *drilled * *drillKept / 100
@@ -138,15 +138,15 @@
 func TestCallersNoticeADrillNoMoreThanAnOutage(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
 	var nodes []*node
 	for i := range 4 {
 		nodes = append(nodes, s.gateway(fmt.Sprint("vm-", i)))
 	}
 	copied := s.fleet.Store.Copy()
-	desk := s.server(fleet.DeskService, fleet.Behaviour{})
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	desk := s.server(fleet.DeskService, fleet.Behavior{})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool {
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -35,7 +35,7 @@
 // not once the numbers have passed those that gateways saw before.
 func TestConfigurationOfAStoreThatComesBackOlder(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	c := s.fleet.Store.Copy()
 	for range 20 {
@@ -65,14 +65,14 @@
 // copy says: the one that joined is served from on, the one that has gone gets nothing.
 func TestServersOfAStoreThatComesBackOlder(t *testing.T) {
 	s := newSystem(t)
-	gone := s.server(fleet.DeskService, fleet.Behaviour{})
+	gone := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.status(fleet.Key) == http.StatusOK }, "served")
 	c := s.fleet.Store.Copy()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
-	joined := s.server(fleet.DeskService, fleet.Behaviour{})
+	joined := s.server(fleet.DeskService, fleet.Behavior{})
 	n.eventually(func() bool { n.status(fleet.Key); return len(joined.Seen()) > 0 }, "the server that joined")
 	gone.Leave()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has gone")
@@ -125,7 +125,7 @@
 // before, must be in force there as well, and a key that was taken away stays refused.
 func TestGatewayCutOffHearsOfAnEraThroughPeers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	c := s.fleet.Store.Copy()
 	for range 20 {
@@ -154,7 +154,7 @@
 // The others know better; it must not serve that key once it is ready.
 func TestGatewayThatStartsInADrillRefusesRemovedKeys(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	c := s.fleet.Store.Copy()
 	s.fleet.Configure("second")
@@ -175,7 +175,7 @@
 // others cannot answer it, and keeping to it although they name a newer version.
 func TestGatewayThatStartsTrustsNoKeyBeforePeersAnswer(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	c := s.fleet.Store.Copy()
 	s.fleet.Configure("second")
@@ -200,10 +200,10 @@
 // go on to their end.
 func TestStreamsGoOnThroughADrill(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	c := s.fleet.Store.Copy()
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 150, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 150, EventEvery: 20 * time.Millisecond})
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan reply, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
@@ -219,7 +219,7 @@
 // being ready, or keeping what the copy showed once the operator has written again.
 func TestStartOfAllInsideADrill(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	c := s.fleet.Store.Copy()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
@@ -249,7 +249,7 @@
 // same: the store falls back twice to the same copy, and what is written between is gone.
 func TestDrillsInARow(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	c := s.fleet.Store.Copy()
 	s.fleet.Configure("second")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -14,13 +14,13 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-var slowStream = fleet.Behaviour{Events: 60, EventEvery: 20 * time.Millisecond}
+var slowStream = fleet.Behavior{Events: 60, EventEvery: 20 * time.Millisecond}
 
 // Each kind of request passes, with what the server may know and nothing else.
 func TestEachKindIsServed(t *testing.T) {
 	s := newSystem(t)
-	desk := s.server(fleet.DeskService, fleet.Behaviour{})
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 3})
+	desk := s.server(fleet.DeskService, fleet.Behavior{})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 3})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 
@@ -48,7 +48,7 @@
 // take over memory, or go on from another request's.
 func TestForgedHeadersStayOutside(t *testing.T) {
 	s := newSystem(t)
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 2})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 2})
 	n := s.gateway("vm-1")
 	forged := []string{"X-Kingcupplank-Kv-Hold", "X-Kingcupplank-Pin-Ms", "X-Kingcupplank-Kv-Backup", "Kv-From", "Kv-Fetch", "X-Kingcupplank-Expect-Version"}
 	r := generation(fleet.PlanPath).with("Connection", "X-Kingcupplank-Model-Id")
@@ -66,7 +66,7 @@
 // Wrong requests get a clear answer and disturb nothing else.
 func TestWrongRequests(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	for name, c := range map[string]struct {
@@ -138,9 +138,9 @@
 // new requests from then on.
 func TestLeavingServersGetNothingNew(t *testing.T) {
 	s := newSystem(t)
-	a := s.server(fleet.DeskService, fleet.Behaviour{})
-	b := s.server(fleet.DeskService, fleet.Behaviour{})
-	c := s.server(fleet.DeskService, fleet.Behaviour{})
+	a := s.server(fleet.DeskService, fleet.Behavior{})
+	b := s.server(fleet.DeskService, fleet.Behavior{})
+	c := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	a.Drain(true)
@@ -157,8 +157,8 @@
 // meanwhile. After the return they get nothing, although no change told so.
 func TestChangesBehindALostHistoryAreSeen(t *testing.T) {
 	s := newSystem(t)
-	a := s.server(fleet.DeskService, fleet.Behaviour{})
-	b := s.server(fleet.DeskService, fleet.Behaviour{})
+	a := s.server(fleet.DeskService, fleet.Behavior{})
+	b := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 	n.door.SetFault(fleet.Busy)
@@ -174,7 +174,7 @@
 // are used on, also in the two seconds in which they register again.
 func TestLapsedEntriesAreUsedOn(t *testing.T) {
 	s := newSystem(t)
-	a := s.server(fleet.DeskService, fleet.Behaviour{})
+	a := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OpenPath)).status == http.StatusOK }, "served")
 	s.fleet.Store.SetFault(fleet.Busy)
@@ -190,7 +190,7 @@
 // The peer tells, and the key is refused here within the bound.
 func TestPeerTellsOfARevokedKey(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	a.eventually(func() bool { return len(a.group.links.LiveStates()) == 1 && len(b.group.links.LiveStates()) == 1 }, "linked")
 	a.eventually(func() bool { return a.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
@@ -211,7 +211,7 @@
 // keys are not trusted any more; after the return they are at once.
 func TestKeysAreNotTrustedThroughAnOutage(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Store.SetFault(fleet.Silent)
@@ -230,7 +230,7 @@
 // versions never go back.
 func TestNewVersionIsInForceEverywhere(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	require.Equal(t, http.StatusNotFound, nodes[0].do(plain("/extra/a")).status)
 	s.fleet.Configure(fleet.Key, "/extra/")
@@ -259,7 +259,7 @@
 // not work on for nobody.
 func TestServerStopsWhenTheCallerLeaves(t *testing.T) {
 	s := newSystem(t)
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
@@ -269,7 +269,7 @@
 	require.Eventually(t, func() bool { return engine.Running() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
 	n.eventually(func() bool { return n.relay.InProgress() == 0 }, "ended")
 
-	engine.SetBehaviour(fleet.Behaviour{Delay: time.Minute})
+	engine.SetBehaviour(fleet.Behavior{Delay: time.Minute})
 	c = n.dial()
 	c.send(generation(fleet.PlanPath))
 	n.eventually(func() bool { return engine.Waiting() == 1 }, "waiting")
@@ -281,7 +281,7 @@
 // and is not told that the request did not run.
 func TestFinalAnswerAtTheRoutesTimeout(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{Delay: time.Minute})
+	s.server(fleet.DeskService, fleet.Behavior{Delay: time.Minute})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 	begun := time.Now()
@@ -308,11 +308,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSystem(t)
-			s.server(fleet.DeskService, fleet.Behaviour{Raw: func(c net.Conn, _ *http.Request) { raw(c) }})
+			s.server(fleet.DeskService, fleet.Behavior{Raw: func(c net.Conn, _ *http.Request) { raw(c) }})
 			n := s.gateway("vm-1")
 			n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 			require.Equal(t, http.StatusBadGateway, n.do(plain(fleet.OncePath)).status)
-			good := s.server(fleet.DeskService, fleet.Behaviour{})
+			good := s.server(fleet.DeskService, fleet.Behavior{})
 			n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 			for range 10 {
 				r := n.do(plain(fleet.SafePath))
@@ -330,7 +330,7 @@
 	answer := func(id, body string) string {
 		return "HTTP/1.1 200 OK\r\nX-Kingcupplank-Attempt-Id: " + id + "\r\nX-Kingcupplank-Response-Seal: s\r\nContent-Length: 3\r\n\r\n" + body
 	}
-	s.server(fleet.DeskService, fleet.Behaviour{Raw: func(c net.Conn, r *http.Request) {
+	s.server(fleet.DeskService, fleet.Behavior{Raw: func(c net.Conn, r *http.Request) {
 		id := r.Header.Get("X-Kingcupplank-Attempt-Id")
 		c.Write([]byte(answer(id, "one")))
 		buf := make([]byte, 4096)
@@ -353,7 +353,7 @@
 func TestStoppingCutsNothing(t *testing.T) {
 	s := newSystem(t)
 	engine := s.server(fleet.ModelService, slowStream)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	kept := n.dial()
@@ -383,7 +383,7 @@
 // from the store themselves.
 func TestLongPagesAreNotPassedOn(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 1
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	for _, n := range nodes {
@@ -404,7 +404,7 @@
 // gateway runs. Both hold without a restart.
 func TestReloadedSettingsHold(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	door, err := s.fleet.Store.Open()
@@ -423,7 +423,7 @@
 // run, and holds nothing.
 func TestHalfABodyIsGivenUp(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	c := n.dial()
@@ -438,7 +438,7 @@
 // every caller for lack of a server; so it is ready only when it knows both.
 func TestGatewayIsReadyOnceItKnowsTheServers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.fleet.Store.SetSlow("servers", 400*time.Millisecond)
 	n := s.gateway("vm-1")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -39,7 +39,7 @@
 // nothing of it can have come from there.
 func TestThinVMNeedsNoRowFromTheStore(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 200
 	prefixes := more(2600 + 1400)
 	s.fleet.Configure(fleet.Key, prefixes[:2600]...)
@@ -58,7 +58,7 @@
 // reads the store by itself, whole, and nobody is refused meanwhile.
 func TestVersionThatPeersDoNotBringIsReadFromTheStore(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	wide := []*node{s.gateway("vm-a"), s.gateway("vm-b")}
 	last := s.gateway("vm-c")
 	linked(wide[0], wide[1], last)
@@ -74,7 +74,7 @@
 // the newest: keys are trusted no longer than their bound.
 func TestUnreadableVersionIsNotConfirmedByPeers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	linked(nodes...)
 	s.fleet.Store.PutBytes("op", "config", []byte("{"))
@@ -88,7 +88,7 @@
 // between the two. It is announced only, and each reads it at its own pace.
 func TestPagesAreShortEnoughForTheThinnestLink(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 1000
 	wide := s.gateway("vm-a")
 	page := func(size int) follow.SharedPage {
--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -21,7 +21,7 @@
 // configuration comes in.
 func TestGrownConfigurationIsInForceOnThinVMs(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 200
 	wide := []*node{s.gateway("vm-a"), s.gateway("vm-b")}
 	thin, _ := s.thin("vm-c", 10)
@@ -50,7 +50,7 @@
 // times, in at most 1.25 times what the link needs.
 func TestLoneVMReadsAGrownConfigurationOnce(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	lone, link := s.thin("vm-a", 40)
 	before := link.Passed()
 	prefixes := more(16000)
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -36,7 +36,7 @@
 	return s
 }
 
-func (s *system) server(service string, b fleet.Behaviour) *fleet.Server {
+func (s *system) server(service string, b fleet.Behavior) *fleet.Server {
 	s.t.Helper()
 	srv, err := s.fleet.Add(service, "zone-1", b)
 	require.NoError(s.t, err)
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -29,7 +29,7 @@
 		}
 		return p.Address, err
 	}
-	b := fleet.Behaviour{Delay: 20 * time.Millisecond}
+	b := fleet.Behavior{Delay: 20 * time.Millisecond}
 	parted := s.server(fleet.DeskService, b)
 	s.server(fleet.DeskService, b)
 	n := s.gateway("vm-1")
@@ -73,7 +73,7 @@
 // again. None of them may be ready, or serve a caller, with the version before.
 func TestWholeRestartServesTheNewestVersion(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	names := []string{"vm-a", "vm-b", "vm-c"}
 	var nodes []*node
 	for _, name := range names {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -28,7 +28,7 @@
 )
 
 // fragile is an engine that ends under harmful requests, shortly after their first event.
-var fragile = fleet.Behaviour{
+var fragile = fleet.Behavior{
 	Events: 5, EventEvery: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
 	EndsUnder: harmful, EndsAfter: 50 * time.Millisecond,
 }
@@ -175,7 +175,7 @@
 		require.Equal(t, content, quarantined{n.group.suspects}.Held()[0].Content)
 	}
 	for _, srv := range s.fleet.Servers() {
-		srv.SetBehaviour(fleet.Behaviour{Events: 3})
+		srv.SetBehaviour(fleet.Behavior{Events: 3})
 	}
 	require.False(t, quarantined{nodes[0].group.suspects}.Lift("no such content"))
 	require.True(t, quarantined{nodes[0].group.suspects}.Lift(content))
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -19,7 +19,7 @@
 // send there what only one of them may.
 func TestGatewaysWithQueuesTakeTurns(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.ModelService, fleet.Behaviour{})
+	s.server(fleet.ModelService, fleet.Behavior{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0))
 	a.group.ReportQueue(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, WaitingAtRank: 3})
@@ -52,7 +52,7 @@
 // together they know that it is above its share.
 func TestGatewaysTellWhatTeamsUse(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.ModelService, fleet.Behaviour{})
+	s.server(fleet.ModelService, fleet.Behavior{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	a.group.ReportUsage(fleet.ModelService, []flow.Usage{{Team: "large", Amount: 5000}})
 	b.eventually(func() bool {
@@ -69,8 +69,8 @@
 // one does not lose its own to find out.
 func TestLostRequestsAreToldToTheOthers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	for _, n := range nodes {
 		n.eventually(func() bool {
@@ -106,8 +106,8 @@
 // that does tells the others.
 func TestOneGatewayTellsOfAnEndedServer(t *testing.T) {
 	s := newSystem(t)
-	ended := s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	ended := s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
 		n.eventually(func() bool {
@@ -132,7 +132,7 @@
 func TestReportOfALeavingServerReachesAll(t *testing.T) {
 	s := newSystem(t)
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
 	for _, n := range nodes {
 		n.eventually(func() bool {
 			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.ModelService) == 1
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -27,8 +27,8 @@
 func partial(t *testing.T) (*system, []*node) {
 	s := newSystem(t)
 	s.peerLinks = fewLinks
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	var nodes []*node
 	for i := range many {
 		nodes = append(nodes, s.gateway(fmt.Sprintf("vm-%02d", i)))
@@ -93,7 +93,7 @@
 			n.door.SetFault(fleet.Reset)
 		}
 	}
-	leaving := s.server(fleet.DeskService, fleet.Behaviour{})
+	leaving := s.server(fleet.DeskService, fleet.Behavior{})
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	}
@@ -177,7 +177,7 @@
 // peer that says that it is further.
 func TestAnnouncersThatAreBehindAreNotAskedAlone(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	old := []*node{s.gateway("vm-a"), s.gateway("vm-b")}
 	further, last := s.gateway("vm-c"), s.gateway("vm-d")
 	linked(old[0], old[1], further, last)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -176,9 +176,9 @@
 func (s *Soak) add(service string) (*fleet.Server, error) { return s.addIn(service, s.zone()) }
 
 func (s *Soak) addIn(service, zone string) (*fleet.Server, error) {
-	b := fleet.Behaviour{}
+	b := fleet.Behavior{}
 	if service == fleet.ModelService {
-		b = fleet.Behaviour{Events: streamEvents, EventEvery: eventEvery, CopyTime: copyTime, EndsUnder: harmfulBody, EndsAfter: endsAfter}
+		b = fleet.Behavior{Events: streamEvents, EventEvery: eventEvery, CopyTime: copyTime, EndsUnder: harmfulBody, EndsAfter: endsAfter}
 	}
 	srv, err := s.fleet.Add(service, zone, b)
 	if err != nil {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -117,7 +117,7 @@
 }
 
 // Add starts a server.
-func (f *Fleet) Add(service, zone string, b Behaviour) (*Server, error) {
+func (f *Fleet) Add(service, zone string, b Behavior) (*Server, error) {
 	id := fmt.Sprintf("i-%s-%s-%d", service, process, servers.Add(1))
 	s, err := newServer(f, service, zone, id, b)
 	if err != nil {
--- a/internal/standin/fleet/names_test.go
+++ b/internal/standin/fleet/names_test.go
@@ -13,9 +13,9 @@
 	t.Cleanup(first.Close)
 	t.Cleanup(second.Close)
 	for range 3 {
-		_, err := first.Add(DeskService, "", Behaviour{})
+		_, err := first.Add(DeskService, "", Behavior{})
 		require.NoError(t, err)
-		_, err = second.Add(DeskService, "", Behaviour{})
+		_, err = second.Add(DeskService, "", Behavior{})
 		require.NoError(t, err)
 	}
 	seen := make(map[string]bool)
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -50,7 +50,7 @@
 	// copies are runs' memories that were moved here or stay after a stop, by
 	// handle.
 	copies map[string]string
-	behave Behaviour
+	behave Behavior
 	state  string
 	// coldUntil is when the server is warm.
 	coldUntil time.Time
@@ -63,8 +63,8 @@
 	waiting atomic.Int64
 }
 
-// Behaviour is how a server answers.
-type Behaviour struct {
+// Behavior is how a server answers.
+type Behavior struct {
 	// Delay is the time before an answer's head.
 	Delay time.Duration
 	// Status replaces 200.
@@ -88,7 +88,7 @@
 
 // endless is the behaviour towards a request that is not answered whole before the server
 // ends under it.
-func (b Behaviour) endless() Behaviour {
+func (b Behavior) endless() Behavior {
 	if b.Events > 0 {
 		b.Events = math.MaxInt
 	} else {
@@ -107,7 +107,7 @@
 func (u *run) halt() { u.once.Do(func() { close(u.stop) }) }
 
 // newServer starts a server and announces it.
-func newServer(f *Fleet, service, zone, id string, b Behaviour) (*Server, error) {
+func newServer(f *Fleet, service, zone, id string, b Behavior) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 }
 
 // SetBehaviour changes how the server answers from now on.
-func (s *Server) SetBehaviour(b Behaviour) {
+func (s *Server) SetBehaviour(b Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behave = b
@@ -289,7 +289,7 @@
 	s.arrived = append(s.arrived, Arrival{ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), At: time.Now()})
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behaviour, from int) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behavior, from int) {
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
 	select {
@@ -311,7 +311,7 @@
 	s.stream(w, r, b, from)
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, b Behaviour, from int) {
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, b Behavior, from int) {
 	id := r.Header.Get("X-Kingcupplank-Attempt-Id")
 	if backup := s.peers(r.Header.Get("X-Kingcupplank-Kv-Backup")); backup != nil {
 		backup.keep(id)
