--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -87,7 +87,7 @@
 	}
 	pressAll(nodes, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
-		srv.SetBehaviour(fleet.Behavior{Says: fleet.NamesLimit(limit)})
+		srv.SetBehavior(fleet.Behavior{Says: fleet.NamesLimit(limit)})
 	}
 	named := time.Now()
 	_, refused := pressAll(nodes, 1, limitWindow+time.Second, plain(fleet.OncePath))
@@ -120,10 +120,10 @@
 		}
 		t.Fatalf("not known to all within %v", knownWithin)
 	}
-	srv.SetBehaviour(fleet.Behavior{Says: fleet.NamesLimit(20)})
+	srv.SetBehavior(fleet.Behavior{Says: fleet.NamesLimit(20)})
 	require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OncePath)).status)
 	know(1)
-	srv.SetBehaviour(fleet.Behavior{})
+	srv.SetBehavior(fleet.Behavior{})
 	nodes[0].eventually(func() bool {
 		nodes[0].do(plain(fleet.OncePath))
 		return nodes[0].registry.CountRateLimited() == 0
@@ -193,7 +193,7 @@
 			require.False(t, a.At.Sub(turned) < rest, "asked again %v after it was turned away", a.At.Sub(turned))
 		}
 	}
-	tired.SetBehaviour(fleet.Behavior{})
+	tired.SetBehavior(fleet.Behavior{})
 	served := len(tired.Seen())
 	ask(t, nodes, rest, plain(fleet.OncePath))
 	require.Greater(t, len(tired.Seen()), served, "used again")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -269,7 +269,7 @@
 	require.Eventually(t, func() bool { return engine.Running() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
 	n.eventually(func() bool { return n.relay.InProgress() == 0 }, "ended")
 
-	engine.SetBehaviour(fleet.Behavior{Delay: time.Minute})
+	engine.SetBehavior(fleet.Behavior{Delay: time.Minute})
 	c = n.dial()
 	c.send(generation(fleet.PlanPath))
 	n.eventually(func() bool { return engine.Waiting() == 1 }, "waiting")
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -175,7 +175,7 @@
 		require.Equal(t, content, quarantined{n.group.suspects}.Held()[0].Content)
 	}
 	for _, srv := range s.fleet.Servers() {
-		srv.SetBehaviour(fleet.Behavior{Events: 3})
+		srv.SetBehavior(fleet.Behavior{Events: 3})
 	}
 	require.False(t, quarantined{nodes[0].group.suspects}.Lift("no such content"))
 	require.True(t, quarantined{nodes[0].group.suspects}.Lift(content))
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -246,8 +246,8 @@
 	if srv == nil {
 		return "nothing to fill", nil
 	}
-	srv.SetBehaviour(fleet.Behavior{Full: true})
-	return "full " + srv.ID, func() { srv.SetBehaviour(fleet.Behavior{}) }
+	srv.SetBehavior(fleet.Behavior{Full: true})
+	return "full " + srv.ID, func() { srv.SetBehavior(fleet.Behavior{}) }
 }
 
 // drill has the store be away for a moment and come back from a copy of some time before;
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -159,8 +159,8 @@
 	s.announce()
 }
 
-// SetBehaviour changes how the server answers from now on.
-func (s *Server) SetBehaviour(b Behavior) {
+// SetBehavior changes how the server answers from now on.
+func (s *Server) SetBehavior(b Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behave = b
