--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Seen is a request as a server got it.
-type Seen struct {
+// Execution is a request as a server got it.
+type Execution struct {
 	ID, Method, Target, Body string
 	Header                   http.Header
 	At                       time.Time
@@ -44,7 +44,7 @@
 
 	mu sync.Mutex
 	// seen are the requests that it ran, arrived all that were sent to it.
-	seen    []Seen
+	seen    []Execution
 	arrived []Arrival
 	runs    map[string]*run
 	// copies are runs' memories that were moved here or stay after a stop, by
@@ -210,10 +210,10 @@
 }
 
 // Seen lists the requests that the server ran.
-func (s *Server) Seen() []Seen {
+func (s *Server) Seen() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Seen(nil), s.seen...)
+	return append([]Execution(nil), s.seen...)
 }
 
 // Arrived lists the requests that reached the server, but for those meant for another one.
@@ -263,7 +263,7 @@
 	}
 	fmt.Sscan(r.Header.Get("Last-Event-Id"), &from)
 	s.mu.Lock()
-	s.seen = append(s.seen, Seen{
+	s.seen = append(s.seen, Execution{
 		ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), Method: r.Method, Target: r.RequestURI,
 		Body: string(body), Header: r.Header.Clone(), At: time.Now(), Continued: r.Header.Get("Kv-From") != "",
 	})
