--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -194,7 +194,7 @@
 		}
 	}
 	tired.SetBehavior(fleet.Behavior{})
-	served := len(tired.Seen())
+	served := len(tired.Executions())
 	ask(t, nodes, rest, plain(fleet.OncePath))
-	require.Greater(t, len(tired.Seen()), served, "used again")
+	require.Greater(t, len(tired.Executions()), served, "used again")
 }
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -66,7 +66,7 @@
 func requireNone(t *testing.T, servers []*fleet.Server, since time.Time) {
 	t.Helper()
 	for _, srv := range servers {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			require.False(t, seen.At.After(since), "%s got %s %v after the bound", srv.ID, seen.Target, seen.At.Sub(since))
 		}
 	}
@@ -75,7 +75,7 @@
 func requireUsed(t *testing.T, servers []*fleet.Server, since time.Time) {
 	t.Helper()
 	for _, srv := range servers {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if seen.At.After(since) {
 				return
 			}
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -73,10 +73,10 @@
 		s.fleet.Store.Put("other", "row", 1)
 	}
 	joined := s.server(fleet.DeskService, fleet.Behavior{})
-	n.eventually(func() bool { n.status(fleet.Key); return len(joined.Seen()) > 0 }, "the server that joined")
+	n.eventually(func() bool { n.status(fleet.Key); return len(joined.Executions()) > 0 }, "the server that joined")
 	gone.Leave()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has gone")
-	seen := len(gone.Seen())
+	seen := len(gone.Executions())
 	s.restore(c)
 	time.AfterFunc(time.Second, func() {
 		gone.Leave()
@@ -85,7 +85,7 @@
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(10 * time.Millisecond) {
 		require.Equal(t, http.StatusOK, n.status(fleet.Key))
 	}
-	require.Equal(t, seen, len(gone.Seen()), "sent to a server that has gone")
+	require.Equal(t, seen, len(gone.Executions()), "sent to a server that has gone")
 }
 
 // What gateways write themselves is gone with the store's last seconds: the rows by which
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -28,7 +28,7 @@
 	require.Equal(t, http.StatusOK, r.status)
 	require.Equal(t, "answer of "+desk.ID, r.body)
 	require.Equal(t, "seal-"+desk.ID, r.header.Get("X-Kingcupplank-Response-Seal"))
-	seen := desk.Seen()
+	seen := desk.Executions()
 	last := seen[len(seen)-1]
 	require.Equal(t, fleet.SafePath+"?q=%2F1", last.Target)
 	require.Equal(t, "b", last.Body)
@@ -41,7 +41,7 @@
 	r = n.do(generation(fleet.PlanPath))
 	require.NoError(t, r.err)
 	require.Equal(t, events(1, 3), r.body)
-	require.Equal(t, "m", engine.Seen()[0].Header.Get("X-Kingcupplank-Model-Id"))
+	require.Equal(t, "m", engine.Executions()[0].Header.Get("X-Kingcupplank-Model-Id"))
 }
 
 // What a caller may not set must not reach a server: it would reserve, pin or
@@ -56,7 +56,7 @@
 		r = r.with(name, "forged")
 	}
 	n.eventually(func() bool { return n.do(r).status == http.StatusOK }, "served")
-	h := engine.Seen()[0].Header
+	h := engine.Executions()[0].Header
 	for _, name := range forged {
 		require.Empty(t, h.Get(name), name)
 	}
@@ -108,8 +108,8 @@
 	require.NoError(t, r.err)
 	require.Equal(t, events(1, b.Events), r.body)
 	require.Equal(t, "seal-"+first.ID, r.header.Get("X-Kingcupplank-Response-Seal"))
-	require.Len(t, second.Seen(), 1)
-	require.NotEmpty(t, second.Seen()[0].Header.Get("Kv-From"))
+	require.Len(t, second.Executions(), 1)
+	require.NotEmpty(t, second.Executions()[0].Header.Get("Kv-From"))
 }
 
 // The same while the store is away: nobody says that the engine is leaving but the
@@ -149,8 +149,8 @@
 	for range 20 {
 		require.Equal(t, "answer of "+c.ID, n.do(plain(fleet.OncePath)).body)
 	}
-	require.Empty(t, a.Seen())
-	require.Empty(t, b.Seen())
+	require.Empty(t, a.Executions())
+	require.Empty(t, b.Executions())
 }
 
 // The store drops its history while a gateway cannot reach it, and servers leave
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -33,7 +33,9 @@
 	parted := s.server(fleet.DeskService, b)
 	s.server(fleet.DeskService, b)
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(parted.Seen()) > 0 }, "both serve")
+	n.eventually(func() bool {
+		return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(parted.Executions()) > 0
+	}, "both serve")
 	proxies[0].Set(soak.Silent)
 	for range 5 {
 		a := n.do(plain(fleet.OncePath))
@@ -51,19 +53,19 @@
 	}
 	require.LessOrEqual(t, lost, 3)
 	proxies[0].Set(soak.Pass)
-	seen := len(parted.Seen())
+	seen := len(parted.Executions())
 	// A server that has failed is tried again when the others have their hands full.
 	var callers sync.WaitGroup
 	until := time.Now().Add(8 * time.Second)
 	for range crowd {
 		callers.Go(func() {
-			for time.Now().Before(until) && len(parted.Seen()) < seen+crowd {
+			for time.Now().Before(until) && len(parted.Executions()) < seen+crowd {
 				n.do(plain(fleet.SafePath))
 			}
 		})
 	}
 	callers.Wait()
-	require.GreaterOrEqual(t, len(parted.Seen()), seen+crowd, "not used again")
+	require.GreaterOrEqual(t, len(parted.Executions()), seen+crowd, "not used again")
 }
 
 // crowd is how many callers ask at once: more than one server answers at a time.
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -64,7 +64,7 @@
 // reached lists when servers got requests whose body has a text.
 func (s *system) reached(text string) (at []time.Time) {
 	for _, srv := range s.fleet.Servers() {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if strings.Contains(seen.Body, text) {
 				at = append(at, seen.At)
 			}
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -27,7 +27,7 @@
 	begun := time.Now()
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 	require.Less(t, time.Since(begun), time.Second)
-	require.NotEmpty(t, again.Seen())
+	require.NotEmpty(t, again.Executions())
 }
 
 // A server falls silent behind a cut and starts again under its id. Its stream brings
@@ -60,9 +60,9 @@
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Store.PutBytes("servers", desk.ID, []byte(`{"service":"desk","state":"gone fishing"}`))
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusServiceUnavailable }, "refused")
-	seen := len(desk.Seen())
+	seen := len(desk.Executions())
 	require.Equal(t, http.StatusServiceUnavailable, n.do(plain(fleet.OncePath)).status)
-	require.Len(t, desk.Seen(), seen)
+	require.Len(t, desk.Executions(), seen)
 	desk.Heartbeat()
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 }
--- a/internal/soak/emptied.go
+++ b/internal/soak/emptied.go
@@ -34,7 +34,7 @@
 		if srv.Zone != emptiedZone {
 			continue
 		}
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if late := seen.At.Sub(asked); late > emptyBound {
 				faults = append(faults, fmt.Sprintf("%s got %s %v after its zone was emptied", srv.ID, seen.ID, late))
 			}
--- a/internal/soak/harmful.go
+++ b/internal/soak/harmful.go
@@ -54,7 +54,7 @@
 	for _, body := range bodies {
 		var at []time.Time
 		for _, srv := range servers {
-			for _, seen := range srv.Seen() {
+			for _, seen := range srv.Executions() {
 				if seen.Body == body {
 					at = append(at, seen.At)
 				}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -56,7 +56,7 @@
 	defer h.mu.Unlock()
 	ran := make(map[string]*runs)
 	for _, s := range servers {
-		for _, seen := range s.Seen() {
+		for _, seen := range s.Executions() {
 			r := ran[seen.ID]
 			if r == nil {
 				r = &runs{}
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -209,8 +209,8 @@
 	s.listener.Close()
 }
 
-// Seen lists the requests that the server ran.
-func (s *Server) Seen() []Execution {
+// Executions lists the requests that the server ran.
+func (s *Server) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Execution(nil), s.seen...)
