--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -63,7 +63,7 @@
 				ran[seen.ID] = r
 			}
 			r.servers = append(r.servers, s.ID)
-			if !seen.Continued {
+			if !seen.FromCopy {
 				r.begun++
 			}
 		}
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -18,8 +18,8 @@
 	ID, Method, Target, Body string
 	Header                   http.Header
 	At                       time.Time
-	// Continued says that the request went on from a copy of its run.
-	Continued bool
+	// FromCopy says that the request went on from a copy of its run.
+	FromCopy bool
 }
 
 // Arrival is a request that reached a server, whether it ran or was refused.
@@ -265,7 +265,7 @@
 	s.mu.Lock()
 	s.seen = append(s.seen, Execution{
 		ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), Method: r.Method, Target: r.RequestURI,
-		Body: string(body), Header: r.Header.Clone(), At: time.Now(), Continued: r.Header.Get("Kv-From") != "",
+		Body: string(body), Header: r.Header.Clone(), At: time.Now(), FromCopy: r.Header.Get("Kv-From") != "",
 	})
 	s.mu.Unlock()
 	if b.Raw != nil {
