--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -56,7 +56,7 @@
 // mostIn is the most that reached a server in any span of limitWindow from a time on.
 func mostIn(srv *fleet.Server, from time.Time) (most int) {
 	var at []time.Time
-	for _, a := range srv.Arrived() {
+	for _, a := range srv.Arrivals() {
 		if !a.At.Before(from) {
 			at = append(at, a.At)
 		}
@@ -133,7 +133,7 @@
 
 // sentAfter counts what reached a server from a time on.
 func sentAfter(srv *fleet.Server, from time.Time) (n int) {
-	for _, a := range srv.Arrived() {
+	for _, a := range srv.Arrivals() {
 		if a.At.After(from) {
 			n++
 		}
@@ -155,10 +155,10 @@
 	}
 	s.fleet.Store.SetFault(fleet.Reset)
 	leaves.Say(fleet.SaysLeaving())
-	before := len(leaves.Arrived())
+	before := len(leaves.Arrivals())
 	nodes[0].eventually(func() bool {
 		require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OpenPath)).status)
-		return len(leaves.Arrived()) > before
+		return len(leaves.Arrivals()) > before
 	}, "asked")
 	told := time.Now()
 	ask(t, nodes[:1], knownWithin, plain(fleet.OpenPath))
@@ -182,14 +182,14 @@
 	for i, n := range nodes {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 		c := plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", fmt.Sprint("of vm-", i+1))
-		before := len(tired.Arrived())
+		before := len(tired.Arrivals())
 		n.eventually(func() bool {
 			require.Equal(t, http.StatusOK, n.do(c).status)
-			return len(tired.Arrived()) > before
+			return len(tired.Arrivals()) > before
 		}, "turned away")
-		turned := tired.Arrived()[before].At
+		turned := tired.Arrivals()[before].At
 		ask(t, []*node{n}, rest-time.Since(turned)-100*time.Millisecond, c)
-		for _, a := range tired.Arrived()[before+1:] {
+		for _, a := range tired.Arrivals()[before+1:] {
 			require.False(t, a.At.Sub(turned) < rest, "asked again %v after it was turned away", a.At.Sub(turned))
 		}
 	}
--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -88,10 +88,10 @@
 	if got, most := mostIn(limited, named.Add(adviceBound)), 1.5*calmLimit*limitWindow.Seconds()+5; float64(got) > most {
 		faults = append(faults, fmt.Sprintf("%s names a limit of %v a second and got %d requests in %v", limited.ID, calmLimit, got, limitWindow))
 	}
-	if len(leaving.Arrived()) == 0 {
+	if len(leaving.Arrivals()) == 0 {
 		faults = append(faults, leaving.ID+" was never asked")
 	}
-	for _, a := range leaving.Arrived() {
+	for _, a := range leaving.Arrivals() {
 		// A gateway that starts again knows nothing at first.
 		if late := a.At.Sub(named); late > adviceBound && via[a.ID] != victim {
 			faults = append(faults, fmt.Sprintf("%s got %s %v after it said that it was leaving", leaving.ID, a.ID, late))
@@ -104,7 +104,7 @@
 // rest that it was asked for.
 func checkRest(tired *fleet.Server, via map[string]*gateway, restarted *gateway) (faults []string) {
 	turned := make(map[*gateway]time.Time)
-	for _, a := range tired.Arrived() {
+	for _, a := range tired.Arrivals() {
 		g := via[a.ID]
 		if g == nil || g == restarted {
 			continue
@@ -138,7 +138,7 @@
 
 // mostIn is the most that reached a server in any limitWindow from a time on.
 func mostIn(srv *fleet.Server, from time.Time) (most int) {
-	at := slices.DeleteFunc(srv.Arrived(), func(a fleet.Arrival) bool { return a.At.Before(from) })
+	at := slices.DeleteFunc(srv.Arrivals(), func(a fleet.Arrival) bool { return a.At.Before(from) })
 	for first, i := 0, 0; i < len(at); i++ {
 		for at[i].At.Sub(at[first].At) >= limitWindow {
 			first++
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -216,8 +216,8 @@
 	return append([]Execution(nil), s.seen...)
 }
 
-// Arrived lists the requests that reached the server, but for those meant for another one.
-func (s *Server) Arrived() []Arrival {
+// Arrivals lists the requests that reached the server, but for those meant for another one.
+func (s *Server) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Arrival(nil), s.arrived...)
