--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -138,7 +138,7 @@
 	}
 	s := &Server{
 		ID: old.ID, Service: old.Service, Address: old.Address, Zone: old.Zone, behave: old.behave,
-		Born: max(time.Now().UnixMilli(), old.Born+1),
+		StartTime: max(time.Now().UnixMilli(), old.StartTime+1),
 	}
 	f.mu.Lock()
 	f.servers = append(f.servers, s)
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -31,8 +31,8 @@
 // Server is a backend server: a plain service, or a model engine if Events is set.
 type Server struct {
 	ID, Service, Address, Zone string
-	// Born is the Unix millisecond of its start.
-	Born int64
+	// StartTime is the Unix millisecond of its start.
+	StartTime int64
 
 	store    *Store
 	http     *http.Server
@@ -119,7 +119,7 @@
 			return nil, err
 		}
 	}
-	s := &Server{ID: id, Service: service, Address: address, Zone: zone, Born: time.Now().UnixMilli(), behave: b}
+	s := &Server{ID: id, Service: service, Address: address, Zone: zone, StartTime: time.Now().UnixMilli(), behave: b}
 	s.serve(f, l)
 	return s, nil
 }
@@ -147,7 +147,7 @@
 	s.mu.Unlock()
 	s.store.Put("servers", s.ID, map[string]any{
 		"service": s.Service, "address": s.Address, "zone": s.Zone, "version": "v1", "slots": 8,
-		"state": state, "coldRemainingMs": cold.Milliseconds(), "sequence": 1, "born": s.Born,
+		"state": state, "coldRemainingMs": cold.Milliseconds(), "sequence": 1, "born": s.StartTime,
 	})
 }
 
