--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -289,7 +289,7 @@
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
 		if srv.Zone == emptiedZone && !s.leaving[srv] {
-			srv.Chill(emptyFor)
+			srv.SetColdFor(emptyFor)
 		}
 	}
 	return "chill " + emptiedZone, nil
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -151,8 +151,8 @@
 	})
 }
 
-// Chill makes the server cold for some time from now on; its entry says so.
-func (s *Server) Chill(d time.Duration) {
+// SetColdFor makes the server cold for some time from now on; its entry says so.
+func (s *Server) SetColdFor(d time.Duration) {
 	s.mu.Lock()
 	s.coldUntil = time.Now().Add(d)
 	s.mu.Unlock()
