--- a/internal/dev/gateway.go
+++ b/internal/dev/gateway.go
@@ -71,7 +71,7 @@
 	err := fleet.Stream(ctx, address, fleet.PlanPath, func(string) {
 		got++
 		if got == reclaimAt {
-			engine.Drain(true)
+			engine.StartDraining(true)
 			time.AfterFunc(time.Second, engine.Kill)
 		}
 	})
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -102,7 +102,7 @@
 	n.eventually(func() bool { return first.Running() == 1 }, "running")
 	second := s.server(fleet.ModelService, b)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
-	first.Drain(true)
+	first.StartDraining(true)
 	time.AfterFunc(700*time.Millisecond, first.Kill)
 	r := <-got
 	require.NoError(t, r.err)
@@ -127,7 +127,7 @@
 	s.server(fleet.ModelService, b)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
 	s.fleet.Store.SetFault(fleet.Reset)
-	first.Drain(false)
+	first.StartDraining(false)
 	time.AfterFunc(3*time.Second, first.Kill)
 	r := <-got
 	require.NoError(t, r.err)
@@ -143,7 +143,7 @@
 	c := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
-	a.Drain(true)
+	a.StartDraining(true)
 	b.Leave()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "left")
 	for range 20 {
@@ -163,7 +163,7 @@
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 	n.door.SetFault(fleet.Busy)
 	time.Sleep(1500 * time.Millisecond)
-	a.Drain(true)
+	a.StartDraining(true)
 	s.fleet.Store.Compact()
 	n.door.SetFault(fleet.Sound)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "seen")
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -144,7 +144,7 @@
 	s.fleet.Store.SetFault(fleet.Busy)
 	nodes[0].eventually(nodes[0].directory.IsUnavailable, "the store is away")
 	left := time.Now()
-	engine.Drain(true)
+	engine.StartDraining(true)
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 0 }, "told")
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -98,7 +98,7 @@
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	}
 	begun := time.Now()
-	leaving.Drain(true)
+	leaving.StartDraining(true)
 	s.fleet.Configure("another key")
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "left")
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -146,7 +146,7 @@
 	if srv == nil {
 		return "nothing to reclaim", nil
 	}
-	srv.Drain(true)
+	srv.StartDraining(true)
 	return "reclaim " + srv.ID, func() {
 		time.Sleep(notice)
 		srv.Kill()
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -166,8 +166,8 @@
 	s.behave = b
 }
 
-// Drain says that the server is leaving; told says whether its entry does.
-func (s *Server) Drain(told bool) {
+// StartDraining says that the server is leaving; told says whether its entry does.
+func (s *Server) StartDraining(told bool) {
 	s.mu.Lock()
 	s.state = "draining"
 	s.mu.Unlock()
