--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -74,12 +74,12 @@
 	}
 	joined := s.server(fleet.DeskService, fleet.Behavior{})
 	n.eventually(func() bool { n.status(fleet.Key); return len(joined.Executions()) > 0 }, "the server that joined")
-	gone.Leave()
+	gone.RemoveEntry()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has gone")
 	seen := len(gone.Executions())
 	s.restore(c)
 	time.AfterFunc(time.Second, func() {
-		gone.Leave()
+		gone.RemoveEntry()
 		joined.Heartbeat()
 	})
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(10 * time.Millisecond) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -144,7 +144,7 @@
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	a.StartDraining(true)
-	b.Leave()
+	b.RemoveEntry()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "left")
 	for range 20 {
 		require.Equal(t, "answer of "+c.ID, n.do(plain(fleet.OncePath)).body)
@@ -179,7 +179,7 @@
 	n.eventually(func() bool { return n.do(plain(fleet.OpenPath)).status == http.StatusOK }, "served")
 	s.fleet.Store.SetFault(fleet.Busy)
 	time.Sleep(3 * time.Second)
-	a.Leave()
+	a.RemoveEntry()
 	s.fleet.Store.SetFault(fleet.Sound)
 	n.eventually(n.isReady, "ready again")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -41,7 +41,7 @@
 	srv.Say(fleet.SaysLeaving())
 	return srv.ID + " says that it is leaving", func() {
 		srv.Kill()
-		srv.Leave()
+		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -150,7 +150,7 @@
 	return "reclaim " + srv.ID, func() {
 		time.Sleep(notice)
 		srv.Kill()
-		srv.Leave()
+		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
@@ -164,7 +164,7 @@
 	srv.Kill()
 	s.ended(srv)
 	return "crash " + srv.ID, func() {
-		srv.Leave()
+		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -86,7 +86,7 @@
 	}
 	time.AfterFunc(f.LapsesAfter, func() {
 		if !f.isClosed() {
-			s.Leave()
+			s.RemoveEntry()
 		}
 	})
 	time.AfterFunc(f.BackAfter, func() {
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -179,8 +179,8 @@
 // Heartbeat writes the server's entry anew.
 func (s *Server) Heartbeat() { s.announce() }
 
-// Leave drops the server's entry, without another word.
-func (s *Server) Leave() {
+// RemoveEntry drops the server's entry, without another word.
+func (s *Server) RemoveEntry() {
 	s.left.Store(true)
 	s.store.Remove("servers", s.ID)
 }
