--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -40,7 +40,7 @@
 	done := make(chan reply, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
-	engine.Darken()
+	engine.Hang()
 	_, err := s.fleet.Restart(engine)
 	require.NoError(t, err)
 	select {
@@ -105,7 +105,7 @@
 	time.Sleep(300 * time.Millisecond)
 	for _, e := range engines {
 		if e.Running() == 1 {
-			e.Darken()
+			e.Hang()
 			break
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -178,7 +178,7 @@
 	}
 	silent := s.intN(2) == 0
 	if silent {
-		srv.Darken()
+		srv.Hang()
 	} else {
 		srv.Kill()
 	}
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -202,9 +202,9 @@
 	s.http.Close()
 }
 
-// Darken has the server fall silent: it takes no connection and brings no event, and
+// Hang has the server fall silent: it takes no connection and brings no event, and
 // the connections that it has stay open.
-func (s *Server) Darken() {
+func (s *Server) Hang() {
 	close(s.dark)
 	s.listener.Close()
 }
