--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -28,8 +28,8 @@
 // nameLimit has a server say that it takes few requests.
 func nameLimit(s *Soak, _ context.Context) (string, func()) {
 	srv, limit := s.drawServer(), float64(s.intN(40))
-	srv.Say(fleet.NamesLimit(limit))
-	return fmt.Sprintf("limit of %v a second at %s", limit, srv.ID), func() { srv.Say(nil) }
+	srv.SetHeaders(fleet.NamesLimit(limit))
+	return fmt.Sprintf("limit of %v a second at %s", limit, srv.ID), func() { srv.SetHeaders(nil) }
 }
 
 // sayLeaving has a server say in its answers only that it is leaving, and end some time later.
@@ -38,7 +38,7 @@
 	if srv == nil {
 		return "nothing to end", nil
 	}
-	srv.Say(fleet.SaysLeaving())
+	srv.SetHeaders(fleet.SaysLeaving())
 	return srv.ID + " says that it is leaving", func() {
 		srv.Kill()
 		srv.RemoveEntry()
@@ -73,8 +73,8 @@
 	}
 	limited, leaving, tired := fresh[0], fresh[1], fresh[2]
 	s.press(ctx, adviceBound)
-	limited.Say(fleet.NamesLimit(calmLimit))
-	leaving.Say(fleet.SaysLeaving())
+	limited.SetHeaders(fleet.NamesLimit(calmLimit))
+	leaving.SetHeaders(fleet.SaysLeaving())
 	tired.Tire(calmRest)
 	named := time.Now()
 	victim := s.nodes[0]
--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -22,8 +22,8 @@
 	return http.Header{limitHeader: {strconv.FormatFloat(perSecond, 'f', -1, 64)}}
 }
 
-// Say changes the headers of all answers from now on.
-func (s *Server) Say(h http.Header) {
+// SetHeaders changes the headers of all answers from now on.
+func (s *Server) SetHeaders(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behave.Says = h
