--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -49,7 +49,7 @@
 // tire has a server turn requests away and ask for rest.
 func tire(s *Soak, _ context.Context) (string, func()) {
 	srv, rest := s.drawServer(), s.duration(shortest, longest)
-	undo := srv.Tire(rest)
+	undo := srv.RejectWithBackoff(rest)
 	return fmt.Sprintf("%s asks for %v of rest", srv.ID, rest.Round(time.Millisecond)), undo
 }
 
@@ -75,7 +75,7 @@
 	s.press(ctx, adviceBound)
 	limited.SetHeaders(fleet.NamesLimit(calmLimit))
 	leaving.SetHeaders(fleet.SaysLeaving())
-	tired.Tire(calmRest)
+	tired.RejectWithBackoff(calmRest)
 	named := time.Now()
 	victim := s.nodes[0]
 	time.AfterFunc(adviceBound, func() {
--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -29,8 +29,8 @@
 	s.behave.Says = h
 }
 
-// Tire has the server turn all requests away and ask for rest, until rested is called.
-func (s *Server) Tire(rest time.Duration) (rested func()) {
+// RejectWithBackoff has the server turn all requests away and ask for rest, until rested is called.
+func (s *Server) RejectWithBackoff(rest time.Duration) (rested func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behave.Full, s.behave.Says = true, AsksForRest(rest)
