--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -26,17 +26,17 @@
 func (s *Server) SetHeaders(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave.Says = h
+	s.behave.Headers = h
 }
 
 // RejectWithBackoff has the server turn all requests away and ask for rest, until rested is called.
 func (s *Server) RejectWithBackoff(rest time.Duration) (rested func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave.Full, s.behave.Says = true, AsksForRest(rest)
+	s.behave.Full, s.behave.Headers = true, AsksForRest(rest)
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.behave.Full, s.behave.Says = false, nil
+		s.behave.Full, s.behave.Headers = false, nil
 	}
 }
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -71,8 +71,8 @@
 	Status int
 	// Full refuses everything as not run.
 	Full bool
-	// Says are headers of every answer, refusals too.
-	Says http.Header
+	// Headers are headers of every answer, refusals too.
+	Headers http.Header
 	// Events is the number of events of a stream, EventEvery the time between two.
 	Events     int
 	EventEvery time.Duration
@@ -247,7 +247,7 @@
 		return
 	}
 	s.arrive(r)
-	maps.Copy(w.Header(), b.Says)
+	maps.Copy(w.Header(), b.Headers)
 	if b.Full {
 		w.Header().Set("X-Kingcupplank-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
