--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -246,7 +246,7 @@
 	if srv == nil {
 		return "nothing to fill", nil
 	}
-	srv.SetBehavior(fleet.Behavior{Full: true})
+	srv.SetBehavior(fleet.Behavior{RejectAll: true})
 	return "full " + srv.ID, func() { srv.SetBehavior(fleet.Behavior{}) }
 }
 
--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -33,10 +33,10 @@
 func (s *Server) RejectWithBackoff(rest time.Duration) (rested func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave.Full, s.behave.Headers = true, AsksForRest(rest)
+	s.behave.RejectAll, s.behave.Headers = true, AsksForRest(rest)
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.behave.Full, s.behave.Headers = false, nil
+		s.behave.RejectAll, s.behave.Headers = false, nil
 	}
 }
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -69,8 +69,8 @@
 	Delay time.Duration
 	// Status replaces 200.
 	Status int
-	// Full refuses everything as not run.
-	Full bool
+	// RejectAll refuses everything as not run.
+	RejectAll bool
 	// Headers are headers of every answer, refusals too.
 	Headers http.Header
 	// Events is the number of events of a stream, EventEvery the time between two.
@@ -248,7 +248,7 @@
 	}
 	s.arrive(r)
 	maps.Copy(w.Header(), b.Headers)
-	if b.Full {
+	if b.RejectAll {
 		w.Header().Set("X-Kingcupplank-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
