--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -78,9 +78,9 @@
 	EventEvery time.Duration
 	// CopyTime is how long a copy of a run takes.
 	CopyTime time.Duration
-	// EndsUnder, if set, has the server end EndsAfter the first byte of its answer to a
+	// CrashOn, if set, has the server end EndsAfter the first byte of its answer to a
 	// request whose body contains it; see Fleet.End.
-	EndsUnder string
+	CrashOn   string
 	EndsAfter time.Duration
 	// Raw, if set, answers in the server's place, on the bare connection.
 	Raw func(c net.Conn, r *http.Request)
@@ -276,7 +276,7 @@
 		}
 		return
 	}
-	if b.EndsUnder != "" && strings.Contains(string(body), b.EndsUnder) {
+	if b.CrashOn != "" && strings.Contains(string(body), b.CrashOn) {
 		time.AfterFunc(b.Delay+b.EndsAfter, func() { s.end(s) })
 		b = b.endless()
 	}
