--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -30,7 +30,7 @@
 // fragile is an engine that ends under harmful requests, shortly after their first event.
 var fragile = fleet.Behavior{
 	Events: 5, EventEvery: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
-	CrashOn: harmful, EndsAfter: 50 * time.Millisecond,
+	CrashOn: harmful, CrashDelay: 50 * time.Millisecond,
 }
 
 // endings notes when engines ended under requests.
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -80,8 +80,8 @@
 	CopyTime time.Duration
 	// CrashOn, if set, has the server end EndsAfter the first byte of its answer to a
 	// request whose body contains it; see Fleet.End.
-	CrashOn   string
-	EndsAfter time.Duration
+	CrashOn    string
+	CrashDelay time.Duration
 	// Raw, if set, answers in the server's place, on the bare connection.
 	Raw func(c net.Conn, r *http.Request)
 }
@@ -277,7 +277,7 @@
 		return
 	}
 	if b.CrashOn != "" && strings.Contains(string(body), b.CrashOn) {
-		time.AfterFunc(b.Delay+b.EndsAfter, func() { s.end(s) })
+		time.AfterFunc(b.Delay+b.CrashDelay, func() { s.end(s) })
 		b = b.endless()
 	}
 	s.answer(w, r, b, from)
