--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -21,7 +21,7 @@
 	s.Group("Backend servers")
 	links := s.Int("agent-links", def.AgentLinks, 2, 10000, "most agents watched, over all models")
 	peers := s.Int("peers", def.EntryLinks, 0, 100, "other entries watched")
-	beat := s.Duration("heartbeat", def.Heartbeat, 50*time.Millisecond, time.Minute, "time between heartbeats of an agent")
+	beat := s.Duration("heartbeat", def.HeartbeatInterval, 50*time.Millisecond, time.Minute, "time between heartbeats of an agent")
 	list := s.Duration("list-every", def.ListInterval, 100*time.Millisecond, 10*time.Minute, "time between looks at the VM list")
 	accept := s.Duration("accept-timeout", def.AcceptTimeout, 10*time.Millisecond, time.Minute, "longest wait for an agent's first answer")
 	reattach := s.Duration("reattach-for", def.ReattachTimeout, 0, 10*time.Minute, "how long a lost agent is tried before its streams are moved")
@@ -31,7 +31,7 @@
 	s.MustParse()
 
 	o := app.EntryOptions{
-		CommonOptions: common(), CallerAddress: *callers, AgentLinks: *links, EntryLinks: *peers, Heartbeat: *beat,
+		CommonOptions: common(), CallerAddress: *callers, AgentLinks: *links, EntryLinks: *peers, HeartbeatInterval: *beat,
 		ListInterval: *list, AcceptTimeout: *accept, ReattachTimeout: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
 		MaxRequests: *most,
 	}
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -26,16 +26,16 @@
 // EntryOptions are the settings of an entry.
 type EntryOptions struct {
 	CommonOptions
-	CallerAddress   string
-	AgentLinks      int
-	EntryLinks      int
-	Heartbeat       time.Duration
-	ListInterval    time.Duration
-	AcceptTimeout   time.Duration
-	ReattachTimeout time.Duration
-	ClaimWindow     time.Duration
-	LeaseTTL        time.Duration
-	MaxRequests     int
+	CallerAddress     string
+	AgentLinks        int
+	EntryLinks        int
+	HeartbeatInterval time.Duration
+	ListInterval      time.Duration
+	AcceptTimeout     time.Duration
+	ReattachTimeout   time.Duration
+	ClaimWindow       time.Duration
+	LeaseTTL          time.Duration
+	MaxRequests       int
 	// Random draws for placement; nil takes the process's source.
 	Random func() uint64
 }
@@ -44,7 +44,7 @@
 // does not care about.
 func DefaultEntryOptions(c CommonOptions) EntryOptions {
 	return EntryOptions{
-		CommonOptions: c, AgentLinks: 96, EntryLinks: 4, Heartbeat: time.Second, ListInterval: 5 * time.Second,
+		CommonOptions: c, AgentLinks: 96, EntryLinks: 4, HeartbeatInterval: time.Second, ListInterval: 5 * time.Second,
 		AcceptTimeout: 2 * time.Second, ReattachTimeout: 3 * time.Second,
 		ClaimWindow: 3 * time.Millisecond, LeaseTTL: 15 * time.Second, MaxRequests: 10000,
 	}
@@ -111,7 +111,7 @@
 	}
 	err := provideAll(c, []any{
 		func(network wire.Network, s *confsync.Syncer, log logrus.FieldLogger) *link.Manager {
-			cfg := link.Config{Identity: o.Identity(), HeartbeatInterval: o.Heartbeat, DialTimeout: o.AcceptTimeout}
+			cfg := link.Config{Identity: o.Identity(), HeartbeatInterval: o.HeartbeatInterval, DialTimeout: o.AcceptTimeout}
 			return link.NewManager(cfg, network, s, log)
 		},
 		func(p Platform) *claim.Claims { return claim.New(p.Table, o.ClaimWindow) },
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -129,7 +129,7 @@
 	opts := app.DefaultEntryOptions(common(o, fmt.Sprintf("entry-%d", i), i, inner))
 	opts.CallerAddress = "127.0.0.1:0"
 	opts.AdminAddress = admin
-	opts.Heartbeat = 200 * time.Millisecond
+	opts.HeartbeatInterval = 200 * time.Millisecond
 	opts.ListInterval = time.Second
 	var log logrus.FieldLogger = app.NewLog(opts.CommonOptions)
 	s.Table.PutVM(vmlist.VM{Name: opts.Name, Address: inner, FailureDomain: opts.FailureDomain, Role: vmlist.RoleEntry})
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -98,7 +98,7 @@
 	}
 	o := app.DefaultEntryOptions(c)
 	o.CallerAddress = "127.0.0.1:0"
-	o.AgentLinks, o.Heartbeat, o.ListInterval = links, n.heartbeat, 500*time.Millisecond
+	o.AgentLinks, o.HeartbeatInterval, o.ListInterval = links, n.heartbeat, 500*time.Millisecond
 	n.table.PutVM(vmlist.VM{Name: c.Name, Address: c.InnerAddress, FailureDomain: c.FailureDomain, Role: vmlist.RoleEntry})
 	e, err := app.StartEntry(o, n.platform(), n.network, n.log)
 	if err != nil {
