--- a/internal/dev/gateway.go
+++ b/internal/dev/gateway.go
@@ -24,7 +24,7 @@
 func ShowGateway(ctx context.Context, out io.Writer, gateways int, log *logrus.Logger) error {
 	f := fleet.New()
 	defer f.Close()
-	engines := fleet.Behavior{Events: 40, EventEvery: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond}
+	engines := fleet.Behavior{Events: 40, EventInterval: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond}
 	first, err := f.Add(fleet.ModelService, gatewayDomain, engines)
 	if err != nil {
 		return err
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -60,6 +60,6 @@
 
 // A generation of 100 events, the stand-ins included.
 func BenchmarkGeneration(b *testing.B) {
-	n := underLoad(b, fleet.ModelService, fleet.Behavior{Events: 100, EventEvery: time.Millisecond})
+	n := underLoad(b, fleet.ModelService, fleet.Behavior{Events: 100, EventInterval: time.Millisecond})
 	load(b, n, generation(fleet.PlanPath))
 }
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -29,7 +29,7 @@
 		require.NoError(t, err)
 		return srv
 	}
-	short := fleet.Behavior{Events: 3, EventEvery: time.Millisecond}
+	short := fleet.Behavior{Events: 3, EventInterval: time.Millisecond}
 	for range 2 {
 		inside = append(inside, add(fleet.DeskService, emptied, fleet.Behavior{}), add(fleet.ModelService, emptied, short))
 		add(fleet.DeskService, kept, fleet.Behavior{})
@@ -196,7 +196,7 @@
 func TestStreamInAnEmptiedDomainGoesOn(t *testing.T) {
 	s := newSystem(t)
 	const events = 60
-	srv := s.server(fleet.ModelService, fleet.Behavior{Events: events, EventEvery: 20 * time.Millisecond})
+	srv := s.server(fleet.ModelService, fleet.Behavior{Events: events, EventInterval: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -139,14 +139,14 @@
 	t.Parallel()
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
-	s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
+	s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	var nodes []*node
 	for i := range 4 {
 		nodes = append(nodes, s.gateway(fmt.Sprint("vm-", i)))
 	}
 	copied := s.fleet.Store.Copy()
 	desk := s.server(fleet.DeskService, fleet.Behavior{})
-	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool {
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -203,7 +203,7 @@
 	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	c := s.fleet.Store.Copy()
-	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 150, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 150, EventInterval: 20 * time.Millisecond})
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan reply, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -14,7 +14,7 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-var slowStream = fleet.Behavior{Events: 60, EventEvery: 20 * time.Millisecond}
+var slowStream = fleet.Behavior{Events: 60, EventInterval: 20 * time.Millisecond}
 
 // Each kind of request passes, with what the server may know and nothing else.
 func TestEachKindIsServed(t *testing.T) {
@@ -259,7 +259,7 @@
 // not work on for nobody.
 func TestServerStopsWhenTheCallerLeaves(t *testing.T) {
 	s := newSystem(t)
-	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -29,7 +29,7 @@
 
 // fragile is an engine that ends under harmful requests, shortly after their first event.
 var fragile = fleet.Behavior{
-	Events: 5, EventEvery: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
+	Events: 5, EventInterval: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
 	CrashOn: harmful, CrashDelay: 50 * time.Millisecond,
 }
 
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -132,7 +132,7 @@
 func TestReportOfALeavingServerReachesAll(t *testing.T) {
 	s := newSystem(t)
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	for _, n := range nodes {
 		n.eventually(func() bool {
 			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.ModelService) == 1
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -35,7 +35,7 @@
 // answer ends within a second instead of at the end of the connection's probes.
 func TestStreamOfASilentEarlierLifeEnds(t *testing.T) {
 	s := newSystem(t)
-	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	done := make(chan reply, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
@@ -71,7 +71,7 @@
 // engine that its memory was sent to, and nothing twice.
 func TestLongAnswerOutlivesAKilledEngine(t *testing.T) {
 	s := newSystem(t)
-	b := fleet.Behavior{Events: 60, EventEvery: 20 * time.Millisecond}
+	b := fleet.Behavior{Events: 60, EventInterval: 20 * time.Millisecond}
 	engines := []*fleet.Server{s.server(fleet.ModelService, b), s.server(fleet.ModelService, b)}
 	n := s.gateway("vm-1")
 	done := make(chan reply, 1)
@@ -96,7 +96,7 @@
 // caller gets the rest from the engine with the standing copy, long before it would leave.
 func TestLongAnswerOutlivesASilentEngine(t *testing.T) {
 	s := newSystem(t)
-	b := fleet.Behavior{Events: 60, EventEvery: 20 * time.Millisecond}
+	b := fleet.Behavior{Events: 60, EventInterval: 20 * time.Millisecond}
 	engines := []*fleet.Server{s.server(fleet.ModelService, b), s.server(fleet.ModelService, b)}
 	n := s.gateway("vm-1")
 	begun := time.Now()
--- a/internal/proof/gateway_process_test.go
+++ b/internal/proof/gateway_process_test.go
@@ -56,7 +56,7 @@
 	_, err := f.Add(fleet.DeskService, "zone-1", fleet.Behavior{})
 	require.NoError(t, err)
 	const count = 50
-	_, err = f.Add(fleet.ModelService, "zone-1", fleet.Behavior{Events: count, EventEvery: 20 * time.Millisecond})
+	_, err = f.Add(fleet.ModelService, "zone-1", fleet.Behavior{Events: count, EventInterval: 20 * time.Millisecond})
 	require.NoError(t, err)
 	g := startGatewayProcess(t, f)
 	require.Eventually(t, func() bool { return g.served(t.Context()) }, 10*time.Second, 20*time.Millisecond)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -178,7 +178,7 @@
 func (s *Soak) addIn(service, zone string) (*fleet.Server, error) {
 	b := fleet.Behavior{}
 	if service == fleet.ModelService {
-		b = fleet.Behavior{Events: streamEvents, EventEvery: eventEvery, CopyTime: copyTime, CrashOn: harmfulBody, CrashDelay: endsAfter}
+		b = fleet.Behavior{Events: streamEvents, EventInterval: eventEvery, CopyTime: copyTime, CrashOn: harmfulBody, CrashDelay: endsAfter}
 	}
 	srv, err := s.fleet.Add(service, zone, b)
 	if err != nil {
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -74,8 +74,8 @@
 	// Headers are headers of every answer, refusals too.
 	Headers http.Header
 	// Events is the number of events of a stream, EventEvery the time between two.
-	Events     int
-	EventEvery time.Duration
+	Events        int
+	EventInterval time.Duration
 	// CopyTime is how long a copy of a run takes.
 	CopyTime time.Duration
 	// CrashOn, if set, has the server end EndsAfter the first byte of its answer to a
@@ -345,7 +345,7 @@
 			return
 		case <-r.Context().Done():
 			return
-		case <-time.After(b.EventEvery):
+		case <-time.After(b.EventInterval):
 		}
 	}
 }
