--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -74,9 +74,9 @@
 	f.Store.Close()
 }
 
-// End ends a server as by a fault of its own: its process is gone at once, its entry lapses,
+// Crash ends a server as by a fault of its own: its process is gone at once, its entry lapses,
 // and a new one of its kind starts some time later.
-func (f *Fleet) End(s *Server) {
+func (f *Fleet) Crash(s *Server) {
 	if s.stopped.Load() {
 		return
 	}
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -126,7 +126,7 @@
 
 // serve begins a life of the server: it knows of no run and no copy.
 func (s *Server) serve(f *Fleet, l net.Listener) {
-	s.store, s.listener, s.peers, s.end = f.Store, l, f.byAddress, f.End
+	s.store, s.listener, s.peers, s.end = f.Store, l, f.byAddress, f.Crash
 	s.runs, s.copies = make(map[string]*run), make(map[string]string)
 	s.state, s.dark = "ready", make(chan struct{})
 	mux := http.NewServeMux()
