--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -54,7 +54,7 @@
 // fragileEngines starts engines that end under harmful requests.
 func (s *system) fragileEngines(n int) *endings {
 	e := &endings{}
-	s.fleet.Ended = e.note
+	s.fleet.OnCrash = e.note
 	for range n {
 		s.server(fleet.ModelService, fragile)
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -33,8 +33,8 @@
 	// BackAfter is how long after an end by a fault of its own a server's place is taken
 	// by a new one, LapsesAfter how long its entry stays.
 	BackAfter, LapsesAfter time.Duration
-	// Ended, if set, is told of such an end, Began of the new server.
-	Ended, Began func(*Server)
+	// OnCrash, if set, is told of such an end, Began of the new server.
+	OnCrash, Began func(*Server)
 
 	mu      sync.Mutex
 	closed  bool
@@ -81,8 +81,8 @@
 		return
 	}
 	s.Kill()
-	if f.Ended != nil {
-		f.Ended(s)
+	if f.OnCrash != nil {
+		f.OnCrash(s)
 	}
 	time.AfterFunc(f.LapsesAfter, func() {
 		if !f.isClosed() {
