--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -33,8 +33,8 @@
 	// BackAfter is how long after an end by a fault of its own a server's place is taken
 	// by a new one, LapsesAfter how long its entry stays.
 	BackAfter, LapsesAfter time.Duration
-	// OnCrash, if set, is told of such an end, Began of the new server.
-	OnCrash, Began func(*Server)
+	// OnCrash, if set, is told of such an end, OnReplacement of the new server.
+	OnCrash, OnReplacement func(*Server)
 
 	mu      sync.Mutex
 	closed  bool
@@ -97,8 +97,8 @@
 		b := s.behave
 		s.mu.Unlock()
 		again, err := f.Add(s.Service, s.Zone, b)
-		if err == nil && f.Began != nil {
-			f.Began(again)
+		if err == nil && f.OnReplacement != nil {
+			f.OnReplacement(again)
 		}
 	})
 }
