--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -21,7 +21,7 @@
 func TestServerBehindAPartitionCostsFewRequests(t *testing.T) {
 	s := newSystem(t)
 	var proxies []*soak.Proxy
-	s.fleet.Via = func(address string) (string, error) {
+	s.fleet.AddProxy = func(address string) (string, error) {
 		p, err := soak.NewProxy(address)
 		if err == nil {
 			proxies = append(proxies, p)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -126,7 +126,7 @@
 }
 
 func (s *Soak) start() error {
-	s.fleet.Via, s.fleet.OnCrash, s.fleet.OnReplacement = s.via, s.ended, s.began
+	s.fleet.AddProxy, s.fleet.OnCrash, s.fleet.OnReplacement = s.via, s.ended, s.began
 	for range 3 {
 		if _, err := s.add(fleet.ModelService); err != nil {
 			return err
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -26,9 +26,9 @@
 // Fleet is a small platform: a store, servers and an operator.
 type Fleet struct {
 	Store *Store
-	// Via, if set, puts something in front of a new server and returns the address
+	// AddProxy, if set, puts something in front of a new server and returns the address
 	// that the server announces.
-	Via func(address string) (string, error)
+	AddProxy func(address string) (string, error)
 
 	// BackAfter is how long after an end by a fault of its own a server's place is taken
 	// by a new one, LapsesAfter how long its entry stays.
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -113,8 +113,8 @@
 		return nil, err
 	}
 	address := l.Addr().String()
-	if f.Via != nil {
-		if address, err = f.Via(address); err != nil {
+	if f.AddProxy != nil {
+		if address, err = f.AddProxy(address); err != nil {
 			l.Close()
 			return nil, err
 		}
