--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -214,7 +214,7 @@
 	sent, served := 0, 0
 	for i, begun := 0, time.Now(); time.Since(begun) < 10*time.Second; i++ {
 		at := ends.times()
-		counts := len(at) >= 3 && time.Since(at[2]) > s.fleet.BackAfter+toldWithin
+		counts := len(at) >= 3 && time.Since(at[2]) > s.fleet.ReplacementDelay+toldWithin
 		wg.Go(func() {
 			ok := nodes[i%3].generate(fleet.CheckPath, fmt.Sprint("own-", i)) == http.StatusOK
 			mu.Lock()
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -30,9 +30,9 @@
 	// that the server announces.
 	AddProxy func(address string) (string, error)
 
-	// BackAfter is how long after an end by a fault of its own a server's place is taken
+	// ReplacementDelay is how long after an end by a fault of its own a server's place is taken
 	// by a new one, LapsesAfter how long its entry stays.
-	BackAfter, LapsesAfter time.Duration
+	ReplacementDelay, LapsesAfter time.Duration
 	// OnCrash, if set, is told of such an end, OnReplacement of the new server.
 	OnCrash, OnReplacement func(*Server)
 
@@ -58,7 +58,7 @@
 
 // New starts a platform without servers, with the standard configuration.
 func New() *Fleet {
-	f := &Fleet{Store: NewStore(), cordoned: make(map[string]bool), timeoutMs: 1500, BackAfter: 2 * time.Second, LapsesAfter: 3 * time.Second}
+	f := &Fleet{Store: NewStore(), cordoned: make(map[string]bool), timeoutMs: 1500, ReplacementDelay: 2 * time.Second, LapsesAfter: 3 * time.Second}
 	f.Configure(Key)
 	return f
 }
@@ -89,7 +89,7 @@
 			s.RemoveEntry()
 		}
 	})
-	time.AfterFunc(f.BackAfter, func() {
+	time.AfterFunc(f.ReplacementDelay, func() {
 		if f.isClosed() {
 			return
 		}
