--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -31,8 +31,8 @@
 	AddProxy func(address string) (string, error)
 
 	// ReplacementDelay is how long after an end by a fault of its own a server's place is taken
-	// by a new one, LapsesAfter how long its entry stays.
-	ReplacementDelay, LapsesAfter time.Duration
+	// by a new one, EntryExpiryDelay how long its entry stays.
+	ReplacementDelay, EntryExpiryDelay time.Duration
 	// OnCrash, if set, is told of such an end, OnReplacement of the new server.
 	OnCrash, OnReplacement func(*Server)
 
@@ -58,7 +58,7 @@
 
 // New starts a platform without servers, with the standard configuration.
 func New() *Fleet {
-	f := &Fleet{Store: NewStore(), cordoned: make(map[string]bool), timeoutMs: 1500, ReplacementDelay: 2 * time.Second, LapsesAfter: 3 * time.Second}
+	f := &Fleet{Store: NewStore(), cordoned: make(map[string]bool), timeoutMs: 1500, ReplacementDelay: 2 * time.Second, EntryExpiryDelay: 3 * time.Second}
 	f.Configure(Key)
 	return f
 }
@@ -84,7 +84,7 @@
 	if f.OnCrash != nil {
 		f.OnCrash(s)
 	}
-	time.AfterFunc(f.LapsesAfter, func() {
+	time.AfterFunc(f.EntryExpiryDelay, func() {
 		if !f.isClosed() {
 			s.RemoveEntry()
 		}
