--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -308,7 +308,7 @@
 func grow(s *Soak, _ context.Context) (string, func()) {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
-	newest := s.fleet.Grow(growth)
+	newest := s.fleet.AddRoutes(growth)
 	s.mu.Lock()
 	s.newest = newest + "a"
 	s.mu.Unlock()
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// Grow writes a new version with n routes more to the desk service, which stay, and
+// AddRoutes writes a new version with n routes more to the desk service, which stay, and
 // returns the prefix of the last.
-func (f *Fleet) Grow(n int) string {
+func (f *Fleet) AddRoutes(n int) string {
 	f.mu.Lock()
 	for range n {
 		f.grown = append(f.grown, fmt.Sprintf("/grown-%d/", len(f.grown)))
