--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -145,7 +145,7 @@
 	askAll(t, nodes, inForce)
 	s.restore(older)
 	askAll(t, nodes, time.Second)
-	s.fleet.Rewrite(func() { time.Sleep(50 * time.Millisecond) })
+	s.fleet.RewriteRows(func() { time.Sleep(50 * time.Millisecond) })
 	askAll(t, nodes, 500*time.Millisecond)
 	requireNone(t, inside, asked.Add(inForce))
 	s.fleet.Uncordon(emptied)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -261,7 +261,7 @@
 		wait.For(ctx, s.duration(0, drillAway))
 		s.fleet.Store.Restore(old)
 		s.fleet.Store.SetFault(fleet.Sound)
-		s.fleet.Rewrite(func() { wait.For(ctx, s.duration(0, rewritePause)) })
+		s.fleet.RewriteRows(func() { wait.For(ctx, s.duration(0, rewritePause)) })
 	}
 }
 
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -256,9 +256,9 @@
 	f.Store.Remove("op", cordonPrefix+zone)
 }
 
-// Rewrite has operator and servers write again what they wrote last, in a store that has
+// RewriteRows has operator and servers write again what they wrote last, in a store that has
 // come back older; pause is called between two writes.
-func (f *Fleet) Rewrite(pause func()) {
+func (f *Fleet) RewriteRows(pause func()) {
 	f.mu.Lock()
 	config, servers, cordoned := f.config, slices.Clone(f.servers), maps.Clone(f.cordoned)
 	f.mu.Unlock()
