--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -103,7 +103,7 @@
 	for _, n := range nodes {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				status, _, err := fleet.CallAs(ctx, n.callers, fleet.OncePath, fleet.As{ID: fleet.NextID(), Key: "second"})
+				status, _, err := fleet.CallAs(ctx, n.callers, fleet.OncePath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"})
 				if ctx.Err() != nil {
 					return
 				}
@@ -118,7 +118,7 @@
 		})
 		wg.Go(func() {
 			last := time.Time{}
-			fleet.StreamAs(ctx, n.callers, fleet.PlanPath, fleet.As{ID: fleet.NextID(), Key: "second"}, func(string) {
+			fleet.StreamAs(ctx, n.callers, fleet.PlanPath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"}, func(string) {
 				mu.Lock()
 				defer mu.Unlock()
 				if now := time.Now(); !last.IsZero() {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -76,7 +76,7 @@
 
 // generate makes a generation of a body as a new attempt, and returns the status.
 func (n *node) generate(path, body string) int {
-	as := fleet.As{ID: fleet.NextID(), Key: fleet.Key, Body: body}
+	as := fleet.CallerRequest{ID: fleet.NextID(), Key: fleet.Key, Body: body}
 	// What breaks an answer off is no matter here.
 	status, _ := fleet.StreamAs(context.Background(), n.callers, path, as, func(string) {})
 	return status
--- a/internal/soak/harmful.go
+++ b/internal/soak/harmful.go
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
 	s.mu.Lock()
-	as := fleet.As{ID: fleet.NextID(), Key: s.key, Body: body}
+	as := fleet.CallerRequest{ID: fleet.NextID(), Key: s.key, Body: body}
 	s.mu.Unlock()
 	fleet.StreamAs(ctx, g.node.Callers, fleet.CheckPath, as, func(string) {})
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -11,7 +11,7 @@
 
 // Attempt is a caller's request and what came of it.
 type Attempt struct {
-	As     fleet.As
+	As     fleet.CallerRequest
 	Path   string
 	Sent   time.Time
 	Status int
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -307,7 +307,7 @@
 	s.mu.Lock()
 	key := s.key
 	s.mu.Unlock()
-	a := Attempt{As: fleet.As{ID: fleet.NextID(), Key: key}, Path: path, Sent: time.Now()}
+	a := Attempt{As: fleet.CallerRequest{ID: fleet.NextID(), Key: key}, Path: path, Sent: time.Now()}
 	var err error
 	if a.stream() {
 		a.Status, err = fleet.StreamAs(ctx, g.node.Callers, path, a.As, func(e string) { a.Events = append(a.Events, e) })
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -23,8 +23,8 @@
 // NextID is the id of a caller's next attempt.
 func NextID() string { return fmt.Sprintf("attempt-%s-%d", process, attempts.Add(1)) }
 
-// As makes a caller's request as the holder of a key, under an id.
-type As struct {
+// CallerRequest makes a caller's request as the holder of a key, under an id.
+type CallerRequest struct {
 	ID, Key string
 	// Body is the request's, a usual one if empty.
 	Body string
@@ -36,7 +36,7 @@
 // client opens a connection for each request, as callers do that retry.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 
-func request(ctx context.Context, address, path string, as As) (*http.Request, error) {
+func request(ctx context.Context, address, path string, as CallerRequest) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(cmp.Or(as.Body, usualBody)))
 	if err != nil {
 		return nil, err
@@ -50,11 +50,11 @@
 
 // Call makes a caller's plain request to a gateway.
 func Call(ctx context.Context, address, path string) (status int, body string, err error) {
-	return CallAs(ctx, address, path, As{ID: NextID(), Key: Key})
+	return CallAs(ctx, address, path, CallerRequest{ID: NextID(), Key: Key})
 }
 
 // CallAs makes a plain request of a given caller.
-func CallAs(ctx context.Context, address, path string, as As) (status int, body string, err error) {
+func CallAs(ctx context.Context, address, path string, as CallerRequest) (status int, body string, err error) {
 	r, err := request(ctx, address, path, as)
 	if err != nil {
 		return 0, "", err
@@ -71,7 +71,7 @@
 // Stream makes a caller's generation and hands each event on. A nil error is a
 // whole answer.
 func Stream(ctx context.Context, address, path string, each func(event string)) error {
-	status, err := StreamAs(ctx, address, path, As{ID: NextID(), Key: Key}, each)
+	status, err := StreamAs(ctx, address, path, CallerRequest{ID: NextID(), Key: Key}, each)
 	if err == nil && status != http.StatusOK {
 		return fmt.Errorf("status %d", status)
 	}
@@ -79,7 +79,7 @@
 }
 
 // StreamAs makes a generation of a given caller; events come with status 200 only.
-func StreamAs(ctx context.Context, address, path string, as As, each func(event string)) (status int, err error) {
+func StreamAs(ctx context.Context, address, path string, as CallerRequest, each func(event string)) (status int, err error) {
 	r, err := request(ctx, address, path, as)
 	if err != nil {
 		return 0, err
