--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -103,7 +103,7 @@
 	for _, n := range nodes {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				status, _, err := fleet.CallAs(ctx, n.callers, fleet.OncePath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"})
+				status, _, err := fleet.CallWith(ctx, n.callers, fleet.OncePath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"})
 				if ctx.Err() != nil {
 					return
 				}
--- a/internal/soak/emptied.go
+++ b/internal/soak/emptied.go
@@ -52,7 +52,7 @@
 	key := s.key
 	s.mu.Unlock()
 	id := fleet.NextID()
-	fleet.CallAs(ctx, g.node.Callers, fleet.SafePath, fleet.CallerRequest{ID: id, Key: key})
+	fleet.CallWith(ctx, g.node.Callers, fleet.SafePath, fleet.CallerRequest{ID: id, Key: key})
 	go s.generate(g, "after the faults")
 	return id
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -312,7 +312,7 @@
 	if a.stream() {
 		a.Status, err = fleet.StreamAs(ctx, g.node.Callers, path, a.As, func(e string) { a.Events = append(a.Events, e) })
 	} else {
-		a.Status, a.Body, err = fleet.CallAs(ctx, g.node.Callers, path, a.As)
+		a.Status, a.Body, err = fleet.CallWith(ctx, g.node.Callers, path, a.As)
 	}
 	a.Whole = err == nil
 	s.history.add(a)
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -50,11 +50,11 @@
 
 // Call makes a caller's plain request to a gateway.
 func Call(ctx context.Context, address, path string) (status int, body string, err error) {
-	return CallAs(ctx, address, path, CallerRequest{ID: NextID(), Key: Key})
+	return CallWith(ctx, address, path, CallerRequest{ID: NextID(), Key: Key})
 }
 
-// CallAs makes a plain request of a given caller.
-func CallAs(ctx context.Context, address, path string, as CallerRequest) (status int, body string, err error) {
+// CallWith makes a plain request of a given caller.
+func CallWith(ctx context.Context, address, path string, as CallerRequest) (status int, body string, err error) {
 	r, err := request(ctx, address, path, as)
 	if err != nil {
 		return 0, "", err
