--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -118,7 +118,7 @@
 		})
 		wg.Go(func() {
 			last := time.Time{}
-			fleet.StreamAs(ctx, n.callers, fleet.PlanPath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"}, func(string) {
+			fleet.StreamWith(ctx, n.callers, fleet.PlanPath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"}, func(string) {
 				mu.Lock()
 				defer mu.Unlock()
 				if now := time.Now(); !last.IsZero() {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -78,7 +78,7 @@
 func (n *node) generate(path, body string) int {
 	as := fleet.CallerRequest{ID: fleet.NextID(), Key: fleet.Key, Body: body}
 	// What breaks an answer off is no matter here.
-	status, _ := fleet.StreamAs(context.Background(), n.callers, path, as, func(string) {})
+	status, _ := fleet.StreamWith(context.Background(), n.callers, path, as, func(string) {})
 	return status
 }
 
--- a/internal/soak/harmful.go
+++ b/internal/soak/harmful.go
@@ -45,7 +45,7 @@
 	s.mu.Lock()
 	as := fleet.CallerRequest{ID: fleet.NextID(), Key: s.key, Body: body}
 	s.mu.Unlock()
-	fleet.StreamAs(ctx, g.node.Callers, fleet.CheckPath, as, func(string) {})
+	fleet.StreamWith(ctx, g.node.Callers, fleet.CheckPath, as, func(string) {})
 }
 
 // checkHarmful requires that a request reaches few servers once three have ended under it
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -310,7 +310,7 @@
 	a := Attempt{As: fleet.CallerRequest{ID: fleet.NextID(), Key: key}, Path: path, Sent: time.Now()}
 	var err error
 	if a.stream() {
-		a.Status, err = fleet.StreamAs(ctx, g.node.Callers, path, a.As, func(e string) { a.Events = append(a.Events, e) })
+		a.Status, err = fleet.StreamWith(ctx, g.node.Callers, path, a.As, func(e string) { a.Events = append(a.Events, e) })
 	} else {
 		a.Status, a.Body, err = fleet.CallWith(ctx, g.node.Callers, path, a.As)
 	}
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -71,15 +71,15 @@
 // Stream makes a caller's generation and hands each event on. A nil error is a
 // whole answer.
 func Stream(ctx context.Context, address, path string, each func(event string)) error {
-	status, err := StreamAs(ctx, address, path, CallerRequest{ID: NextID(), Key: Key}, each)
+	status, err := StreamWith(ctx, address, path, CallerRequest{ID: NextID(), Key: Key}, each)
 	if err == nil && status != http.StatusOK {
 		return fmt.Errorf("status %d", status)
 	}
 	return err
 }
 
-// StreamAs makes a generation of a given caller; events come with status 200 only.
-func StreamAs(ctx context.Context, address, path string, as CallerRequest, each func(event string)) (status int, err error) {
+// StreamWith makes a generation of a given caller; events come with status 200 only.
+func StreamWith(ctx context.Context, address, path string, as CallerRequest, each func(event string)) (status int, err error) {
 	r, err := request(ctx, address, path, as)
 	if err != nil {
 		return 0, err
