--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -154,7 +154,7 @@
 		}, "listed")
 	}
 	s.fleet.Store.SetFault(fleet.Reset)
-	leaves.SetHeaders(fleet.SaysLeaving())
+	leaves.SetHeaders(fleet.LeavingHeaders())
 	before := len(leaves.Arrivals())
 	nodes[0].eventually(func() bool {
 		require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OpenPath)).status)
--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -38,7 +38,7 @@
 	if srv == nil {
 		return "nothing to end", nil
 	}
-	srv.SetHeaders(fleet.SaysLeaving())
+	srv.SetHeaders(fleet.LeavingHeaders())
 	return srv.ID + " says that it is leaving", func() {
 		srv.Kill()
 		srv.RemoveEntry()
@@ -74,7 +74,7 @@
 	limited, leaving, tired := fresh[0], fresh[1], fresh[2]
 	s.press(ctx, adviceBound)
 	limited.SetHeaders(fleet.NamesLimit(calmLimit))
-	leaving.SetHeaders(fleet.SaysLeaving())
+	leaving.SetHeaders(fleet.LeavingHeaders())
 	tired.RejectWithBackoff(calmRest)
 	named := time.Now()
 	victim := s.nodes[0]
--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -9,8 +9,8 @@
 // limitHeader names the requests a second that a server takes from all gateways.
 const limitHeader = "Server-Limit"
 
-// SaysLeaving are the headers of a server that is about to end.
-func SaysLeaving() http.Header { return http.Header{"Server-Leaving": {"1"}} }
+// LeavingHeaders are the headers of a server that is about to end.
+func LeavingHeaders() http.Header { return http.Header{"Server-Leaving": {"1"}} }
 
 // AsksForRest are the headers of a server that turns requests away and wants none for a time.
 func AsksForRest(d time.Duration) http.Header {
