--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -176,7 +176,7 @@
 func TestServerThatAsksForRestGetsNone(t *testing.T) {
 	const rest = 2 * time.Second
 	s := newSystem(t)
-	tired := s.server(fleet.DeskService, fleet.Behavior{RejectAll: true, Headers: fleet.AsksForRest(rest)})
+	tired := s.server(fleet.DeskService, fleet.Behavior{RejectAll: true, Headers: fleet.BackoffHeaders(rest)})
 	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i, n := range nodes {
--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -12,8 +12,8 @@
 // LeavingHeaders are the headers of a server that is about to end.
 func LeavingHeaders() http.Header { return http.Header{"Server-Leaving": {"1"}} }
 
-// AsksForRest are the headers of a server that turns requests away and wants none for a time.
-func AsksForRest(d time.Duration) http.Header {
+// BackoffHeaders are the headers of a server that turns requests away and wants none for a time.
+func BackoffHeaders(d time.Duration) http.Header {
 	return http.Header{"Retry-After": {strconv.FormatFloat(d.Seconds(), 'f', -1, 64)}}
 }
 
@@ -33,7 +33,7 @@
 func (s *Server) RejectWithBackoff(rest time.Duration) (rested func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave.RejectAll, s.behave.Headers = true, AsksForRest(rest)
+	s.behave.RejectAll, s.behave.Headers = true, BackoffHeaders(rest)
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
