--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -87,7 +87,7 @@
 	}
 	pressAll(nodes, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
-		srv.SetBehavior(fleet.Behavior{Headers: fleet.NamesLimit(limit)})
+		srv.SetBehavior(fleet.Behavior{Headers: fleet.RateLimitHeaders(limit)})
 	}
 	named := time.Now()
 	_, refused := pressAll(nodes, 1, limitWindow+time.Second, plain(fleet.OncePath))
@@ -120,7 +120,7 @@
 		}
 		t.Fatalf("not known to all within %v", knownWithin)
 	}
-	srv.SetBehavior(fleet.Behavior{Headers: fleet.NamesLimit(20)})
+	srv.SetBehavior(fleet.Behavior{Headers: fleet.RateLimitHeaders(20)})
 	require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OncePath)).status)
 	know(1)
 	srv.SetBehavior(fleet.Behavior{})
--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -28,7 +28,7 @@
 // nameLimit has a server say that it takes few requests.
 func nameLimit(s *Soak, _ context.Context) (string, func()) {
 	srv, limit := s.drawServer(), float64(s.intN(40))
-	srv.SetHeaders(fleet.NamesLimit(limit))
+	srv.SetHeaders(fleet.RateLimitHeaders(limit))
 	return fmt.Sprintf("limit of %v a second at %s", limit, srv.ID), func() { srv.SetHeaders(nil) }
 }
 
@@ -73,7 +73,7 @@
 	}
 	limited, leaving, tired := fresh[0], fresh[1], fresh[2]
 	s.press(ctx, adviceBound)
-	limited.SetHeaders(fleet.NamesLimit(calmLimit))
+	limited.SetHeaders(fleet.RateLimitHeaders(calmLimit))
 	leaving.SetHeaders(fleet.LeavingHeaders())
 	tired.RejectWithBackoff(calmRest)
 	named := time.Now()
--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -17,8 +17,8 @@
 	return http.Header{"Retry-After": {strconv.FormatFloat(d.Seconds(), 'f', -1, 64)}}
 }
 
-// NamesLimit are the headers of a server that takes so many requests a second.
-func NamesLimit(perSecond float64) http.Header {
+// RateLimitHeaders are the headers of a server that takes so many requests a second.
+func RateLimitHeaders(perSecond float64) http.Header {
 	return http.Header{limitHeader: {strconv.FormatFloat(perSecond, 'f', -1, 64)}}
 }
 
