--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -49,7 +49,7 @@
 	t       testing.TB
 	callers string
 	ready   string
-	door    *fleet.Door
+	door    *fleet.Endpoint
 }
 
 // testBounds are short, so that tests are.
@@ -62,7 +62,7 @@
 // keeps to is the process's.
 const testMemory = 8 << 30
 
-func (s *system) settings(name string) (*settings.Settings, *fleet.Door) {
+func (s *system) settings(name string) (*settings.Settings, *fleet.Endpoint) {
 	s.t.Helper()
 	door, err := s.fleet.Store.Open()
 	require.NoError(s.t, err)
@@ -94,7 +94,7 @@
 	return s.start(set, door), link
 }
 
-func (s *system) start(set *settings.Settings, door *fleet.Door) *node {
+func (s *system) start(set *settings.Settings, door *fleet.Endpoint) *node {
 	s.t.Helper()
 	n := s.launch(set, door)
 	n.eventually(n.isReady, "ready")
@@ -102,7 +102,7 @@
 }
 
 // launch starts a gateway without waiting until it is ready.
-func (s *system) launch(set *settings.Settings, door *fleet.Door) *node {
+func (s *system) launch(set *settings.Settings, door *fleet.Endpoint) *node {
 	s.t.Helper()
 	log := logging.New(io.Discard, logrus.InfoLevel)
 	opts := DefaultOptions()
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -44,8 +44,8 @@
 	Reset
 )
 
-// Door is an address of the store with faults of its own, as one VM meets them.
-type Door struct {
+// Endpoint is an address of the store with faults of its own, as one VM meets them.
+type Endpoint struct {
 	Address string
 
 	store *Store
@@ -70,7 +70,7 @@
 	// era rises each time that the store comes back from a copy; 0 says nothing of it.
 	era     uint64
 	changed chan struct{}
-	doors   []*Door
+	doors   []*Endpoint
 	calls   int
 	// slow is how long reading a table takes.
 	slow map[string]time.Duration
@@ -91,12 +91,12 @@
 }
 
 // Open starts a door on loopback.
-func (s *Store) Open() (*Door, error) {
+func (s *Store) Open() (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{Address: l.Addr().String(), store: s}
+	d := &Endpoint{Address: l.Addr().String(), store: s}
 	d.http = &http.Server{Handler: d}
 	s.mu.Lock()
 	s.doors = append(s.doors, d)
@@ -116,21 +116,21 @@
 }
 
 // SetFault changes what happens to calls, also to those that wait.
-func (d *Door) SetFault(f Fault) {
+func (d *Endpoint) SetFault(f Fault) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	d.fault = f
 }
 
 // Calls is how many calls have come through the door.
-func (d *Door) Calls() int {
+func (d *Endpoint) Calls() int {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	return d.calls
 }
 
 // SetLink gives the answers a link with a rate.
-func (d *Door) SetLink(l *standin.Link) {
+func (d *Endpoint) SetLink(l *standin.Link) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	d.link = l
@@ -258,7 +258,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := d.store
 	s.mu.Lock()
 	s.calls++
