--- a/internal/dev/gateway.go
+++ b/internal/dev/gateway.go
@@ -83,7 +83,7 @@
 }
 
 func startGateway(f *fleet.Fleet, name string, log *logrus.Logger) (*gateway.Gateway, string, error) {
-	door, err := f.Store.Open()
+	door, err := f.Store.AddEndpoint()
 	if err != nil {
 		return nil, "", err
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -407,7 +407,7 @@
 	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
-	door, err := s.fleet.Store.Open()
+	door, err := s.fleet.Store.AddEndpoint()
 	require.NoError(t, err)
 	changed := *n.set.Load()
 	changed.Store, changed.Bounds.Revoke = door.Address, 2*time.Second
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -64,7 +64,7 @@
 
 func (s *system) settings(name string) (*settings.Settings, *fleet.Endpoint) {
 	s.t.Helper()
-	door, err := s.fleet.Store.Open()
+	door, err := s.fleet.Store.AddEndpoint()
 	require.NoError(s.t, err)
 	ip, port, err := net.SplitHostPort(standin.OwnAddress())
 	require.NoError(s.t, err)
--- a/internal/proof/gateway_process_test.go
+++ b/internal/proof/gateway_process_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	dir, err := binaries()
 	require.NoError(t, err)
-	door, err := f.Store.Open()
+	door, err := f.Store.AddEndpoint()
 	require.NoError(t, err)
 	node := fleet.NewNode("vm-1", door.Address)
 	g := &gatewayProcess{callers: node.Callers, settings: filepath.Join(t.TempDir(), "settings.json"), out: &bytes.Buffer{}}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -202,7 +202,7 @@
 }
 
 func (s *Soak) addGateway(i int) error {
-	door, err := s.fleet.Store.Open()
+	door, err := s.fleet.Store.AddEndpoint()
 	if err != nil {
 		return err
 	}
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -90,8 +90,8 @@
 	return s
 }
 
-// Open starts a door on loopback.
-func (s *Store) Open() (*Endpoint, error) {
+// AddEndpoint starts a door on loopback.
+func (s *Store) AddEndpoint() (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
