--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -165,7 +165,7 @@
 	require.Zero(t, sentAfter(leaves, told), "from the gateway that was told")
 	ask(t, nodes, time.Second, plain(fleet.OpenPath))
 	require.Zero(t, sentAfter(leaves, told.Add(knownWithin)), "from any")
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	leaves.Heartbeat()
 	ask(t, nodes, time.Second, plain(fleet.OpenPath))
 	require.Zero(t, sentAfter(leaves, told.Add(knownWithin)), "behind an entry that lags")
--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -65,13 +65,13 @@
 	outage := callsOf(nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillAway)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	drill := callsOf(nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillAway)
 		s.fleet.Store.Restore(copied)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	t.Logf("%d gateways: %d calls behind an outage, %d behind a drill that lost %d rows", len(nodes), outage, drill, len(nodes)-kept)
 	require.LessOrEqual(t, drill, 2*outage+len(nodes)-kept)
@@ -156,13 +156,13 @@
 	outage := callersNotice(t, nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillAway)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	drill := callersNotice(t, nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillAway)
 		s.fleet.Store.Restore(copied)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 		time.Sleep(drillAway)
 		desk.Heartbeat()
 		engine.Heartbeat()
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -20,7 +20,7 @@
 	s.fleet.Store.SetFault(fleet.Reset)
 	time.Sleep(away)
 	s.fleet.Store.Restore(c)
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 }
 
 // status is that of a plain call with a key.
@@ -234,7 +234,7 @@
 	}
 	time.Sleep(away)
 	s.fleet.Store.Restore(c)
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	s.fleet.Configure("third")
 	written := time.Now()
 	for _, n := range nodes {
@@ -280,7 +280,7 @@
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(away)
 		back()
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 		calls := s.fleet.Store.Calls()
 		time.Sleep(5 * time.Second)
 		return s.fleet.Store.Calls() - calls
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -162,7 +162,7 @@
 	time.Sleep(outage)
 	calls := s.fleet.Store.Calls() - before
 	require.Less(t, calls, 40*int(outage.Seconds()), "two tables, 20 tries a second in all")
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 	}
--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -83,7 +83,7 @@
 		victim.signal(syscall.SIGKILL)
 		victim.restart(ctx, s.Binary, longest)
 	})
-	time.AfterFunc(2*adviceBound, func() { s.fleet.Store.SetFault(fleet.Sound) })
+	time.AfterFunc(2*adviceBound, func() { s.fleet.Store.SetFault(fleet.NoFault) })
 	via := s.press(ctx, adviceBound+limitWindow)
 	if got, most := mostIn(limited, named.Add(adviceBound)), 1.5*calmLimit*limitWindow.Seconds()+5; float64(got) > most {
 		faults = append(faults, fmt.Sprintf("%s names a limit of %v a second and got %d requests in %v", limited.ID, calmLimit, got, limitWindow))
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -59,7 +59,7 @@
 	if s.intN(3) == 0 {
 		f := fleet.Fault(1 + s.intN(3))
 		s.fleet.Store.SetFault(f)
-		return fmt.Sprintf("store fault %d for all", f), func() { s.fleet.Store.SetFault(fleet.Sound) }
+		return fmt.Sprintf("store fault %d for all", f), func() { s.fleet.Store.SetFault(fleet.NoFault) }
 	}
 	g, m := s.drawNode(), Mode(1+s.intN(int(modes)-1))
 	g.door.Set(m)
@@ -260,7 +260,7 @@
 		s.fleet.Store.SetFault(fleet.Reset)
 		wait.For(ctx, s.duration(0, drillAway))
 		s.fleet.Store.Restore(old)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 		s.fleet.RewriteRows(func() { wait.For(ctx, s.duration(0, rewritePause)) })
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -322,7 +322,7 @@
 // settled waits until every gateway serves every kind of request, also on the route that
 // was added last.
 func (s *Soak) settled(ctx context.Context, when string) error {
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	deadline := time.Now().Add(settleTime)
 	s.mu.Lock()
 	for _, p := range s.proxies {
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -34,8 +34,8 @@
 
 // The faults of a store.
 const (
-	// Sound answers.
-	Sound Fault = iota
+	// NoFault answers.
+	NoFault Fault = iota
 	// Busy answers 503.
 	Busy
 	// Silent does not answer.
