--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -49,7 +49,7 @@
 	}
 	s.server(fleet.DeskService, fleet.Behavior{})
 	var nodes []*node
-	var copied *fleet.Copy
+	var copied *fleet.Backup
 	kept := *drilled * *drillKept / 100
 	for i := range *drilled {
 		if i == kept {
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -16,7 +16,7 @@
 const away = 300 * time.Millisecond
 
 // restore has the store come back from a copy.
-func (s *system) restore(c *fleet.Copy) {
+func (s *system) restore(c *fleet.Backup) {
 	s.fleet.Store.SetFault(fleet.Reset)
 	time.Sleep(away)
 	s.fleet.Store.Restore(c)
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -173,22 +173,22 @@
 	s.history, s.oldest = nil, s.version
 }
 
-// Copy is what the store held at some time.
-type Copy struct {
+// Backup is what the store held at some time.
+type Backup struct {
 	rows    map[string]Row
 	version uint64
 }
 
 // Copy makes a copy of the store.
-func (s *Store) Copy() *Copy {
+func (s *Store) Copy() *Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &Copy{rows: maps.Clone(s.rows), version: s.version}
+	return &Backup{rows: maps.Clone(s.rows), version: s.version}
 }
 
 // Restore has the store come back from a copy: what was written since is gone, and its
 // versions are given out again.
-func (s *Store) Restore(c *Copy) {
+func (s *Store) Restore(c *Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows, s.version = maps.Clone(c.rows), c.version
