--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -139,7 +139,7 @@
 	for _, n := range nodes {
 		n.knows()
 	}
-	older := s.fleet.Store.Copy()
+	older := s.fleet.Store.Backup()
 	s.fleet.Cordon(emptied)
 	asked := time.Now()
 	askAll(t, nodes, inForce)
--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -53,12 +53,12 @@
 	kept := *drilled * *drillKept / 100
 	for i := range *drilled {
 		if i == kept {
-			copied = s.fleet.Store.Copy()
+			copied = s.fleet.Store.Backup()
 		}
 		nodes = append(nodes, s.gateway(fmt.Sprintf("vm-%03d", i)))
 	}
 	if copied == nil {
-		copied = s.fleet.Store.Copy()
+		copied = s.fleet.Store.Backup()
 	}
 	s.fleet.Configure("second")
 	time.Sleep(settle)
@@ -144,7 +144,7 @@
 	for i := range 4 {
 		nodes = append(nodes, s.gateway(fmt.Sprint("vm-", i)))
 	}
-	copied := s.fleet.Store.Copy()
+	copied := s.fleet.Store.Backup()
 	desk := s.server(fleet.DeskService, fleet.Behavior{})
 	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	s.fleet.Configure("second")
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -37,7 +37,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -68,7 +68,7 @@
 	gone := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.status(fleet.Key) == http.StatusOK }, "served")
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -94,7 +94,7 @@
 func TestOwnRowsOfAStoreThatComesBackOlder(t *testing.T) {
 	s := newSystem(t)
 	ends := s.fragileEngines(5)
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i := 0; len(ends.times()) < 3; i++ {
 		nodes[i%2].generate(fleet.PlanPath, harmful)
@@ -127,7 +127,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -156,7 +156,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
@@ -177,7 +177,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
@@ -202,7 +202,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 150, EventInterval: 20 * time.Millisecond})
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan reply, 1)
@@ -220,7 +220,7 @@
 func TestStartOfAllInsideADrill(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -251,7 +251,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
@@ -285,7 +285,7 @@
 		time.Sleep(5 * time.Second)
 		return s.fleet.Store.Calls() - calls
 	}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	plain := after(func() {})
 	drill := after(func() { s.fleet.Store.Restore(c) })
 	t.Logf("calls in 5 s: %d after an outage, %d after a drill", plain, drill)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -253,7 +253,7 @@
 // drill has the store be away for a moment and come back from a copy of some time before;
 // operator and servers write again what is gone.
 func drill(s *Soak, ctx context.Context) (string, func()) {
-	old := s.fleet.Store.Copy()
+	old := s.fleet.Store.Backup()
 	return "copy of the store", func() {
 		s.configuring.Lock()
 		defer s.configuring.Unlock()
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -179,8 +179,8 @@
 	version uint64
 }
 
-// Copy makes a copy of the store.
-func (s *Store) Copy() *Backup {
+// Backup makes a copy of the store.
+func (s *Store) Backup() *Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &Backup{rows: maps.Clone(s.rows), version: s.version}
