--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -161,7 +161,7 @@
 	for _, n := range nodes {
 		n.knows()
 	}
-	s.fleet.Store.SetSlow("op", 2*time.Second)
+	s.fleet.Store.SetReadDelay("op", 2*time.Second)
 	s.fleet.Store.Compact()
 	s.fleet.Cordon(emptied)
 	asked := time.Now()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -439,7 +439,7 @@
 func TestGatewayIsReadyOnceItKnowsTheServers(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
-	s.fleet.Store.SetSlow("servers", 400*time.Millisecond)
+	s.fleet.Store.SetReadDelay("servers", 400*time.Millisecond)
 	n := s.gateway("vm-1")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
 }
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -136,8 +136,8 @@
 	d.link = l
 }
 
-// SetSlow changes how long reading a table takes.
-func (s *Store) SetSlow(table string, d time.Duration) {
+// SetReadDelay changes how long reading a table takes.
+func (s *Store) SetReadDelay(table string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow[table] = d
