--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -55,7 +55,7 @@
 	before := link.Passed()
 	prefixes := more(16000)
 	s.fleet.Configure(fleet.Key, prefixes...)
-	size := int64(s.fleet.Store.Size("op", "config"))
+	size := int64(s.fleet.Store.EncodedSize("op", "config"))
 	// The answers to no change take some hundred bytes.
 	lone.eventually(func() bool { return link.Passed()-before > size/100 }, "the row begins to come in")
 	begun := time.Now()
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// Size is how many bytes a row takes in an answer.
-func (s *Store) Size(table, key string) int {
+// EncodedSize is how many bytes a row takes in an answer.
+func (s *Store) EncodedSize(table, key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return base64.StdEncoding.EncodedLen(len(s.rows[id(table, "", key)].Data))
