--- a/internal/proof/gateway_process_test.go
+++ b/internal/proof/gateway_process_test.go
@@ -35,7 +35,7 @@
 	g := &gatewayProcess{callers: node.Callers, settings: filepath.Join(t.TempDir(), "settings.json"), out: &bytes.Buffer{}}
 	require.NoError(t, node.WriteSettings(g.settings))
 	g.cmd = exec.Command(filepath.Join(dir, "kingcup-gateway"), "-metrics-port", "0", "-leave", "500ms")
-	g.cmd.Env = append(os.Environ(), fleet.BootVariable+"="+g.settings, "GORACE=halt_on_error=1")
+	g.cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+g.settings, "GORACE=halt_on_error=1")
 	g.cmd.Stdout, g.cmd.Stderr = g.out, os.Stderr
 	require.NoError(t, g.cmd.Start())
 	t.Cleanup(func() { g.cmd.Process.Kill() })
@@ -92,7 +92,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(`{"nodeName":"","zone":"z","ip":"x"}`), 0o600))
 	for _, boot := range []string{path, "", path + ".none"} {
 		cmd := exec.Command(filepath.Join(dir, "kingcup-gateway"))
-		cmd.Env = append(os.Environ(), fleet.BootVariable+"="+boot)
+		cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+boot)
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		require.ErrorAs(t, err, &exit)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -235,7 +235,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cmd := exec.Command(binary, "-metrics-port", "0", "-leave", "300ms")
-	cmd.Env = append(os.Environ(), fleet.BootVariable+"="+g.path, "GORACE=halt_on_error=1")
+	cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+g.path, "GORACE=halt_on_error=1")
 	cmd.Stdout, cmd.Stderr = g.log, g.log
 	if err := cmd.Start(); err != nil {
 		return err
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// BootVariable names the settings file to a process.
-const BootVariable = "KINGCUPPLANK_BOOT"
+// SettingsVariable names the settings file to a process.
+const SettingsVariable = "KINGCUPPLANK_BOOT"
 
 // WriteSettings writes the node's settings file.
 func (n Node) WriteSettings(path string) error {
