--- a/internal/confsync/confsync_test.go
+++ b/internal/confsync/confsync_test.go
@@ -31,7 +31,7 @@
 		flush := http.NewResponseController(w)
 		for len(value) > 0 {
 			n := min(len(value), 4<<10)
-			link.Pass(n)
+			link.Transfer(n)
 			if _, err := w.Write(value[:n]); err != nil {
 				return
 			}
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -323,7 +323,7 @@
 func (l *linked) Write(p []byte) (n int, err error) {
 	for len(p) > 0 && err == nil {
 		part := p[:min(len(p), segment)]
-		l.link.Pass(len(part))
+		l.link.Transfer(len(part))
 		var wrote int
 		wrote, err = l.ResponseWriter.Write(part)
 		n, p = n+wrote, p[len(part):]
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -23,8 +23,8 @@
 // it does. A writer that a busy machine wakes late would see a thinner link.
 const catchUp = 20 * time.Millisecond
 
-// Pass waits until n bytes have passed.
-func (l *Link) Pass(n int) {
+// Transfer waits until n bytes have passed.
+func (l *Link) Transfer(n int) {
 	l.mu.Lock()
 	if earliest := time.Now().Add(-catchUp); l.free.Before(earliest) {
 		l.free = earliest
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -17,7 +17,7 @@
 			l := NewLink(10)
 			begun := time.Now()
 			for range chunks {
-				l.Pass(chunk)
+				l.Transfer(chunk)
 				time.Sleep(late)
 			}
 			took, needs := time.Since(begun), l.Takes(chunk*chunks)
