--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -52,17 +52,17 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	lone, link := s.thin("vm-a", 40)
-	before := link.Passed()
+	before := link.Transferred()
 	prefixes := more(16000)
 	s.fleet.Configure(fleet.Key, prefixes...)
 	size := int64(s.fleet.Store.EncodedSize("op", "config"))
 	// The answers to no change take some hundred bytes.
-	lone.eventually(func() bool { return link.Passed()-before > size/100 }, "the row begins to come in")
+	lone.eventually(func() bool { return link.Transferred()-before > size/100 }, "the row begins to come in")
 	begun := time.Now()
-	lone.eventually(func() bool { return link.Passed()-before > size }, "the row has come in")
+	lone.eventually(func() bool { return link.Transferred()-before > size }, "the row has come in")
 	// A busy machine may add to what the link needs.
 	const busy = 700 * time.Millisecond
 	require.Less(t, time.Since(begun), link.Takes(size*5/4)+busy)
 	lone.eventually(func() bool { return lone.do(plain(prefixes[0]+"a")).status == http.StatusOK }, "the newest version is in force")
-	require.LessOrEqual(t, float64(link.Passed()-before), 1.2*float64(size), "bytes read again")
+	require.LessOrEqual(t, float64(link.Transferred()-before), 1.2*float64(size), "bytes read again")
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -36,8 +36,8 @@
 	time.Sleep(time.Until(until))
 }
 
-// Passed counts the bytes so far.
-func (l *Link) Passed() int64 {
+// Transferred counts the bytes so far.
+func (l *Link) Transferred() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.passed
