--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -62,7 +62,7 @@
 	lone.eventually(func() bool { return link.Transferred()-before > size }, "the row has come in")
 	// A busy machine may add to what the link needs.
 	const busy = 700 * time.Millisecond
-	require.Less(t, time.Since(begun), link.Takes(size*5/4)+busy)
+	require.Less(t, time.Since(begun), link.TransferTime(size*5/4)+busy)
 	lone.eventually(func() bool { return lone.do(plain(prefixes[0]+"a")).status == http.StatusOK }, "the newest version is in force")
 	require.LessOrEqual(t, float64(link.Transferred()-before), 1.2*float64(size), "bytes read again")
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -43,7 +43,7 @@
 	return l.passed
 }
 
-// Takes is how long n bytes need on a link that nothing else uses.
-func (l *Link) Takes(n int64) time.Duration {
+// TransferTime is how long n bytes need on a link that nothing else uses.
+func (l *Link) TransferTime(n int64) time.Duration {
 	return time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second))
 }
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -20,7 +20,7 @@
 				l.Transfer(chunk)
 				time.Sleep(late)
 			}
-			took, needs := time.Since(begun), l.Takes(chunk*chunks)
+			took, needs := time.Since(begun), l.TransferTime(chunk*chunks)
 			require.GreaterOrEqual(t, took, needs-catchUp)
 			require.LessOrEqual(t, took, needs+late+catchUp)
 		})
