--- a/internal/dev/gateway.go
+++ b/internal/dev/gateway.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	ip, port, err := net.SplitHostPort(standin.OwnAddress())
+	ip, port, err := net.SplitHostPort(standin.UniqueAddress())
 	if err != nil {
 		return nil, "", err
 	}
@@ -96,7 +96,7 @@
 		return nil, "", err
 	}
 	set := &settings.Settings{
-		VM: name, FailureDomain: gatewayDomain, IP: ip, Callers: standin.OwnAddress(), Ready: standin.OwnAddress(),
+		VM: name, FailureDomain: gatewayDomain, IP: ip, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(),
 		PeerPorts: [2]int{peers, peers}, Store: door.Address, MemoryBytes: 256 << 20, MaxFiles: 1000,
 		Bounds: settings.Bounds{
 			DrainServer: 2 * time.Second, Shutdown: 8 * time.Second, ApplyConfig: 2 * time.Second,
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -66,12 +66,12 @@
 	s.t.Helper()
 	door, err := s.fleet.Store.AddEndpoint()
 	require.NoError(s.t, err)
-	ip, port, err := net.SplitHostPort(standin.OwnAddress())
+	ip, port, err := net.SplitHostPort(standin.UniqueAddress())
 	require.NoError(s.t, err)
 	peers, err := strconv.Atoi(port)
 	require.NoError(s.t, err)
 	return &settings.Settings{
-		VM: name, FailureDomain: "zone-1", IP: ip, Callers: standin.OwnAddress(), Ready: standin.OwnAddress(),
+		VM: name, FailureDomain: "zone-1", IP: ip, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(),
 		PeerPorts: [2]int{peers, peers}, Store: door.Address, MemoryBytes: testMemory, MaxFiles: 1000, LinkMbps: s.linkMbps,
 		ServerHeartbeat: time.Second, Bounds: testBounds,
 	}, door
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -54,7 +54,7 @@
 
 // startManager runs a manager and returns it, its receiver, and a function that stops it.
 func startManager(t *testing.T, name string) (*Manager, *recordingReceiver, context.CancelFunc) {
-	self := Member{Name: name, Address: standin.OwnAddress(), FailureDomain: "zone-1"}
+	self := Member{Name: name, Address: standin.UniqueAddress(), FailureDomain: "zone-1"}
 	l, err := net.Listen("tcp", self.Address)
 	require.NoError(t, err)
 	log := logrus.New()
@@ -108,7 +108,7 @@
 // must not block sending to other peers.
 func TestHangingPeerDoesNotBlockBroadcast(t *testing.T) {
 	a, _, _ := startManager(t, "a")
-	hanging, err := net.Listen("tcp", standin.OwnAddress())
+	hanging, err := net.Listen("tcp", standin.UniqueAddress())
 	require.NoError(t, err)
 	defer hanging.Close()
 	a.AddMembers([]Member{{Name: "z", Address: hanging.Addr().String()}})
--- a/internal/proof/process_test.go
+++ b/internal/proof/process_test.go
@@ -68,7 +68,7 @@
 	conns []grpc.ClientConnInterface
 }
 
-func freePort(*testing.T) string { return standin.OwnAddress() }
+func freePort(*testing.T) string { return standin.UniqueAddress() }
 
 func newProcesses(t *testing.T) *processes {
 	dir, err := binaries()
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -24,7 +24,7 @@
 // NewNode gives a gateway addresses of its own.
 func NewNode(name, store string) Node {
 	return Node{
-		Name: name, Callers: standin.OwnAddress(), Ready: standin.OwnAddress(), Peers: standin.OwnAddress(),
+		Name: name, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(), Peers: standin.UniqueAddress(),
 		Store: store, RevokeMs: 5000, LinkMbps: 1000,
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -94,10 +94,10 @@
 // nextPort counts the ports that this process has given out.
 var nextPort atomic.Int64
 
-// OwnAddress is a loopback address that nothing else serves: its IP number is made
+// UniqueAddress is a loopback address that nothing else serves: its IP number is made
 // from the process id. A port found free on a shared address can be taken by
 // another process before it is served.
-func OwnAddress() string {
+func UniqueAddress() string {
 	const first = 20000
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&63, pid>>8&255, pid&255, first+nextPort.Add(1))
