--- a/cmd/kingcup-standin/main.go
+++ b/cmd/kingcup-standin/main.go
@@ -71,7 +71,7 @@
 	if objects == "" {
 		objects = "127.0.0.1:0"
 	}
-	_, _, err := servers.Table(t, address, objects)
+	_, _, err := servers.ServeTable(t, address, objects)
 	return err
 }
 
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -36,9 +36,9 @@
 	s.wg.Wait()
 }
 
-// Table serves the table service and VM list by gRPC and the object store by
+// ServeTable serves the table service and VM list by gRPC and the object store by
 // HTTP, and returns both addresses.
-func (s *Servers) Table(t *tables.Table, address, httpAddress string) (string, string, error) {
+func (s *Servers) ServeTable(t *tables.Table, address, httpAddress string) (string, string, error) {
 	rpc, err := s.grpc(address, func(g *grpc.Server) { platformv1.RegisterTableServiceServer(g, &tables.Server{Table: t}) })
 	if err != nil {
 		return "", "", err
