--- a/cmd/kingcup-standin/main.go
+++ b/cmd/kingcup-standin/main.go
@@ -46,7 +46,7 @@
 			Step: *step, Memory: uint64(*memory), Resumes: *resumes, ChecksTerm: *checks,
 			Retain: *retain, Models: models(), Nonce: uint64(os.Getpid()),
 		})
-		_, err = servers.Engine(e, *address)
+		_, err = servers.ServeEngine(e, *address)
 	case "service":
 		_, err = servers.Service(services.New(), *address)
 	}
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -115,7 +115,7 @@
 
 // addEngine serves e by gRPC and starts an agent before it.
 func (n *nodes) addEngine(e engine.Engine) (string, error) {
-	address, err := n.standins.Engine(e, "127.0.0.1:0")
+	address, err := n.standins.ServeEngine(e, "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -47,8 +47,8 @@
 	return rpc, web, err
 }
 
-// Engine serves a model engine and returns its address.
-func (s *Servers) Engine(e engine.Engine, address string) (string, error) {
+// ServeEngine serves a model engine and returns its address.
+func (s *Servers) ServeEngine(e engine.Engine, address string) (string, error) {
 	return s.grpc(address, func(g *grpc.Server) { platformv1.RegisterEngineServiceServer(g, &engines.Server{Engine: e}) })
 }
 
