--- a/cmd/kingcup-standin/main.go
+++ b/cmd/kingcup-standin/main.go
@@ -48,7 +48,7 @@
 		})
 		_, err = servers.ServeEngine(e, *address)
 	case "service":
-		_, err = servers.Service(services.New(), *address)
+		_, err = servers.ServeService(services.New(), *address)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "kingcup-standin:", err)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -52,8 +52,8 @@
 	return s.grpc(address, func(g *grpc.Server) { platformv1.RegisterEngineServiceServer(g, &engines.Server{Engine: e}) })
 }
 
-// Service serves a plain service and returns its address.
-func (s *Servers) Service(svc *services.Service, address string) (string, error) {
+// ServeService serves a plain service and returns its address.
+func (s *Servers) ServeService(svc *services.Service, address string) (string, error) {
 	return s.http(address, svc.HTTP)
 }
 
