--- a/internal/proof/stream_test.go
+++ b/internal/proof/stream_test.go
@@ -99,7 +99,7 @@
 // that its generation has at that index.
 func checkLineage(s *seen) error {
 	for i, text := range s.tokens {
-		if !bytes.Equal(engines.Expected(s.res.GenerationID, i), text) {
+		if !bytes.Equal(engines.ExpectedToken(s.res.GenerationID, i), text) {
 			return errors.Errorf("token %d is of another lineage", i)
 		}
 	}
@@ -116,7 +116,7 @@
 	whole := func(id string) *seen {
 		s := &seen{res: client.Result{GenerationID: id}}
 		for i := range 10 {
-			s.tokens = append(s.tokens, engines.Expected(id, i))
+			s.tokens = append(s.tokens, engines.ExpectedToken(id, i))
 		}
 		return s
 	}
@@ -350,12 +350,12 @@
 			for first := 0; first < 30; first += 5 {
 				run := &kingcupv1.Tokens{FirstIndex: uint64(max(0, first-5)), Attempt: 1}
 				for i := max(0, first-5); i < first+5; i++ {
-					run.Texts = append(run.Texts, engines.Expected(id, i))
+					run.Texts = append(run.Texts, engines.ExpectedToken(id, i))
 				}
 				st.Send(&innerv1.Reply{Kind: &innerv1.Reply_Tokens{Tokens: run}})
 			}
 			for i := range 30 {
-				digest.Add(engines.Expected(id, i))
+				digest.Add(engines.ExpectedToken(id, i))
 			}
 			st.Send(&innerv1.Reply{Kind: &innerv1.Reply_End{End: &kingcupv1.End{Tokens: 30, Digest: digest.Sum()}}})
 		})
--- a/internal/standin/engines/engine.go
+++ b/internal/standin/engines/engine.go
@@ -405,8 +405,8 @@
 	return names
 }
 
-// Expected is token i of a generation at an engine that resumes, for checks of
+// ExpectedToken is token i of a generation at an engine that resumes, for checks of
 // what a caller saw.
-func Expected(generationID string, i int) []byte {
+func ExpectedToken(generationID string, i int) []byte {
 	return tokenText(hash(generationID), i)
 }
