--- a/internal/proof/outcome_test.go
+++ b/internal/proof/outcome_test.go
@@ -38,7 +38,7 @@
 				resp, err := s.book(0, "slot")
 				require.NoError(t, err)
 				require.False(t, resp.GetReplayed())
-				require.Equal(t, 1, s.service.Ran(team, "slot"))
+				require.Equal(t, 1, s.service.RunCount(team, "slot"))
 			})
 		})
 	}
@@ -55,7 +55,7 @@
 			_, err := s.book(entry, "slot")
 			require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(err).Outcome)
 		}
-		require.Equal(t, 1, s.service.Ran(team, "slot"))
+		require.Equal(t, 1, s.service.RunCount(team, "slot"))
 	})
 }
 
@@ -81,7 +81,7 @@
 		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(<-done).Outcome)
 		killed.Wait()
 		time.Sleep(time.Second)
-		require.Equal(t, 1, s.service.Ran(team, "slot"))
+		require.Equal(t, 1, s.service.RunCount(team, "slot"))
 	})
 }
 
@@ -97,7 +97,7 @@
 		require.True(t, failure.IsNotRun(err))
 		require.NotZero(t, failure.FromError(err).RetryAfter)
 		require.Less(t, time.Since(began), 100*time.Millisecond)
-		require.Zero(t, s.service.Ran(team, "slot"))
+		require.Zero(t, s.service.RunCount(team, "slot"))
 		s.table.SetOutage(false)
 		_, err = s.book(0, "slot")
 		require.NoError(t, err)
@@ -346,7 +346,7 @@
 	s.service.LoseAnswers(2)
 	wg.Wait()
 	for k := range keys {
-		most = max(most, s.service.Ran(team, fmt.Sprintf("k%d", k)))
+		most = max(most, s.service.RunCount(team, fmt.Sprintf("k%d", k)))
 	}
 	return rec.ops, most
 }
@@ -399,7 +399,7 @@
 			s.killEntry(19)
 			wg.Wait()
 			for k := range keys {
-				require.LessOrEqual(t, s.service.Ran(team, fmt.Sprintf("k%d", k)), 1)
+				require.LessOrEqual(t, s.service.RunCount(team, fmt.Sprintf("k%d", k)), 1)
 			}
 			require.True(t, porcupine.CheckOperations(keyedOutcomes, rec.ops))
 			t.Logf("%d calls, %d commits", len(rec.ops), s.table.Counts().Commits-before)
@@ -457,7 +457,7 @@
 		}
 		time.Sleep(time.Minute)
 		for i := range 28 {
-			require.Equal(t, 1, s.service.Ran(team, fmt.Sprintf("c%d", i)))
+			require.Equal(t, 1, s.service.RunCount(team, fmt.Sprintf("c%d", i)))
 		}
 	})
 }
--- a/internal/proof/regions_test.go
+++ b/internal/proof/regions_test.go
@@ -39,7 +39,7 @@
 		require.True(t, resp.GetSpread())
 		_, err = s.book(1, "far-slot")
 		require.True(t, failure.IsNotRun(err), "%v", err)
-		require.Zero(t, s.service.Ran(team, "far-slot"))
+		require.Zero(t, s.service.RunCount(team, "far-slot"))
 		for i, done := range waits {
 			<-done
 			requireWhole(t, all[i], 400)
--- a/internal/proof/together_test.go
+++ b/internal/proof/together_test.go
@@ -124,7 +124,7 @@
 	first := s.bookOutcome(0, key)
 	time.Sleep(200 * time.Millisecond)
 	second := s.bookOutcome(1, key)
-	ran := s.service.Ran(team, key)
+	ran := s.service.RunCount(team, key)
 	answered := first.outcome == kingcupv1.Outcome_OUTCOME_ANSWERED
 	switch {
 	case answered && second.outcome == kingcupv1.Outcome_OUTCOME_ANSWERED && !second.replayed:
@@ -139,7 +139,7 @@
 	time.Sleep(time.Minute)
 	for i := range n {
 		key := fmt.Sprintf("c%d", i)
-		if ran := s.service.Ran(team, key); ran > 1 {
+		if ran := s.service.RunCount(team, key); ran > 1 {
 			return errors.Errorf("%s: ran %d times", key, ran)
 		}
 	}
--- a/internal/standin/services/service.go
+++ b/internal/standin/services/service.go
@@ -42,8 +42,8 @@
 	s.gate = f
 }
 
-// Ran is how often a request has run.
-func (s *Service) Ran(team, requestID string) int {
+// RunCount is how often a request has run.
+func (s *Service) RunCount(team, requestID string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ran[team+"/"+requestID]
