--- a/internal/proof/outcome_test.go
+++ b/internal/proof/outcome_test.go
@@ -50,7 +50,7 @@
 	virtual(t, func(t *testing.T) {
 		s := newSystem(t, setup{entries: 2, servers: 1})
 		defer s.close()
-		s.service.LoseAnswers(1)
+		s.service.LoseResponses(1)
 		for entry := range 2 {
 			_, err := s.book(entry, "slot")
 			require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(err).Outcome)
@@ -343,7 +343,7 @@
 		})
 	}
 	s.table.LoseAnswers(1, 3)
-	s.service.LoseAnswers(2)
+	s.service.LoseResponses(2)
 	wg.Wait()
 	for k := range keys {
 		most = max(most, s.service.RunCount(team, fmt.Sprintf("k%d", k)))
@@ -384,7 +384,7 @@
 			rec := &recorder{began: time.Now()}
 			const keys, callers, rounds = 6, 18, 4
 			s.table.LoseAnswers(1, 3)
-			s.service.LoseAnswers(2)
+			s.service.LoseResponses(2)
 			var wg sync.WaitGroup
 			for c := range callers {
 				wg.Go(func() {
--- a/internal/standin/services/service.go
+++ b/internal/standin/services/service.go
@@ -28,8 +28,8 @@
 	return &Service{ran: make(map[string]int)}
 }
 
-// LoseAnswers makes the next n calls run and lose their answer.
-func (s *Service) LoseAnswers(n int) {
+// LoseResponses makes the next n calls run and lose their answer.
+func (s *Service) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseAnswers = n
