--- a/internal/proof/outcome_test.go
+++ b/internal/proof/outcome_test.go
@@ -68,7 +68,7 @@
 		defer s.close()
 		inside, proceed := make(chan struct{}), make(chan struct{})
 		var first sync.Once
-		s.service.SetGate(func() { first.Do(func() { close(inside) }); <-proceed })
+		s.service.SetBeforeCall(func() { first.Do(func() { close(inside) }); <-proceed })
 		done := make(chan error, 1)
 		go func() { _, err := s.book(0, "slot"); done <- err }()
 		<-inside
--- a/internal/standin/services/service.go
+++ b/internal/standin/services/service.go
@@ -35,8 +35,8 @@
 	s.loseAnswers = n
 }
 
-// SetGate makes every call pass through f before it runs.
-func (s *Service) SetGate(f func()) {
+// SetBeforeCall makes every call pass through f before it runs.
+func (s *Service) SetBeforeCall(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate = f
