--- a/internal/standin/tables/http.go
+++ b/internal/standin/tables/http.go
@@ -50,6 +50,6 @@
 	if err == nil {
 		t.SetOutage(outage)
 	}
-	t.SetDelay(time.Duration(args.GetUintOrZero("delay_ms")) * time.Millisecond)
+	t.SetCommitDelay(time.Duration(args.GetUintOrZero("delay_ms")) * time.Millisecond)
 	t.LoseAnswers(args.GetUintOrZero("lose_before"), args.GetUintOrZero("lose_after"))
 }
--- a/internal/standin/tables/tables.go
+++ b/internal/standin/tables/tables.go
@@ -56,8 +56,8 @@
 	t.loseBefore, t.loseAfter = before, after
 }
 
-// SetDelay holds the answer of each commit back for d after it is applied.
-func (t *Table) SetDelay(d time.Duration) {
+// SetCommitDelay holds the answer of each commit back for d after it is applied.
+func (t *Table) SetCommitDelay(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.delay = d
