--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -37,7 +37,7 @@
 	c := New(table, time.Millisecond)
 	defer c.Close()
 	key := Key{"team", "id"}
-	loseAnswer := func() { table.LoseAnswers(1, 1) }
+	loseAnswer := func() { table.LoseCommitResponses(1, 1) }
 
 	loseAnswer()
 	won, existing, err := c.Claim(ctx, key, Record{Nonce: "first"})
--- a/internal/proof/config_test.go
+++ b/internal/proof/config_test.go
@@ -102,7 +102,7 @@
 			}
 		})
 	}
-	s.table.LoseAnswers(1, 2)
+	s.table.LoseCommitResponses(1, 2)
 	wg.Wait()
 	time.Sleep(7 * time.Second)
 	close(stop)
@@ -272,7 +272,7 @@
 			s := newSystem(t, setup{entries: 2, servers: 1})
 			defer s.close()
 			before := s.entries[0].Sync.Replica().Version()
-			s.table.LoseAnswers(lost.before, lost.after)
+			s.table.LoseCommitResponses(lost.before, lost.after)
 			out := s.change(0, before, "lost", 3)
 			require.Equal(t, casOut{kingcupv1.Outcome_OUTCOME_ANSWERED, before + 1}, out)
 			time.Sleep(7 * time.Second)
--- a/internal/proof/outcome_test.go
+++ b/internal/proof/outcome_test.go
@@ -34,7 +34,7 @@
 			virtual(t, func(t *testing.T) {
 				s := newSystem(t, setup{entries: 2, servers: 1})
 				defer s.close()
-				s.table.LoseAnswers(lost.before, lost.after)
+				s.table.LoseCommitResponses(lost.before, lost.after)
 				resp, err := s.book(0, "slot")
 				require.NoError(t, err)
 				require.False(t, resp.GetReplayed())
@@ -342,7 +342,7 @@
 			}
 		})
 	}
-	s.table.LoseAnswers(1, 3)
+	s.table.LoseCommitResponses(1, 3)
 	s.service.LoseResponses(2)
 	wg.Wait()
 	for k := range keys {
@@ -383,7 +383,7 @@
 			before := s.table.Counts().Commits
 			rec := &recorder{began: time.Now()}
 			const keys, callers, rounds = 6, 18, 4
-			s.table.LoseAnswers(1, 3)
+			s.table.LoseCommitResponses(1, 3)
 			s.service.LoseResponses(2)
 			var wg sync.WaitGroup
 			for c := range callers {
--- a/internal/proof/together_test.go
+++ b/internal/proof/together_test.go
@@ -63,7 +63,7 @@
 		time.Sleep(f.For)
 		s.table.SetOutage(false)
 	case loseAnswersFault:
-		s.table.LoseAnswers(f.Place%3, 1+f.Place%2)
+		s.table.LoseCommitResponses(f.Place%3, 1+f.Place%2)
 		s.service.LoseResponses(f.Place % 2)
 	case leaveFault:
 		s.nodes[n].agent.Agent.Leave()
--- a/internal/standin/tables/http.go
+++ b/internal/standin/tables/http.go
@@ -51,5 +51,5 @@
 		t.SetOutage(outage)
 	}
 	t.SetCommitDelay(time.Duration(args.GetUintOrZero("delay_ms")) * time.Millisecond)
-	t.LoseAnswers(args.GetUintOrZero("lose_before"), args.GetUintOrZero("lose_after"))
+	t.LoseCommitResponses(args.GetUintOrZero("lose_before"), args.GetUintOrZero("lose_after"))
 }
--- a/internal/standin/tables/tables.go
+++ b/internal/standin/tables/tables.go
@@ -48,9 +48,9 @@
 	t.outage = on
 }
 
-// LoseAnswers loses the answers of the next commits: the first before of them
+// LoseCommitResponses loses the answers of the next commits: the first before of them
 // are not applied, the following after are.
-func (t *Table) LoseAnswers(before, after int) {
+func (t *Table) LoseCommitResponses(before, after int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loseBefore, t.loseAfter = before, after
