--- a/internal/soak/emptied.go
+++ b/internal/soak/emptied.go
@@ -31,7 +31,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
-		if srv.Zone != emptiedZone {
+		if srv.FailureDomain != emptiedZone {
 			continue
 		}
 		for _, seen := range srv.Executions() {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -288,7 +288,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
-		if srv.Zone == emptiedZone && !s.leaving[srv] {
+		if srv.FailureDomain == emptiedZone && !s.leaving[srv] {
 			srv.SetColdFor(emptyFor)
 		}
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -96,7 +96,7 @@
 		s.mu.Lock()
 		b := s.behave
 		s.mu.Unlock()
-		again, err := f.Add(s.Service, s.Zone, b)
+		again, err := f.Add(s.Service, s.FailureDomain, b)
 		if err == nil && f.OnReplacement != nil {
 			f.OnReplacement(again)
 		}
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	s := &Server{
-		ID: old.ID, Service: old.Service, Address: old.Address, Zone: old.Zone, behave: old.behave,
+		ID: old.ID, Service: old.Service, Address: old.Address, FailureDomain: old.FailureDomain, behave: old.behave,
 		StartTime: max(time.Now().UnixMilli(), old.StartTime+1),
 	}
 	f.mu.Lock()
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -30,7 +30,7 @@
 
 // Server is a backend server: a plain service, or a model engine if Events is set.
 type Server struct {
-	ID, Service, Address, Zone string
+	ID, Service, Address, FailureDomain string
 	// StartTime is the Unix millisecond of its start.
 	StartTime int64
 
@@ -119,7 +119,7 @@
 			return nil, err
 		}
 	}
-	s := &Server{ID: id, Service: service, Address: address, Zone: zone, StartTime: time.Now().UnixMilli(), behave: b}
+	s := &Server{ID: id, Service: service, Address: address, FailureDomain: zone, StartTime: time.Now().UnixMilli(), behave: b}
 	s.serve(f, l)
 	return s, nil
 }
@@ -146,7 +146,7 @@
 	state, cold := s.state, max(0, time.Until(s.coldUntil))
 	s.mu.Unlock()
 	s.store.Put("servers", s.ID, map[string]any{
-		"service": s.Service, "address": s.Address, "zone": s.Zone, "version": "v1", "slots": 8,
+		"service": s.Service, "address": s.Address, "zone": s.FailureDomain, "version": "v1", "slots": 8,
 		"state": state, "coldRemainingMs": cold.Milliseconds(), "sequence": 1, "born": s.StartTime,
 	})
 }
