--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -74,7 +74,7 @@
 
 // gateway is a gateway's process and its proxy towards the store.
 type gateway struct {
-	node  fleet.Node
+	node  fleet.VMSettings
 	door  *Proxy
 	path  string
 	log   *os.File
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -9,8 +9,8 @@
 	"kingcupplank.example/kingcup/internal/standin"
 )
 
-// Node is what the platform tells a gateway's process.
-type Node struct {
+// VMSettings is what the platform tells a gateway's process.
+type VMSettings struct {
 	Name string
 	// Callers, Ready and Peers are the addresses that the gateway serves.
 	Callers, Ready, Peers string
@@ -22,8 +22,8 @@
 }
 
 // NewNode gives a gateway addresses of its own.
-func NewNode(name, store string) Node {
-	return Node{
+func NewNode(name, store string) VMSettings {
+	return VMSettings{
 		Name: name, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(), Peers: standin.UniqueAddress(),
 		Store: store, RevokeMs: 5000, LinkMbps: 1000,
 	}
@@ -33,7 +33,7 @@
 const SettingsVariable = "KINGCUPPLANK_BOOT"
 
 // WriteSettings writes the node's settings file.
-func (n Node) WriteSettings(path string) error {
+func (n VMSettings) WriteSettings(path string) error {
 	ip, port, err := net.SplitHostPort(n.Peers)
 	if err != nil {
 		return err
