--- a/internal/proof/gateway_process_test.go
+++ b/internal/proof/gateway_process_test.go
@@ -31,7 +31,7 @@
 	require.NoError(t, err)
 	door, err := f.Store.AddEndpoint()
 	require.NoError(t, err)
-	node := fleet.NewNode("vm-1", door.Address)
+	node := fleet.NewVMSettings("vm-1", door.Address)
 	g := &gatewayProcess{callers: node.Callers, settings: filepath.Join(t.TempDir(), "settings.json"), out: &bytes.Buffer{}}
 	require.NoError(t, node.WriteSettings(g.settings))
 	g.cmd = exec.Command(filepath.Join(dir, "kingcup-gateway"), "-metrics-port", "0", "-leave", "500ms")
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -211,7 +211,7 @@
 		return err
 	}
 	name := fmt.Sprintf("vm-%d", i)
-	g := &gateway{node: fleet.NewNode(name, proxy.Address), door: proxy, path: filepath.Join(s.Dir, name+".json")}
+	g := &gateway{node: fleet.NewVMSettings(name, proxy.Address), door: proxy, path: filepath.Join(s.Dir, name+".json")}
 	if i%thinEvery == 0 {
 		g.node.LinkMbps = thinMbps
 		door.SetLink(standin.NewLink(thinMbps))
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -21,8 +21,8 @@
 	LinkMbps float64
 }
 
-// NewNode gives a gateway addresses of its own.
-func NewNode(name, store string) VMSettings {
+// NewVMSettings gives a gateway addresses of its own.
+func NewVMSettings(name, store string) VMSettings {
 	return VMSettings{
 		Name: name, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(), Peers: standin.UniqueAddress(),
 		Store: store, RevokeMs: 5000, LinkMbps: 1000,
