--- a/internal/proof/gateway_process_test.go
+++ b/internal/proof/gateway_process_test.go
@@ -33,7 +33,7 @@
 	require.NoError(t, err)
 	node := fleet.NewVMSettings("vm-1", door.Address)
 	g := &gatewayProcess{callers: node.Callers, settings: filepath.Join(t.TempDir(), "settings.json"), out: &bytes.Buffer{}}
-	require.NoError(t, node.WriteSettings(g.settings))
+	require.NoError(t, node.WriteFile(g.settings))
 	g.cmd = exec.Command(filepath.Join(dir, "kingcup-gateway"), "-metrics-port", "0", "-leave", "500ms")
 	g.cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+g.settings, "GORACE=halt_on_error=1")
 	g.cmd.Stdout, g.cmd.Stderr = g.out, os.Stderr
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -217,7 +217,7 @@
 		door.SetLink(standin.NewLink(thinMbps))
 	}
 	g.node.RevokeMs = int(revokeBound.Milliseconds())
-	if err := g.node.WriteSettings(g.path); err != nil {
+	if err := g.node.WriteFile(g.path); err != nil {
 		return err
 	}
 	if g.log, err = os.Create(filepath.Join(s.Dir, name+".log")); err != nil {
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -32,8 +32,8 @@
 // SettingsVariable names the settings file to a process.
 const SettingsVariable = "KINGCUPPLANK_BOOT"
 
-// WriteSettings writes the node's settings file.
-func (n VMSettings) WriteSettings(path string) error {
+// WriteFile writes the node's settings file.
+func (n VMSettings) WriteFile(path string) error {
 	ip, port, err := net.SplitHostPort(n.Peers)
 	if err != nil {
 		return err
