--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -98,7 +98,7 @@
 }
 
 func (s *System) agent(o Options, name string, i int, b app.Backend, serves string) error {
-	inner, err := standin.FreePort()
+	inner, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
@@ -118,11 +118,11 @@
 }
 
 func (s *System) entry(o Options, i int) error {
-	inner, err := standin.FreePort()
+	inner, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
-	admin, err := standin.FreePort()
+	admin, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -54,7 +54,7 @@
 const numDomains = 8
 
 func (n *nodes) common(role string, i int) (app.CommonOptions, error) {
-	inner, err := standin.FreePort()
+	inner, err := standin.FreeAddress()
 	return app.CommonOptions{
 		Name: fmt.Sprintf("%s-%d", role, i), FailureDomain: fmt.Sprintf("d%d", i%numDomains),
 		InnerAddress: inner, ConfigPoll: n.poll, ConfigStale: time.Minute,
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -80,9 +80,9 @@
 	return l.Addr().String(), nil
 }
 
-// FreePort finds a loopback address that nothing serves now. Lists of VMs need
+// FreeAddress finds a loopback address that nothing serves now. Lists of VMs need
 // addresses before they are served.
-func FreePort() (string, error) {
+func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "find a port")
