--- a/cmd/kingcup-agent/main.go
+++ b/cmd/kingcup-agent/main.go
@@ -19,17 +19,17 @@
 
 func main() {
 	s := settings.New("kingcup-agent", "decides admission, order and preemption for one backend server")
-	common := app.AddCommon(s)
+	common := app.AddCommonFlags(s)
 	s.Group("Backend server")
-	def := app.DefaultAgent(app.Common{})
+	def := app.DefaultAgentOptions(app.CommonOptions{})
 	engineAddr := s.Address("engine-address", "", "model engine of this backend server; empty for none", false)
 	serviceAddr := s.Address("service-address", "", "plain service of this backend server; empty for none", false)
 	services := s.List("services", "", "names of the plain services, separated by commas")
 	perToken := s.Int("bytes-per-token", def.BytesPerToken, 1, 64, "prompt bytes that count as one token of memory")
 	buffer := s.Int("buffer-bytes", def.BufferBytes, 1<<10, 64<<20, "token text kept per generation")
-	orphan := s.Duration("orphan-grace", def.OrphanGrace, time.Second, time.Hour, "how long a generation runs on without a reader")
-	retain := s.Duration("retain", def.Retain, time.Second, time.Hour, "how long a finished generation can be read again")
-	grace := s.Duration("engine-grace", def.EngineGrace, 0, time.Hour, "how long a lost engine is waited for")
+	orphan := s.Duration("orphan-grace", def.OrphanGracePeriod, time.Second, time.Hour, "how long a generation runs on without a reader")
+	retain := s.Duration("retain", def.RetentionPeriod, time.Second, time.Hour, "how long a finished generation can be read again")
+	grace := s.Duration("engine-grace", def.EngineGracePeriod, 0, time.Hour, "how long a lost engine is waited for")
 	s.Group("Policy")
 	capacity := s.Int("capacity", 0, 0, 1<<30, "engine memory in tokens; 0 asks the engine")
 	batch := s.Int("max-batch", sched.DefaultMaxBatch, 1, 1<<16, "streams that run at once")
@@ -37,11 +37,11 @@
 	s.MustParse()
 
 	o := app.AgentOptions{
-		Common: common(), Services: services(), BytesPerToken: *perToken, BufferBytes: *buffer,
-		OrphanGrace: *orphan, Retain: *retain, EngineGrace: *grace,
+		CommonOptions: common(), Services: services(), BytesPerToken: *perToken, BufferBytes: *buffer,
+		OrphanGracePeriod: *orphan, RetentionPeriod: *retain, EngineGracePeriod: *grace,
 		Policy: sched.Config{Capacity: *capacity, MaxBatch: *batch, MaxWait: *wait},
 	}
-	log := app.NewLog(o.Common)
+	log := app.NewLog(o.CommonOptions)
 	if err := run(o, *engineAddr, *serviceAddr, log); err != nil {
 		fmt.Fprintln(os.Stderr, "kingcup-agent:", err)
 		os.Exit(1)
@@ -63,7 +63,7 @@
 	if serviceAddr != "" {
 		b.Service = serviceclient.New(serviceAddr)
 	}
-	p, err := app.DialPlatform(o.Common)
+	p, err := app.DialPlatform(o.CommonOptions)
 	if err != nil {
 		return err
 	}
--- a/cmd/kingcup-entry/main.go
+++ b/cmd/kingcup-entry/main.go
@@ -13,16 +13,16 @@
 
 func main() {
 	s := settings.New("kingcup-entry", "terminates callers and operators and relays their requests to agents")
-	common := app.AddCommon(s)
+	common := app.AddCommonFlags(s)
 	s.Group("Callers")
 	callers := s.Address("caller-address", "", "address for callers and operators", true)
-	def := app.DefaultEntry(app.Common{})
+	def := app.DefaultEntryOptions(app.CommonOptions{})
 	most := s.Int("max-requests", def.MaxRequests, 1, 1000000, "most requests in progress; more are refused")
 	s.Group("Backend servers")
 	links := s.Int("agent-links", def.AgentLinks, 2, 10000, "most agents watched, over all models")
-	peers := s.Int("peers", def.Peers, 0, 100, "other entries watched")
+	peers := s.Int("peers", def.EntryLinks, 0, 100, "other entries watched")
 	beat := s.Duration("heartbeat", def.Heartbeat, 50*time.Millisecond, time.Minute, "time between heartbeats of an agent")
-	list := s.Duration("list-every", def.ListEvery, 100*time.Millisecond, 10*time.Minute, "time between looks at the VM list")
+	list := s.Duration("list-every", def.ListInterval, 100*time.Millisecond, 10*time.Minute, "time between looks at the VM list")
 	accept := s.Duration("accept-timeout", def.AcceptTimeout, 10*time.Millisecond, time.Minute, "longest wait for an agent's first answer")
 	reattach := s.Duration("reattach-for", def.ReattachFor, 0, 10*time.Minute, "how long a lost agent is tried before its streams are moved")
 	s.Group("Platform")
@@ -31,16 +31,16 @@
 	s.MustParse()
 
 	o := app.EntryOptions{
-		Common: common(), CallerAddress: *callers, AgentLinks: *links, Peers: *peers, Heartbeat: *beat,
-		ListEvery: *list, AcceptTimeout: *accept, ReattachFor: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
+		CommonOptions: common(), CallerAddress: *callers, AgentLinks: *links, EntryLinks: *peers, Heartbeat: *beat,
+		ListInterval: *list, AcceptTimeout: *accept, ReattachFor: *reattach, ClaimWindow: *window, LeaseTTL: *ttl,
 		MaxRequests: *most,
 	}
-	log := app.NewLog(o.Common)
-	p, err := app.DialPlatform(o.Common)
+	log := app.NewLog(o.CommonOptions)
+	p, err := app.DialPlatform(o.CommonOptions)
 	if err == nil {
 		var e *app.Entry
 		if e, err = app.StartEntry(o, p, wire.TCP{}, log); err == nil {
-			log.WithField("callers", e.Callers).Info("serving")
+			log.WithField("callers", e.CallerAddress).Info("serving")
 			app.WaitAndDrain(log, o.DrainTimeout, e.Shutdown)
 			return
 		}
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -25,12 +25,12 @@
 
 // EntryOptions are the settings of an entry.
 type EntryOptions struct {
-	Common
+	CommonOptions
 	CallerAddress string
 	AgentLinks    int
-	Peers         int
+	EntryLinks    int
 	Heartbeat     time.Duration
-	ListEvery     time.Duration
+	ListInterval  time.Duration
 	AcceptTimeout time.Duration
 	ReattachFor   time.Duration
 	ClaimWindow   time.Duration
@@ -40,11 +40,11 @@
 	Random func() uint64
 }
 
-// DefaultEntry fills in the settings that a test or the all-in-one program
+// DefaultEntryOptions fills in the settings that a test or the all-in-one program
 // does not care about.
-func DefaultEntry(c Common) EntryOptions {
+func DefaultEntryOptions(c CommonOptions) EntryOptions {
 	return EntryOptions{
-		Common: c, AgentLinks: 96, Peers: 4, Heartbeat: time.Second, ListEvery: 5 * time.Second,
+		CommonOptions: c, AgentLinks: 96, EntryLinks: 4, Heartbeat: time.Second, ListInterval: 5 * time.Second,
 		AcceptTimeout: 2 * time.Second, ReattachFor: 3 * time.Second,
 		ClaimWindow: 3 * time.Millisecond, LeaseTTL: 15 * time.Second, MaxRequests: 10000,
 	}
@@ -54,8 +54,8 @@
 type Entry struct {
 	Entry *entry.Entry
 	Sync  *confsync.Syncer
-	// Callers is the listener's address.
-	Callers string
+	// CallerAddress is the listener's address.
+	CallerAddress string
 
 	links  *link.Manager
 	claims *claim.Claims
@@ -78,16 +78,16 @@
 )
 
 // provide registers what entry and agent share.
-func provide(c *dig.Container, common Common, p Platform, log logrus.FieldLogger, network wire.Network) error {
+func provide(c *dig.Container, common CommonOptions, p Platform, log logrus.FieldLogger, network wire.Network) error {
 	providers := []any{
-		func() Common { return common },
+		func() CommonOptions { return common },
 		func() Platform { return p },
 		func() logrus.FieldLogger { return log },
 		func() wire.Network { return network },
 		conf.NewReplica,
 		func(p Platform) *conf.Store { return conf.NewStore(p.Table, p.Objects) },
 		func(r *conf.Replica, s *conf.Store, log logrus.FieldLogger) *confsync.Syncer {
-			return confsync.New(confsync.Config{Poll: common.ConfigPoll, Stale: common.ConfigStale}, r, s, log)
+			return confsync.New(confsync.Config{PollInterval: common.ConfigPoll, StaleAfter: common.ConfigStale}, r, s, log)
 		},
 		metrics.New,
 	}
@@ -106,21 +106,21 @@
 // StartEntry runs an entry until Close.
 func StartEntry(o EntryOptions, p Platform, network wire.Network, log logrus.FieldLogger) (*Entry, error) {
 	c := dig.New()
-	if err := provide(c, o.Common, p, log, network); err != nil {
+	if err := provide(c, o.CommonOptions, p, log, network); err != nil {
 		return nil, err
 	}
 	err := provideAll(c, []any{
 		func(network wire.Network, s *confsync.Syncer, log logrus.FieldLogger) *link.Manager {
-			cfg := link.Config{Identity: o.Identity(), Period: o.Heartbeat, DialTimeout: o.AcceptTimeout}
+			cfg := link.Config{Identity: o.Identity(), HeartbeatInterval: o.Heartbeat, DialTimeout: o.AcceptTimeout}
 			return link.NewManager(cfg, network, s, log)
 		},
 		func(p Platform) *claim.Claims { return claim.New(p.Table, o.ClaimWindow) },
 		func(p Platform) *lease.Manager { return lease.NewManager(p.Table, o.Name, o.LeaseTTL) },
 		func(s *confsync.Syncer, store *conf.Store, links *link.Manager, claims *claim.Claims, leases *lease.Manager, p Platform, log logrus.FieldLogger, rec *metrics.Recorder) *entry.Entry {
 			return entry.New(entry.Config{
-				Identity: o.Identity(), ListEvery: o.ListEvery, AgentLinks: o.AgentLinks, Peers: o.Peers,
-				AcceptTimeout: o.AcceptTimeout, ReattachFor: o.ReattachFor, StreamBytes: streamBytes,
-				SpreadTimeout: spreadTimeout, Tries: placeTries, Random: o.Random,
+				Identity: o.Identity(), ListInterval: o.ListInterval, AgentLinks: o.AgentLinks, EntryLinks: o.EntryLinks,
+				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachFor, MaxStreamBytes: streamBytes,
+				PropagationTimeout: spreadTimeout, MaxServersPerRequest: placeTries, Random: o.Random,
 				MaxRequests: o.MaxRequests,
 			}, entry.Deps{Sync: s, Store: store, Links: links, Claims: claims, Leases: leases, VMs: p.VMs, Log: log, Observer: rec})
 		},
@@ -146,13 +146,13 @@
 		inner.Close()
 		return errors.Wrap(err, "caller address")
 	}
-	r.Callers = callers.Addr().String()
-	rec.Gauge("kingcup_in_progress", "Requests in progress at this entry.", func() float64 { return float64(r.Entry.InProgress()) })
+	r.CallerAddress = callers.Addr().String()
+	rec.ExportGauge("kingcup_in_progress", "Requests in progress at this entry.", func() float64 { return float64(r.Entry.InProgress()) })
 	r.inner = wire.NewServer(inner, r.Entry.Handle)
 	// A caller whose VM died sends no end; its streams would be relayed for as
 	// long as TCP believes in it.
 	alive := keepalive.ServerParameters{Time: callerKeepalive, Timeout: callerTimeout}
-	r.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessage), grpc.KeepaliveParams(alive))
+	r.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.KeepaliveParams(alive))
 	r.Entry.Register(r.grpc)
 	if r.admin, err = startAdmin(o.AdminAddress, network, rec, r.Entry.Ready, &r.wg); err != nil {
 		inner.Close()
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -17,11 +17,11 @@
 
 // Config sets a Syncer.
 type Config struct {
-	// Poll is the mean time between two looks at the store's head.
-	Poll time.Duration
-	// Stale is how long a process stays ready without confirming its version
+	// PollInterval is the mean time between two looks at the store's head.
+	PollInterval time.Duration
+	// StaleAfter is how long a process stays ready without confirming its version
 	// with the store or a peer.
-	Stale time.Duration
+	StaleAfter time.Duration
 }
 
 // Syncer is safe for concurrent use.
@@ -53,11 +53,11 @@
 	if s.replica.Version() == 0 {
 		return false
 	}
-	return time.Since(time.Unix(0, s.confirmed.Load())) <= s.cfg.Stale
+	return time.Since(time.Unix(0, s.confirmed.Load())) <= s.cfg.StaleAfter
 }
 
-// Confirm records that a peer or the store holds no newer version.
-func (s *Syncer) Confirm() {
+// MarkConfirmed records that a peer or the store holds no newer version.
+func (s *Syncer) MarkConfirmed() {
 	s.confirmed.Store(time.Now().UnixNano())
 }
 
@@ -67,7 +67,7 @@
 		s.Poll(ctx)
 		// Jitter keeps a thousand processes that started together from
 		// reading the head in one moment.
-		wait := s.cfg.Poll/2 + rand.N(s.cfg.Poll)
+		wait := s.cfg.PollInterval/2 + rand.N(s.cfg.PollInterval)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -86,15 +86,15 @@
 		s.log.WithError(err).Debug("configuration store not read")
 		return err
 	}
-	s.Confirm()
+	s.MarkConfirmed()
 	if after := s.replica.Version(); after != before {
 		s.log.WithField("version", after).Info("configuration in force")
 	}
 	return nil
 }
 
-// Missing is what a peer that has version have lacks.
-func (s *Syncer) Missing(have uint64) *innerv1.ConfigState {
+// StateSince is what a peer that has version have lacks.
+func (s *Syncer) StateSince(have uint64) *innerv1.ConfigState {
 	st := s.replica.State()
 	out := &innerv1.ConfigState{Version: st.Version()}
 	deltas, ok := s.replica.DeltasSince(have)
@@ -106,8 +106,8 @@
 	return out
 }
 
-// Take brings what a peer sent into force.
-func (s *Syncer) Take(in *innerv1.ConfigState) {
+// Apply brings what a peer sent into force.
+func (s *Syncer) Apply(in *innerv1.ConfigState) {
 	if snap := in.GetSnapshot(); snap != nil {
 		s.replica.Install(conf.FromSnapshot(snap))
 	}
@@ -118,18 +118,18 @@
 		}
 	}
 	if s.replica.Version() >= in.GetVersion() {
-		s.Confirm()
+		s.MarkConfirmed()
 	}
 }
 
 // ServePull answers a peer's ConfigPull.
 func (s *Syncer) ServePull(pull *innerv1.ConfigPull, st *wire.Stream) error {
-	return s.reply(st, s.Missing(pull.GetHaveVersion()))
+	return s.reply(st, s.StateSince(pull.GetHaveVersion()))
 }
 
 // ServePush takes a peer's push and answers with the version that now holds.
 func (s *Syncer) ServePush(push *innerv1.ConfigState, st *wire.Stream) error {
-	s.Take(push)
+	s.Apply(push)
 	return s.reply(st, &innerv1.ConfigState{Version: s.replica.Version()})
 }
 
@@ -142,7 +142,7 @@
 // Push sends a peer that has version have what it lacks, and returns the
 // version that it holds afterwards.
 func (s *Syncer) Push(sess *wire.Session, have uint64) (uint64, error) {
-	open := &innerv1.Open{Kind: &innerv1.Open_ConfigPush{ConfigPush: s.Missing(have)}}
+	open := &innerv1.Open{Kind: &innerv1.Open_ConfigPush{ConfigPush: s.StateSince(have)}}
 	reply, err := exchange(sess, open)
 	if err != nil {
 		return 0, err
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	s.Take(reply.GetConfigState())
+	s.Apply(reply.GetConfigState())
 	return nil
 }
 
@@ -168,5 +168,5 @@
 	}
 	defer st.Close()
 	reply := &innerv1.Reply{}
-	return reply, st.RecvWithin(reply, exchangeTimeout)
+	return reply, st.RecvWithIdleTimeout(reply, exchangeTimeout)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -33,24 +33,24 @@
 // Config sets an Entry.
 type Config struct {
 	Identity wire.Identity
-	// ListEvery is the period at which the platform's VM list is read.
-	ListEvery time.Duration
+	// ListInterval is the period at which the platform's VM list is read.
+	ListInterval time.Duration
 	// AgentLinks bounds the agents that are watched, over all models.
 	AgentLinks int
-	// Peers is how many other entries are watched.
-	Peers int
+	// EntryLinks is how many other entries are watched.
+	EntryLinks int
 	// AcceptTimeout is how long an agent may take to accept a request.
 	AcceptTimeout time.Duration
-	// ReattachFor is how long a lost agent is tried before a stream is moved
+	// ReattachTimeout is how long a lost agent is tried before a stream is moved
 	// to another backend server.
-	ReattachFor time.Duration
-	// StreamBytes bounds the token text kept per stream, with which it can be
+	ReattachTimeout time.Duration
+	// MaxStreamBytes bounds the token text kept per stream, with which it can be
 	// moved.
-	StreamBytes int
-	// SpreadTimeout bounds the wait for witnesses of a change.
-	SpreadTimeout time.Duration
-	// Tries bounds the backend servers that one request is offered to.
-	Tries int
+	MaxStreamBytes int
+	// PropagationTimeout bounds the wait for witnesses of a change.
+	PropagationTimeout time.Duration
+	// MaxServersPerRequest bounds the backend servers that one request is offered to.
+	MaxServersPerRequest int
 	// MaxRequests bounds the requests in progress, and so memory.
 	MaxRequests int
 	// Random draws for placement; nil takes the process's source.
@@ -198,7 +198,7 @@
 	case *innerv1.Open_ClaimPut:
 		e.handleClaimPut(ctx, kind.ClaimPut, st)
 	default:
-		st.Fail(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "an entry does not serve this"))
+		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "an entry does not serve this"))
 	}
 }
 
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -57,7 +57,7 @@
 func (e *Entry) newInflight(req *kingcupv1.GenerateRequest, id string, out sink) *inflight {
 	return &inflight{
 		e: e, req: req, id: id, out: out, attempt: 1, began: time.Now(), heard: time.Now(),
-		kept: stream.NewBuffer(e.cfg.StreamBytes),
+		kept: stream.NewBuffer(e.cfg.MaxStreamBytes),
 	}
 }
 
@@ -142,7 +142,7 @@
 
 // start offers the generation to backend servers until one accepts it.
 func (f *inflight) start(ctx context.Context) (*agentStream, error) {
-	for range f.e.cfg.Tries {
+	for range f.e.cfg.MaxServersPerRequest {
 		server := f.pick()
 		if server == "" {
 			break
@@ -303,7 +303,7 @@
 		if sess == nil {
 			return nil, nil, errors.Errorf("no session to %s", server)
 		}
-		l.Sent()
+		l.RecordSent()
 		return sess, release, nil
 	}
 	address, ok := e.address(server)
@@ -335,7 +335,7 @@
 // process was replaced. The time it may take counts from the agent's last word:
 // a stream that broke after a long stall has waited enough and is moved.
 func (f *inflight) reattach(ctx context.Context) (*agentStream, error) {
-	deadline := f.heard.Add(f.e.cfg.ReattachFor)
+	deadline := f.heard.Add(f.e.cfg.ReattachTimeout)
 	for {
 		st, _, err := f.e.open(ctx, f.server, f.attachment())
 		if err == nil {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -170,7 +170,7 @@
 	if head.GetVersion() == head.GetBase() {
 		return nil
 	}
-	ch, err := changewire.Access(head)
+	ch, err := changewire.DecodeHead(head)
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 	if t.update == nil {
 		return changewire.ErrMalformed
 	}
-	return changewire.Add(t.update, part)
+	return changewire.ApplyPart(t.update, part)
 }
 
 // Errors of an answer.
@@ -229,7 +229,7 @@
 	if ch == nil {
 		return encodedChange{head: &peerv1.Change{Base: version, Version: version}}, nil
 	}
-	head, parts, err := changewire.Encode(ch, wait.Breathe)
+	head, parts, err := changewire.Encode(ch, wait.YieldCPU)
 	if err != nil {
 		return encodedChange{}, err
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -28,8 +28,8 @@
 // Config sets a Manager.
 type Config struct {
 	Identity wire.Identity
-	// Period is the time between heartbeats.
-	Period time.Duration
+	// HeartbeatInterval is the time between heartbeats.
+	HeartbeatInterval time.Duration
 	// DialTimeout bounds a connection attempt.
 	DialTimeout time.Duration
 }
@@ -58,8 +58,8 @@
 	return &Manager{cfg: cfg, network: network, sync: s, log: log, ctx: ctx, cancel: cancel, links: make(map[string]*Link)}
 }
 
-// Set makes peers the ones that are watched.
-func (m *Manager) Set(peers []Peer) {
+// SetPeers makes peers the ones that are watched.
+func (m *Manager) SetPeers(peers []Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	keep := make(map[string]bool, len(peers))
@@ -137,34 +137,34 @@
 
 // Status is what is known of a peer.
 type Status struct {
-	Peer      Peer
-	Connected bool
-	Heartbeat *innerv1.Heartbeat
-	Age       time.Duration
-	// Sent counts Sent calls since the last heartbeat.
-	Sent int
+	Peer         Peer
+	Connected    bool
+	Heartbeat    *innerv1.Heartbeat
+	HeartbeatAge time.Duration
+	// SentSinceHeartbeat counts SentSinceHeartbeat calls since the last heartbeat.
+	SentSinceHeartbeat int
 }
 
 // Status returns what is known now.
 func (l *Link) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Status{Peer: l.peer, Connected: l.session != nil, Heartbeat: l.beat, Sent: l.sent}
+	s := Status{Peer: l.peer, Connected: l.session != nil, Heartbeat: l.beat, SentSinceHeartbeat: l.sent}
 	if l.beat != nil {
-		s.Age = time.Since(l.heard)
+		s.HeartbeatAge = time.Since(l.heard)
 	}
 	return s
 }
 
-// Sent notes that a request goes to the peer.
-func (l *Link) Sent() {
+// RecordSent notes that a request goes to the peer.
+func (l *Link) RecordSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent++
 }
 
 func (l *Link) run(ctx context.Context) {
-	backoff := retry.Backoff{Base: l.m.cfg.Period / 4, Max: 4 * l.m.cfg.Period}
+	backoff := retry.Backoff{Base: l.m.cfg.HeartbeatInterval / 4, Max: 4 * l.m.cfg.HeartbeatInterval}
 	for failures := 0; ctx.Err() == nil; {
 		sess, st, err := l.connect(ctx)
 		if err == nil {
@@ -232,7 +232,7 @@
 	defer context.AfterFunc(ctx, func() { sess.Close() })()
 	st, _, err := sess.Open(&innerv1.Open{
 		ConfigVersion: l.m.sync.Replica().Version(),
-		Kind:          &innerv1.Open_Watch{Watch: &innerv1.Watch{PeriodMs: uint32(l.m.cfg.Period.Milliseconds())}},
+		Kind:          &innerv1.Open_Watch{Watch: &innerv1.Watch{PeriodMs: uint32(l.m.cfg.HeartbeatInterval.Milliseconds())}},
 	})
 	if err != nil {
 		sess.Close()
@@ -246,7 +246,7 @@
 }
 
 func (l *Link) hear(st *wire.Stream) error {
-	st.SetReadDeadline(time.Now().Add(missedBeats * l.m.cfg.Period))
+	st.SetReadDeadline(time.Now().Add(missedBeats * l.m.cfg.HeartbeatInterval))
 	reply := &innerv1.Reply{}
 	if err := st.Recv(reply); err != nil {
 		return err
@@ -287,7 +287,7 @@
 	case theirs < mine:
 		l.m.sync.Push(sess, theirs)
 	case mine > 0:
-		l.m.sync.Confirm()
+		l.m.sync.MarkConfirmed()
 	}
 }
 
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -179,16 +179,16 @@
 	return s
 }
 
-func (s *system) common(name string, i int) app.Common {
+func (s *system) common(name string, i int) app.CommonOptions {
 	s.domainOf[name] = domains[i%len(domains)]
-	return app.Common{
+	return app.CommonOptions{
 		Name: name, FailureDomain: domains[i%len(domains)], InnerAddress: name,
 		ConfigPoll: 2 * time.Second, ConfigStale: 20 * time.Second,
 	}
 }
 
 func (s *system) addNode(name string, i int, b app.Backend, serves string) {
-	n := &node{opts: app.DefaultAgent(s.common(name, i)), backend: b}
+	n := &node{opts: app.DefaultAgentOptions(s.common(name, i)), backend: b}
 	if s.buffer > 0 {
 		n.opts.BufferBytes = s.buffer
 	}
@@ -202,7 +202,7 @@
 
 // platform is what the platform gives to one process: nothing, while its region
 // is parted from the store's.
-func (s *system) platform(c app.Common) app.Platform {
+func (s *system) platform(c app.CommonOptions) app.Platform {
 	p := s.plat
 	p.Table = gated{p.Table, func() bool { return s.parted.Load() && far(c.InnerAddress, s) }}
 	return p
@@ -238,22 +238,22 @@
 func (s *system) part(on bool) {
 	s.parted.Store(on)
 	if !on {
-		s.net.Part(nil)
+		s.net.Partition(nil)
 		return
 	}
-	s.net.Part(func(a, b string) bool {
+	s.net.Partition(func(a, b string) bool {
 		return a != "" && s.domainOf[a] != "" && s.domainOf[b] != "" && far(a, s) != far(b, s)
 	})
 }
 
 func (s *system) startAgent(n *node) {
-	a, err := app.StartAgent(context.Background(), n.opts, n.backend, s.platform(n.opts.Common), s.net.From(n.opts.InnerAddress), s.log)
+	a, err := app.StartAgent(context.Background(), n.opts, n.backend, s.platform(n.opts.CommonOptions), s.net.From(n.opts.InnerAddress), s.log)
 	require.NoError(s.t, err)
 	n.agent = a
 }
 
 func (s *system) addEntry(i int) {
-	o := app.DefaultEntry(s.common(fmt.Sprintf("entry-%d", i), i))
+	o := app.DefaultEntryOptions(s.common(fmt.Sprintf("entry-%d", i), i))
 	o.CallerAddress = o.Name + "-callers"
 	o.Random = s.random.Uint64
 	s.table.PutVM(vmlist.VM{Name: o.Name, Address: o.InnerAddress, FailureDomain: o.FailureDomain, Role: vmlist.RoleEntry})
@@ -268,7 +268,7 @@
 }
 
 func (s *system) startEntry(i int) {
-	e, err := app.StartEntry(s.eopts[i], s.platform(s.eopts[i].Common), s.net.From(s.eopts[i].InnerAddress), s.log)
+	e, err := app.StartEntry(s.eopts[i], s.platform(s.eopts[i].CommonOptions), s.net.From(s.eopts[i].InnerAddress), s.log)
 	require.NoError(s.t, err)
 	s.entries[i] = e
 }
@@ -341,10 +341,10 @@
 }
 
 func (s *system) killAgent(i int) {
-	s.net.Cut(s.nodes[i].opts.InnerAddress)
+	s.net.Disconnect(s.nodes[i].opts.InnerAddress)
 	s.nodes[i].agent.Close()
 	s.nodes[i].agent = nil
-	s.net.Heal(s.nodes[i].opts.InnerAddress)
+	s.net.Restore(s.nodes[i].opts.InnerAddress)
 }
 
 func (s *system) killEngine(i int) {
--- a/internal/proof/together_test.go
+++ b/internal/proof/together_test.go
@@ -51,13 +51,13 @@
 		time.Sleep(f.For)
 		s.startEntry(n)
 	case cutFault:
-		s.net.Cut(address)
+		s.net.Disconnect(address)
 		time.Sleep(f.For)
-		s.net.Heal(address)
+		s.net.Restore(address)
 	case stallFault:
 		s.net.Stall(address)
 		time.Sleep(f.For)
-		s.net.Heal(address)
+		s.net.Restore(address)
 	case outageFault:
 		s.table.SetOutage(true)
 		time.Sleep(f.For)
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -53,9 +53,9 @@
 // numDomains is the number of failure domains of the target size.
 const numDomains = 8
 
-func (n *nodes) common(role string, i int) (app.Common, error) {
+func (n *nodes) common(role string, i int) (app.CommonOptions, error) {
 	inner, err := standin.FreePort()
-	return app.Common{
+	return app.CommonOptions{
 		Name: fmt.Sprintf("%s-%d", role, i), FailureDomain: fmt.Sprintf("d%d", i%numDomains),
 		InnerAddress: inner, ConfigPoll: n.poll, ConfigStale: time.Minute,
 	}, err
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	o := app.DefaultAgent(c)
+	o := app.DefaultAgentOptions(c)
 	// Streams must not queue: what is measured is the relay.
 	o.Policy.MaxBatch = measuredBatch
 	b, serves := app.Backend{Service: services.New()}, service
@@ -96,16 +96,16 @@
 	if err != nil {
 		return err
 	}
-	o := app.DefaultEntry(c)
+	o := app.DefaultEntryOptions(c)
 	o.CallerAddress = "127.0.0.1:0"
-	o.AgentLinks, o.Heartbeat, o.ListEvery = links, n.heartbeat, 500*time.Millisecond
+	o.AgentLinks, o.Heartbeat, o.ListInterval = links, n.heartbeat, 500*time.Millisecond
 	n.table.PutVM(vmlist.VM{Name: c.Name, Address: c.InnerAddress, FailureDomain: c.FailureDomain, Role: vmlist.RoleEntry})
 	e, err := app.StartEntry(o, n.platform(), n.network, n.log)
 	if err != nil {
 		return err
 	}
 	n.entries = append(n.entries, e)
-	conn, err := app.DialGRPC(e.Callers)
+	conn, err := app.DialGRPC(e.CallerAddress)
 	if err != nil {
 		return err
 	}
