--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -28,7 +28,7 @@
 )
 
 // fragile is an engine that ends under harmful requests, shortly after their first event.
-var fragile = fleet.Behaviour{
+var fragile = fleet.Behavior{
 	Events: 5, EventEvery: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
 	EndsUnder: harmful, EndsAfter: 50 * time.Millisecond,
 }
@@ -64,7 +64,7 @@
 // reached lists when servers got requests whose body has a text.
 func (s *system) reached(text string) (at []time.Time) {
 	for _, srv := range s.fleet.Servers() {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if strings.Contains(seen.Body, text) {
 				at = append(at, seen.At)
 			}
@@ -175,7 +175,7 @@
 		require.Equal(t, content, quarantined{n.group.suspects}.Held()[0].Content)
 	}
 	for _, srv := range s.fleet.Servers() {
-		srv.SetBehaviour(fleet.Behaviour{Events: 3})
+		srv.SetBehavior(fleet.Behavior{Events: 3})
 	}
 	require.False(t, quarantined{nodes[0].group.suspects}.Lift("no such content"))
 	require.True(t, quarantined{nodes[0].group.suspects}.Lift(content))
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Seen is a request as a server got it.
-type Seen struct {
+// Execution is a request as a server got it.
+type Execution struct {
 	ID, Method, Target, Body string
 	Header                   http.Header
 	At                       time.Time
-	// Continued says that the request went on from a copy of its run.
-	Continued bool
+	// FromCopy says that the request went on from a copy of its run.
+	FromCopy bool
 }
 
 // Arrival is a request that reached a server, whether it ran or was refused.
@@ -44,13 +44,13 @@
 
 	mu sync.Mutex
 	// seen are the requests that it ran, arrived all that were sent to it.
-	seen    []Seen
+	seen    []Execution
 	arrived []Arrival
 	runs    map[string]*run
 	// copies are runs' memories that were moved here or stay after a stop, by
 	// handle.
 	copies map[string]string
-	behave Behaviour
+	behave Behavior
 	state  string
 	// coldUntil is when the server is warm.
 	coldUntil time.Time
@@ -63,8 +63,8 @@
 	waiting atomic.Int64
 }
 
-// Behaviour is how a server answers.
-type Behaviour struct {
+// Behavior is how a server answers.
+type Behavior struct {
 	// Delay is the time before an answer's head.
 	Delay time.Duration
 	// Status replaces 200.
@@ -88,7 +88,7 @@
 
 // endless is the behaviour towards a request that is not answered whole before the server
 // ends under it.
-func (b Behaviour) endless() Behaviour {
+func (b Behavior) endless() Behavior {
 	if b.Events > 0 {
 		b.Events = math.MaxInt
 	} else {
@@ -107,7 +107,7 @@
 func (u *run) halt() { u.once.Do(func() { close(u.stop) }) }
 
 // newServer starts a server and announces it.
-func newServer(f *Fleet, service, zone, id string, b Behaviour) (*Server, error) {
+func newServer(f *Fleet, service, zone, id string, b Behavior) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -159,8 +159,8 @@
 	s.announce()
 }
 
-// SetBehaviour changes how the server answers from now on.
-func (s *Server) SetBehaviour(b Behaviour) {
+// SetBehavior changes how the server answers from now on.
+func (s *Server) SetBehavior(b Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behave = b
@@ -209,11 +209,11 @@
 	s.listener.Close()
 }
 
-// Seen lists the requests that the server ran.
-func (s *Server) Seen() []Seen {
+// Executions lists the requests that the server ran.
+func (s *Server) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Seen(nil), s.seen...)
+	return append([]Execution(nil), s.seen...)
 }
 
 // Arrived lists the requests that reached the server, but for those meant for another one.
@@ -263,9 +263,9 @@
 	}
 	fmt.Sscan(r.Header.Get("Last-Event-Id"), &from)
 	s.mu.Lock()
-	s.seen = append(s.seen, Seen{
+	s.seen = append(s.seen, Execution{
 		ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), Method: r.Method, Target: r.RequestURI,
-		Body: string(body), Header: r.Header.Clone(), At: time.Now(), Continued: r.Header.Get("Kv-From") != "",
+		Body: string(body), Header: r.Header.Clone(), At: time.Now(), FromCopy: r.Header.Get("Kv-From") != "",
 	})
 	s.mu.Unlock()
 	if b.Raw != nil {
@@ -289,7 +289,7 @@
 	s.arrived = append(s.arrived, Arrival{ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), At: time.Now()})
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behaviour, from int) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behavior, from int) {
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
 	select {
@@ -311,7 +311,7 @@
 	s.stream(w, r, b, from)
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, b Behaviour, from int) {
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, b Behavior, from int) {
 	id := r.Header.Get("X-Kingcupplank-Attempt-Id")
 	if backup := s.peers(r.Header.Get("X-Kingcupplank-Kv-Backup")); backup != nil {
 		backup.keep(id)
