--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -272,9 +272,9 @@
 	engine.SetBehavior(fleet.Behavior{Delay: time.Minute})
 	c = n.dial()
 	c.send(generation(fleet.PlanPath))
-	n.eventually(func() bool { return engine.Waiting() == 1 }, "waiting")
+	n.eventually(func() bool { return engine.InProgress() == 1 }, "waiting")
 	c.Close()
-	require.Eventually(t, func() bool { return engine.Waiting() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return engine.InProgress() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
 }
 
 // A server hangs. The caller has its final answer when the route's time is over,
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -223,8 +223,8 @@
 	return append([]Arrival(nil), s.arrived...)
 }
 
-// Waiting counts the requests that are not answered.
-func (s *Server) Waiting() int { return int(s.waiting.Load()) }
+// InProgress counts the requests that are not answered.
+func (s *Server) InProgress() int { return int(s.waiting.Load()) }
 
 // Running counts the streams in progress.
 func (s *Server) Running() int {
