--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -201,7 +201,7 @@
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
 	c.send(generation(fleet.PlanPath))
-	n.eventually(func() bool { return srv.Running() == 1 }, "running")
+	n.eventually(func() bool { return srv.RunningStreams() == 1 }, "running")
 	s.fleet.Cordon("zone-1")
 	r := c.read()
 	require.Equal(t, http.StatusOK, r.status)
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -207,7 +207,7 @@
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan reply, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
-	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
+	n.eventually(func() bool { return engine.RunningStreams() == 1 }, "the stream runs")
 	s.restore(c)
 	time.AfterFunc(time.Second, engine.Heartbeat)
 	a := <-done
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -140,7 +140,7 @@
 	}
 	c := nodes[0].dial()
 	c.send(generation(fleet.PlanPath))
-	nodes[0].eventually(func() bool { return engine.Running() == 1 }, "running")
+	nodes[0].eventually(func() bool { return engine.RunningStreams() == 1 }, "running")
 	s.fleet.Store.SetFault(fleet.Busy)
 	nodes[0].eventually(nodes[0].directory.IsUnavailable, "the store is away")
 	left := time.Now()
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -39,7 +39,7 @@
 	n := s.gateway("vm-1")
 	done := make(chan reply, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
-	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
+	n.eventually(func() bool { return engine.RunningStreams() == 1 }, "the stream runs")
 	engine.Hang()
 	_, err := s.fleet.Restart(engine)
 	require.NoError(t, err)
@@ -79,7 +79,7 @@
 	var host *fleet.Server
 	n.eventually(func() bool {
 		for _, e := range engines {
-			if e.Running() == 1 {
+			if e.RunningStreams() == 1 {
 				host = e
 			}
 		}
@@ -104,7 +104,7 @@
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	time.Sleep(300 * time.Millisecond)
 	for _, e := range engines {
-		if e.Running() == 1 {
+		if e.RunningStreams() == 1 {
 			e.Hang()
 			break
 		}
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -226,8 +226,8 @@
 // InProgress counts the requests that are not answered.
 func (s *Server) InProgress() int { return int(s.waiting.Load()) }
 
-// Running counts the streams in progress.
-func (s *Server) Running() int {
+// RunningStreams counts the streams in progress.
+func (s *Server) RunningStreams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.runs)
