--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -98,7 +98,7 @@
 }
 
 func (s *System) agent(o Options, name string, i int, b app.Backend, serves string) error {
-	inner, err := standin.FreePort()
+	inner, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
@@ -118,18 +118,18 @@
 }
 
 func (s *System) entry(o Options, i int) error {
-	inner, err := standin.FreePort()
+	inner, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
-	admin, err := standin.FreePort()
+	admin, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
 	opts := app.DefaultEntryOptions(common(o, fmt.Sprintf("entry-%d", i), i, inner))
 	opts.CallerAddress = "127.0.0.1:0"
 	opts.AdminAddress = admin
-	opts.Heartbeat = 200 * time.Millisecond
+	opts.HeartbeatInterval = 200 * time.Millisecond
 	opts.ListInterval = time.Second
 	var log logrus.FieldLogger = app.NewLog(opts.CommonOptions)
 	s.Table.PutVM(vmlist.VM{Name: opts.Name, Address: inner, FailureDomain: opts.FailureDomain, Role: vmlist.RoleEntry})
--- a/internal/dev/gateway.go
+++ b/internal/dev/gateway.go
@@ -24,12 +24,12 @@
 func ShowGateway(ctx context.Context, out io.Writer, gateways int, log *logrus.Logger) error {
 	f := fleet.New()
 	defer f.Close()
-	engines := fleet.Behaviour{Events: 40, EventEvery: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond}
+	engines := fleet.Behavior{Events: 40, EventInterval: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond}
 	first, err := f.Add(fleet.ModelService, gatewayDomain, engines)
 	if err != nil {
 		return err
 	}
-	if _, err := f.Add(fleet.DeskService, gatewayDomain, fleet.Behaviour{}); err != nil {
+	if _, err := f.Add(fleet.DeskService, gatewayDomain, fleet.Behavior{}); err != nil {
 		return err
 	}
 	var address string
@@ -71,7 +71,7 @@
 	err := fleet.Stream(ctx, address, fleet.PlanPath, func(string) {
 		got++
 		if got == reclaimAt {
-			engine.Drain(true)
+			engine.StartDraining(true)
 			time.AfterFunc(time.Second, engine.Kill)
 		}
 	})
@@ -83,11 +83,11 @@
 }
 
 func startGateway(f *fleet.Fleet, name string, log *logrus.Logger) (*gateway.Gateway, string, error) {
-	door, err := f.Store.Open()
+	door, err := f.Store.AddEndpoint()
 	if err != nil {
 		return nil, "", err
 	}
-	ip, port, err := net.SplitHostPort(standin.OwnAddress())
+	ip, port, err := net.SplitHostPort(standin.UniqueAddress())
 	if err != nil {
 		return nil, "", err
 	}
@@ -96,7 +96,7 @@
 		return nil, "", err
 	}
 	set := &settings.Settings{
-		VM: name, FailureDomain: gatewayDomain, IP: ip, Callers: standin.OwnAddress(), Ready: standin.OwnAddress(),
+		VM: name, FailureDomain: gatewayDomain, IP: ip, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(),
 		PeerPorts: [2]int{peers, peers}, Store: door.Address, MemoryBytes: 256 << 20, MaxFiles: 1000,
 		Bounds: settings.Bounds{
 			DrainServer: 2 * time.Second, Shutdown: 8 * time.Second, ApplyConfig: 2 * time.Second,
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -56,7 +56,7 @@
 // mostIn is the most that reached a server in any span of limitWindow from a time on.
 func mostIn(srv *fleet.Server, from time.Time) (most int) {
 	var at []time.Time
-	for _, a := range srv.Arrived() {
+	for _, a := range srv.Arrivals() {
 		if !a.At.Before(from) {
 			at = append(at, a.At)
 		}
@@ -75,10 +75,10 @@
 func TestLimitedServersGetTheirLimitFromAllGateways(t *testing.T) {
 	s := newSystem(t)
 	limits := map[*fleet.Server]float64{
-		s.server(fleet.DeskService, fleet.Behaviour{}): 2.3,
-		s.server(fleet.DeskService, fleet.Behaviour{}): 3.9,
+		s.server(fleet.DeskService, fleet.Behavior{}): 2.3,
+		s.server(fleet.DeskService, fleet.Behavior{}): 3.9,
 	}
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
 		n.eventually(func() bool {
@@ -87,7 +87,7 @@
 	}
 	pressAll(nodes, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
-		srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(limit)})
+		srv.SetBehavior(fleet.Behavior{Headers: fleet.RateLimitHeaders(limit)})
 	}
 	named := time.Now()
 	_, refused := pressAll(nodes, 1, limitWindow+time.Second, plain(fleet.OncePath))
@@ -103,7 +103,7 @@
 // store tells them nothing of it.
 func TestLimitIsKnownToAllGatewaysAtOnce(t *testing.T) {
 	s := newSystem(t)
-	srv := s.server(fleet.DeskService, fleet.Behaviour{})
+	srv := s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
 		n.eventually(func() bool {
@@ -120,10 +120,10 @@
 		}
 		t.Fatalf("not known to all within %v", knownWithin)
 	}
-	srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(20)})
+	srv.SetBehavior(fleet.Behavior{Headers: fleet.RateLimitHeaders(20)})
 	require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OncePath)).status)
 	know(1)
-	srv.SetBehaviour(fleet.Behaviour{})
+	srv.SetBehavior(fleet.Behavior{})
 	nodes[0].eventually(func() bool {
 		nodes[0].do(plain(fleet.OncePath))
 		return nodes[0].registry.CountRateLimited() == 0
@@ -133,7 +133,7 @@
 
 // sentAfter counts what reached a server from a time on.
 func sentAfter(srv *fleet.Server, from time.Time) (n int) {
-	for _, a := range srv.Arrived() {
+	for _, a := range srv.Arrivals() {
 		if a.At.After(from) {
 			n++
 		}
@@ -145,8 +145,8 @@
 // store is away and when it returns with an entry that still says that the server is ready.
 func TestServerThatSaysItIsLeavingGetsNothingNew(t *testing.T) {
 	s := newSystem(t)
-	leaves := s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	leaves := s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
 		n.eventually(func() bool {
@@ -154,18 +154,18 @@
 		}, "listed")
 	}
 	s.fleet.Store.SetFault(fleet.Reset)
-	leaves.Say(fleet.SaysLeaving())
-	before := len(leaves.Arrived())
+	leaves.SetHeaders(fleet.LeavingHeaders())
+	before := len(leaves.Arrivals())
 	nodes[0].eventually(func() bool {
 		require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OpenPath)).status)
-		return len(leaves.Arrived()) > before
+		return len(leaves.Arrivals()) > before
 	}, "asked")
 	told := time.Now()
 	ask(t, nodes[:1], knownWithin, plain(fleet.OpenPath))
 	require.Zero(t, sentAfter(leaves, told), "from the gateway that was told")
 	ask(t, nodes, time.Second, plain(fleet.OpenPath))
 	require.Zero(t, sentAfter(leaves, told.Add(knownWithin)), "from any")
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	leaves.Heartbeat()
 	ask(t, nodes, time.Second, plain(fleet.OpenPath))
 	require.Zero(t, sentAfter(leaves, told.Add(knownWithin)), "behind an entry that lags")
@@ -176,25 +176,25 @@
 func TestServerThatAsksForRestGetsNone(t *testing.T) {
 	const rest = 2 * time.Second
 	s := newSystem(t)
-	tired := s.server(fleet.DeskService, fleet.Behaviour{Full: true, Says: fleet.AsksForRest(rest)})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	tired := s.server(fleet.DeskService, fleet.Behavior{RejectAll: true, Headers: fleet.BackoffHeaders(rest)})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i, n := range nodes {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 		c := plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", fmt.Sprint("of vm-", i+1))
-		before := len(tired.Arrived())
+		before := len(tired.Arrivals())
 		n.eventually(func() bool {
 			require.Equal(t, http.StatusOK, n.do(c).status)
-			return len(tired.Arrived()) > before
+			return len(tired.Arrivals()) > before
 		}, "turned away")
-		turned := tired.Arrived()[before].At
+		turned := tired.Arrivals()[before].At
 		ask(t, []*node{n}, rest-time.Since(turned)-100*time.Millisecond, c)
-		for _, a := range tired.Arrived()[before+1:] {
+		for _, a := range tired.Arrivals()[before+1:] {
 			require.False(t, a.At.Sub(turned) < rest, "asked again %v after it was turned away", a.At.Sub(turned))
 		}
 	}
-	tired.SetBehaviour(fleet.Behaviour{})
-	served := len(tired.Seen())
+	tired.SetBehavior(fleet.Behavior{})
+	served := len(tired.Executions())
 	ask(t, nodes, rest, plain(fleet.OncePath))
-	require.Greater(t, len(tired.Seen()), served, "used again")
+	require.Greater(t, len(tired.Executions()), served, "used again")
 }
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -24,15 +24,15 @@
 // emptiedSystem has servers of both services in two zones.
 func emptiedSystem(t *testing.T) (s *system, inside []*fleet.Server) {
 	s = newSystem(t)
-	add := func(service, zone string, b fleet.Behaviour) *fleet.Server {
+	add := func(service, zone string, b fleet.Behavior) *fleet.Server {
 		srv, err := s.fleet.Add(service, zone, b)
 		require.NoError(t, err)
 		return srv
 	}
-	short := fleet.Behaviour{Events: 3, EventEvery: time.Millisecond}
+	short := fleet.Behavior{Events: 3, EventInterval: time.Millisecond}
 	for range 2 {
-		inside = append(inside, add(fleet.DeskService, emptied, fleet.Behaviour{}), add(fleet.ModelService, emptied, short))
-		add(fleet.DeskService, kept, fleet.Behaviour{})
+		inside = append(inside, add(fleet.DeskService, emptied, fleet.Behavior{}), add(fleet.ModelService, emptied, short))
+		add(fleet.DeskService, kept, fleet.Behavior{})
 		add(fleet.ModelService, kept, short)
 	}
 	return s, inside
@@ -66,7 +66,7 @@
 func requireNone(t *testing.T, servers []*fleet.Server, since time.Time) {
 	t.Helper()
 	for _, srv := range servers {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			require.False(t, seen.At.After(since), "%s got %s %v after the bound", srv.ID, seen.Target, seen.At.Sub(since))
 		}
 	}
@@ -75,7 +75,7 @@
 func requireUsed(t *testing.T, servers []*fleet.Server, since time.Time) {
 	t.Helper()
 	for _, srv := range servers {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if seen.At.After(since) {
 				return
 			}
@@ -139,13 +139,13 @@
 	for _, n := range nodes {
 		n.knows()
 	}
-	older := s.fleet.Store.Copy()
+	older := s.fleet.Store.Backup()
 	s.fleet.Cordon(emptied)
 	asked := time.Now()
 	askAll(t, nodes, inForce)
 	s.restore(older)
 	askAll(t, nodes, time.Second)
-	s.fleet.Rewrite(func() { time.Sleep(50 * time.Millisecond) })
+	s.fleet.RewriteRows(func() { time.Sleep(50 * time.Millisecond) })
 	askAll(t, nodes, 500*time.Millisecond)
 	requireNone(t, inside, asked.Add(inForce))
 	s.fleet.Uncordon(emptied)
@@ -161,7 +161,7 @@
 	for _, n := range nodes {
 		n.knows()
 	}
-	s.fleet.Store.SetSlow("op", 2*time.Second)
+	s.fleet.Store.SetReadDelay("op", 2*time.Second)
 	s.fleet.Store.Compact()
 	s.fleet.Cordon(emptied)
 	asked := time.Now()
@@ -173,8 +173,8 @@
 // Guards against a caller waiting for servers that are all in emptied domains.
 func TestServiceOfEmptiedDomainsIsRefusedAtOnce(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.ModelService, fleet.Behaviour{Events: 3})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.ModelService, fleet.Behavior{Events: 3})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Cordon("zone-1")
@@ -196,12 +196,12 @@
 func TestStreamInAnEmptiedDomainGoesOn(t *testing.T) {
 	s := newSystem(t)
 	const events = 60
-	srv := s.server(fleet.ModelService, fleet.Behaviour{Events: events, EventEvery: 20 * time.Millisecond})
+	srv := s.server(fleet.ModelService, fleet.Behavior{Events: events, EventInterval: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
 	c.send(generation(fleet.PlanPath))
-	n.eventually(func() bool { return srv.Running() == 1 }, "running")
+	n.eventually(func() bool { return srv.RunningStreams() == 1 }, "running")
 	s.fleet.Cordon("zone-1")
 	r := c.read()
 	require.Equal(t, http.StatusOK, r.status)
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -16,11 +16,11 @@
 const away = 300 * time.Millisecond
 
 // restore has the store come back from a copy.
-func (s *system) restore(c *fleet.Copy) {
+func (s *system) restore(c *fleet.Backup) {
 	s.fleet.Store.SetFault(fleet.Reset)
 	time.Sleep(away)
 	s.fleet.Store.Restore(c)
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 }
 
 // status is that of a plain call with a key.
@@ -35,9 +35,9 @@
 // not once the numbers have passed those that gateways saw before.
 func TestConfigurationOfAStoreThatComesBackOlder(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -65,27 +65,27 @@
 // copy says: the one that joined is served from on, the one that has gone gets nothing.
 func TestServersOfAStoreThatComesBackOlder(t *testing.T) {
 	s := newSystem(t)
-	gone := s.server(fleet.DeskService, fleet.Behaviour{})
+	gone := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.status(fleet.Key) == http.StatusOK }, "served")
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
-	joined := s.server(fleet.DeskService, fleet.Behaviour{})
-	n.eventually(func() bool { n.status(fleet.Key); return len(joined.Seen()) > 0 }, "the server that joined")
-	gone.Leave()
+	joined := s.server(fleet.DeskService, fleet.Behavior{})
+	n.eventually(func() bool { n.status(fleet.Key); return len(joined.Executions()) > 0 }, "the server that joined")
+	gone.RemoveEntry()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has gone")
-	seen := len(gone.Seen())
+	seen := len(gone.Executions())
 	s.restore(c)
 	time.AfterFunc(time.Second, func() {
-		gone.Leave()
+		gone.RemoveEntry()
 		joined.Heartbeat()
 	})
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(10 * time.Millisecond) {
 		require.Equal(t, http.StatusOK, n.status(fleet.Key))
 	}
-	require.Equal(t, seen, len(gone.Seen()), "sent to a server that has gone")
+	require.Equal(t, seen, len(gone.Executions()), "sent to a server that has gone")
 }
 
 // What gateways write themselves is gone with the store's last seconds: the rows by which
@@ -94,7 +94,7 @@
 func TestOwnRowsOfAStoreThatComesBackOlder(t *testing.T) {
 	s := newSystem(t)
 	ends := s.fragileEngines(5)
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i := 0; len(ends.times()) < 3; i++ {
 		nodes[i%2].generate(fleet.PlanPath, harmful)
@@ -125,9 +125,9 @@
 // before, must be in force there as well, and a key that was taken away stays refused.
 func TestGatewayCutOffHearsOfAnEraThroughPeers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -154,9 +154,9 @@
 // The others know better; it must not serve that key once it is ready.
 func TestGatewayThatStartsInADrillRefusesRemovedKeys(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
@@ -175,9 +175,9 @@
 // others cannot answer it, and keeping to it although they name a newer version.
 func TestGatewayThatStartsTrustsNoKeyBeforePeersAnswer(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
@@ -200,14 +200,14 @@
 // go on to their end.
 func TestStreamsGoOnThroughADrill(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
-	c := s.fleet.Store.Copy()
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 150, EventEvery: 20 * time.Millisecond})
+	c := s.fleet.Store.Backup()
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 150, EventInterval: 20 * time.Millisecond})
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan reply, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
-	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
+	n.eventually(func() bool { return engine.RunningStreams() == 1 }, "the stream runs")
 	s.restore(c)
 	time.AfterFunc(time.Second, engine.Heartbeat)
 	a := <-done
@@ -219,8 +219,8 @@
 // being ready, or keeping what the copy showed once the operator has written again.
 func TestStartOfAllInsideADrill(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	c := s.fleet.Store.Copy()
+	s.server(fleet.DeskService, fleet.Behavior{})
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -234,7 +234,7 @@
 	}
 	time.Sleep(away)
 	s.fleet.Store.Restore(c)
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	s.fleet.Configure("third")
 	written := time.Now()
 	for _, n := range nodes {
@@ -249,9 +249,9 @@
 // same: the store falls back twice to the same copy, and what is written between is gone.
 func TestDrillsInARow(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
@@ -280,12 +280,12 @@
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(away)
 		back()
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 		calls := s.fleet.Store.Calls()
 		time.Sleep(5 * time.Second)
 		return s.fleet.Store.Calls() - calls
 	}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	plain := after(func() {})
 	drill := after(func() { s.fleet.Store.Restore(c) })
 	t.Logf("calls in 5 s: %d after an outage, %d after a drill", plain, drill)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -324,7 +324,7 @@
 func (g *Gateway) Stop() {
 	begun := time.Now()
 	g.stopping.Store(true)
-	g.callers.Stop()
+	g.callers.StartDraining()
 	g.group.stop()
 	g.relay.SetShutdown(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
@@ -336,7 +336,7 @@
 		}
 	}
 	left := g.relay.InProgress()
-	g.callers.Finish(lastWrites)
+	g.callers.Shutdown(lastWrites)
 	g.cancel()
 	g.log.WithField("in_progress", left).Info("stopped")
 }
@@ -352,7 +352,7 @@
 	}
 	g.registry.SetDomainRegions(set.Regions)
 	g.store.SetAddress(set.Store)
-	g.store.SetLink(set.LinkMbps)
+	g.store.SetBandwidth(set.LinkMbps)
 	g.relay.Configure(relayConfig(set))
 	debug.SetMemoryLimit(int64(memoryShare * float64(set.MemoryBytes)))
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -36,7 +36,7 @@
 	return s
 }
 
-func (s *system) server(service string, b fleet.Behaviour) *fleet.Server {
+func (s *system) server(service string, b fleet.Behavior) *fleet.Server {
 	s.t.Helper()
 	srv, err := s.fleet.Add(service, "zone-1", b)
 	require.NoError(s.t, err)
@@ -49,7 +49,7 @@
 	t       testing.TB
 	callers string
 	ready   string
-	door    *fleet.Door
+	door    *fleet.Endpoint
 }
 
 // testBounds are short, so that tests are.
@@ -62,16 +62,16 @@
 // keeps to is the process's.
 const testMemory = 8 << 30
 
-func (s *system) settings(name string) (*settings.Settings, *fleet.Door) {
+func (s *system) settings(name string) (*settings.Settings, *fleet.Endpoint) {
 	s.t.Helper()
-	door, err := s.fleet.Store.Open()
+	door, err := s.fleet.Store.AddEndpoint()
 	require.NoError(s.t, err)
-	ip, port, err := net.SplitHostPort(standin.OwnAddress())
+	ip, port, err := net.SplitHostPort(standin.UniqueAddress())
 	require.NoError(s.t, err)
 	peers, err := strconv.Atoi(port)
 	require.NoError(s.t, err)
 	return &settings.Settings{
-		VM: name, FailureDomain: "zone-1", IP: ip, Callers: standin.OwnAddress(), Ready: standin.OwnAddress(),
+		VM: name, FailureDomain: "zone-1", IP: ip, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(),
 		PeerPorts: [2]int{peers, peers}, Store: door.Address, MemoryBytes: testMemory, MaxFiles: 1000, LinkMbps: s.linkMbps,
 		ServerHeartbeat: time.Second, Bounds: testBounds,
 	}, door
@@ -94,7 +94,7 @@
 	return s.start(set, door), link
 }
 
-func (s *system) start(set *settings.Settings, door *fleet.Door) *node {
+func (s *system) start(set *settings.Settings, door *fleet.Endpoint) *node {
 	s.t.Helper()
 	n := s.launch(set, door)
 	n.eventually(n.isReady, "ready")
@@ -102,7 +102,7 @@
 }
 
 // launch starts a gateway without waiting until it is ready.
-func (s *system) launch(set *settings.Settings, door *fleet.Door) *node {
+func (s *system) launch(set *settings.Settings, door *fleet.Endpoint) *node {
 	s.t.Helper()
 	log := logging.New(io.Discard, logrus.InfoLevel)
 	opts := DefaultOptions()
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -21,7 +21,7 @@
 func TestServerBehindAPartitionCostsFewRequests(t *testing.T) {
 	s := newSystem(t)
 	var proxies []*soak.Proxy
-	s.fleet.Via = func(address string) (string, error) {
+	s.fleet.AddProxy = func(address string) (string, error) {
 		p, err := soak.NewProxy(address)
 		if err == nil {
 			proxies = append(proxies, p)
@@ -29,11 +29,13 @@
 		}
 		return p.Address, err
 	}
-	b := fleet.Behaviour{Delay: 20 * time.Millisecond}
+	b := fleet.Behavior{Delay: 20 * time.Millisecond}
 	parted := s.server(fleet.DeskService, b)
 	s.server(fleet.DeskService, b)
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(parted.Seen()) > 0 }, "both serve")
+	n.eventually(func() bool {
+		return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(parted.Executions()) > 0
+	}, "both serve")
 	proxies[0].Set(soak.Silent)
 	for range 5 {
 		a := n.do(plain(fleet.OncePath))
@@ -51,19 +53,19 @@
 	}
 	require.LessOrEqual(t, lost, 3)
 	proxies[0].Set(soak.Pass)
-	seen := len(parted.Seen())
+	seen := len(parted.Executions())
 	// A server that has failed is tried again when the others have their hands full.
 	var callers sync.WaitGroup
 	until := time.Now().Add(8 * time.Second)
 	for range crowd {
 		callers.Go(func() {
-			for time.Now().Before(until) && len(parted.Seen()) < seen+crowd {
+			for time.Now().Before(until) && len(parted.Executions()) < seen+crowd {
 				n.do(plain(fleet.SafePath))
 			}
 		})
 	}
 	callers.Wait()
-	require.GreaterOrEqual(t, len(parted.Seen()), seen+crowd, "not used again")
+	require.GreaterOrEqual(t, len(parted.Executions()), seen+crowd, "not used again")
 }
 
 // crowd is how many callers ask at once: more than one server answers at a time.
@@ -73,7 +75,7 @@
 // again. None of them may be ready, or serve a caller, with the version before.
 func TestWholeRestartServesTheNewestVersion(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	names := []string{"vm-a", "vm-b", "vm-c"}
 	var nodes []*node
 	for _, name := range names {
--- a/internal/proof/gateway_process_test.go
+++ b/internal/proof/gateway_process_test.go
@@ -29,13 +29,13 @@
 	t.Helper()
 	dir, err := binaries()
 	require.NoError(t, err)
-	door, err := f.Store.Open()
+	door, err := f.Store.AddEndpoint()
 	require.NoError(t, err)
-	node := fleet.NewNode("vm-1", door.Address)
+	node := fleet.NewVMSettings("vm-1", door.Address)
 	g := &gatewayProcess{callers: node.Callers, settings: filepath.Join(t.TempDir(), "settings.json"), out: &bytes.Buffer{}}
-	require.NoError(t, node.WriteSettings(g.settings))
+	require.NoError(t, node.WriteFile(g.settings))
 	g.cmd = exec.Command(filepath.Join(dir, "kingcup-gateway"), "-metrics-port", "0", "-leave", "500ms")
-	g.cmd.Env = append(os.Environ(), fleet.BootVariable+"="+g.settings, "GORACE=halt_on_error=1")
+	g.cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+g.settings, "GORACE=halt_on_error=1")
 	g.cmd.Stdout, g.cmd.Stderr = g.out, os.Stderr
 	require.NoError(t, g.cmd.Start())
 	t.Cleanup(func() { g.cmd.Process.Kill() })
@@ -53,10 +53,10 @@
 func TestProcessGatewaySignals(t *testing.T) {
 	f := fleet.New()
 	defer f.Close()
-	_, err := f.Add(fleet.DeskService, "zone-1", fleet.Behaviour{})
+	_, err := f.Add(fleet.DeskService, "zone-1", fleet.Behavior{})
 	require.NoError(t, err)
 	const count = 50
-	_, err = f.Add(fleet.ModelService, "zone-1", fleet.Behaviour{Events: count, EventEvery: 20 * time.Millisecond})
+	_, err = f.Add(fleet.ModelService, "zone-1", fleet.Behavior{Events: count, EventInterval: 20 * time.Millisecond})
 	require.NoError(t, err)
 	g := startGatewayProcess(t, f)
 	require.Eventually(t, func() bool { return g.served(t.Context()) }, 10*time.Second, 20*time.Millisecond)
@@ -92,7 +92,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(`{"nodeName":"","zone":"z","ip":"x"}`), 0o600))
 	for _, boot := range []string{path, "", path + ".none"} {
 		cmd := exec.Command(filepath.Join(dir, "kingcup-gateway"))
-		cmd.Env = append(os.Environ(), fleet.BootVariable+"="+boot)
+		cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+boot)
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		require.ErrorAs(t, err, &exit)
--- a/internal/proof/outcome_test.go
+++ b/internal/proof/outcome_test.go
@@ -34,11 +34,11 @@
 			virtual(t, func(t *testing.T) {
 				s := newSystem(t, setup{entries: 2, servers: 1})
 				defer s.close()
-				s.table.LoseAnswers(lost.before, lost.after)
+				s.table.LoseCommitResponses(lost.before, lost.after)
 				resp, err := s.book(0, "slot")
 				require.NoError(t, err)
 				require.False(t, resp.GetReplayed())
-				require.Equal(t, 1, s.service.Ran(team, "slot"))
+				require.Equal(t, 1, s.service.RunCount(team, "slot"))
 			})
 		})
 	}
@@ -50,12 +50,12 @@
 	virtual(t, func(t *testing.T) {
 		s := newSystem(t, setup{entries: 2, servers: 1})
 		defer s.close()
-		s.service.LoseAnswers(1)
+		s.service.LoseResponses(1)
 		for entry := range 2 {
 			_, err := s.book(entry, "slot")
 			require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(err).Outcome)
 		}
-		require.Equal(t, 1, s.service.Ran(team, "slot"))
+		require.Equal(t, 1, s.service.RunCount(team, "slot"))
 	})
 }
 
@@ -68,7 +68,7 @@
 		defer s.close()
 		inside, proceed := make(chan struct{}), make(chan struct{})
 		var first sync.Once
-		s.service.SetGate(func() { first.Do(func() { close(inside) }); <-proceed })
+		s.service.SetBeforeCall(func() { first.Do(func() { close(inside) }); <-proceed })
 		done := make(chan error, 1)
 		go func() { _, err := s.book(0, "slot"); done <- err }()
 		<-inside
@@ -81,7 +81,7 @@
 		require.Equal(t, kingcupv1.Outcome_OUTCOME_UNKNOWN, failure.FromError(<-done).Outcome)
 		killed.Wait()
 		time.Sleep(time.Second)
-		require.Equal(t, 1, s.service.Ran(team, "slot"))
+		require.Equal(t, 1, s.service.RunCount(team, "slot"))
 	})
 }
 
@@ -97,7 +97,7 @@
 		require.True(t, failure.IsNotRun(err))
 		require.NotZero(t, failure.FromError(err).RetryAfter)
 		require.Less(t, time.Since(began), 100*time.Millisecond)
-		require.Zero(t, s.service.Ran(team, "slot"))
+		require.Zero(t, s.service.RunCount(team, "slot"))
 		s.table.SetOutage(false)
 		_, err = s.book(0, "slot")
 		require.NoError(t, err)
@@ -342,11 +342,11 @@
 			}
 		})
 	}
-	s.table.LoseAnswers(1, 3)
-	s.service.LoseAnswers(2)
+	s.table.LoseCommitResponses(1, 3)
+	s.service.LoseResponses(2)
 	wg.Wait()
 	for k := range keys {
-		most = max(most, s.service.Ran(team, fmt.Sprintf("k%d", k)))
+		most = max(most, s.service.RunCount(team, fmt.Sprintf("k%d", k)))
 	}
 	return rec.ops, most
 }
@@ -383,8 +383,8 @@
 			before := s.table.Counts().Commits
 			rec := &recorder{began: time.Now()}
 			const keys, callers, rounds = 6, 18, 4
-			s.table.LoseAnswers(1, 3)
-			s.service.LoseAnswers(2)
+			s.table.LoseCommitResponses(1, 3)
+			s.service.LoseResponses(2)
 			var wg sync.WaitGroup
 			for c := range callers {
 				wg.Go(func() {
@@ -399,7 +399,7 @@
 			s.killEntry(19)
 			wg.Wait()
 			for k := range keys {
-				require.LessOrEqual(t, s.service.Ran(team, fmt.Sprintf("k%d", k)), 1)
+				require.LessOrEqual(t, s.service.RunCount(team, fmt.Sprintf("k%d", k)), 1)
 			}
 			require.True(t, porcupine.CheckOperations(keyedOutcomes, rec.ops))
 			t.Logf("%d calls, %d commits", len(rec.ops), s.table.Counts().Commits-before)
@@ -457,7 +457,7 @@
 		}
 		time.Sleep(time.Minute)
 		for i := range 28 {
-			require.Equal(t, 1, s.service.Ran(team, fmt.Sprintf("c%d", i)))
+			require.Equal(t, 1, s.service.RunCount(team, fmt.Sprintf("c%d", i)))
 		}
 	})
 }
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -54,7 +54,7 @@
 const numDomains = 8
 
 func (n *nodes) common(role string, i int) (app.CommonOptions, error) {
-	inner, err := standin.FreePort()
+	inner, err := standin.FreeAddress()
 	return app.CommonOptions{
 		Name: fmt.Sprintf("%s-%d", role, i), FailureDomain: fmt.Sprintf("d%d", i%numDomains),
 		InnerAddress: inner, ConfigPoll: n.poll, ConfigStale: time.Minute,
@@ -98,7 +98,7 @@
 	}
 	o := app.DefaultEntryOptions(c)
 	o.CallerAddress = "127.0.0.1:0"
-	o.AgentLinks, o.Heartbeat, o.ListInterval = links, n.heartbeat, 500*time.Millisecond
+	o.AgentLinks, o.HeartbeatInterval, o.ListInterval = links, n.heartbeat, 500*time.Millisecond
 	n.table.PutVM(vmlist.VM{Name: c.Name, Address: c.InnerAddress, FailureDomain: c.FailureDomain, Role: vmlist.RoleEntry})
 	e, err := app.StartEntry(o, n.platform(), n.network, n.log)
 	if err != nil {
@@ -115,7 +115,7 @@
 
 // addEngine serves e by gRPC and starts an agent before it.
 func (n *nodes) addEngine(e engine.Engine) (string, error) {
-	address, err := n.standins.Engine(e, "127.0.0.1:0")
+	address, err := n.standins.ServeEngine(e, "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -59,7 +59,7 @@
 	if s.intN(3) == 0 {
 		f := fleet.Fault(1 + s.intN(3))
 		s.fleet.Store.SetFault(f)
-		return fmt.Sprintf("store fault %d for all", f), func() { s.fleet.Store.SetFault(fleet.Sound) }
+		return fmt.Sprintf("store fault %d for all", f), func() { s.fleet.Store.SetFault(fleet.NoFault) }
 	}
 	g, m := s.drawNode(), Mode(1+s.intN(int(modes)-1))
 	g.door.Set(m)
@@ -146,11 +146,11 @@
 	if srv == nil {
 		return "nothing to reclaim", nil
 	}
-	srv.Drain(true)
+	srv.StartDraining(true)
 	return "reclaim " + srv.ID, func() {
 		time.Sleep(notice)
 		srv.Kill()
-		srv.Leave()
+		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
@@ -164,7 +164,7 @@
 	srv.Kill()
 	s.ended(srv)
 	return "crash " + srv.ID, func() {
-		srv.Leave()
+		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
@@ -178,7 +178,7 @@
 	}
 	silent := s.intN(2) == 0
 	if silent {
-		srv.Darken()
+		srv.Hang()
 	} else {
 		srv.Kill()
 	}
@@ -246,22 +246,22 @@
 	if srv == nil {
 		return "nothing to fill", nil
 	}
-	srv.SetBehaviour(fleet.Behaviour{Full: true})
-	return "full " + srv.ID, func() { srv.SetBehaviour(fleet.Behaviour{}) }
+	srv.SetBehavior(fleet.Behavior{RejectAll: true})
+	return "full " + srv.ID, func() { srv.SetBehavior(fleet.Behavior{}) }
 }
 
 // drill has the store be away for a moment and come back from a copy of some time before;
 // operator and servers write again what is gone.
 func drill(s *Soak, ctx context.Context) (string, func()) {
-	old := s.fleet.Store.Copy()
+	old := s.fleet.Store.Backup()
 	return "copy of the store", func() {
 		s.configuring.Lock()
 		defer s.configuring.Unlock()
 		s.fleet.Store.SetFault(fleet.Reset)
 		wait.For(ctx, s.duration(0, drillAway))
 		s.fleet.Store.Restore(old)
-		s.fleet.Store.SetFault(fleet.Sound)
-		s.fleet.Rewrite(func() { wait.For(ctx, s.duration(0, rewritePause)) })
+		s.fleet.Store.SetFault(fleet.NoFault)
+		s.fleet.RewriteRows(func() { wait.For(ctx, s.duration(0, rewritePause)) })
 	}
 }
 
@@ -288,8 +288,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
-		if srv.Zone == emptiedZone && !s.leaving[srv] {
-			srv.Chill(emptyFor)
+		if srv.FailureDomain == emptiedZone && !s.leaving[srv] {
+			srv.SetColdFor(emptyFor)
 		}
 	}
 	return "chill " + emptiedZone, nil
@@ -308,7 +308,7 @@
 func grow(s *Soak, _ context.Context) (string, func()) {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
-	newest := s.fleet.Grow(growth)
+	newest := s.fleet.AddRoutes(growth)
 	s.mu.Lock()
 	s.newest = newest + "a"
 	s.mu.Unlock()
--- a/internal/soak/harmful.go
+++ b/internal/soak/harmful.go
@@ -43,9 +43,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
 	s.mu.Lock()
-	as := fleet.As{ID: fleet.NextID(), Key: s.key, Body: body}
+	as := fleet.CallerRequest{ID: fleet.NextID(), Key: s.key, Body: body}
 	s.mu.Unlock()
-	fleet.StreamAs(ctx, g.node.Callers, fleet.CheckPath, as, func(string) {})
+	fleet.StreamWith(ctx, g.node.Callers, fleet.CheckPath, as, func(string) {})
 }
 
 // checkHarmful requires that a request reaches few servers once three have ended under it
@@ -54,7 +54,7 @@
 	for _, body := range bodies {
 		var at []time.Time
 		for _, srv := range servers {
-			for _, seen := range srv.Seen() {
+			for _, seen := range srv.Executions() {
 				if seen.Body == body {
 					at = append(at, seen.At)
 				}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -26,15 +26,15 @@
 // Fleet is a small platform: a store, servers and an operator.
 type Fleet struct {
 	Store *Store
-	// Via, if set, puts something in front of a new server and returns the address
+	// AddProxy, if set, puts something in front of a new server and returns the address
 	// that the server announces.
-	Via func(address string) (string, error)
+	AddProxy func(address string) (string, error)
 
-	// BackAfter is how long after an end by a fault of its own a server's place is taken
-	// by a new one, LapsesAfter how long its entry stays.
-	BackAfter, LapsesAfter time.Duration
-	// Ended, if set, is told of such an end, Began of the new server.
-	Ended, Began func(*Server)
+	// ReplacementDelay is how long after an end by a fault of its own a server's place is taken
+	// by a new one, EntryExpiryDelay how long its entry stays.
+	ReplacementDelay, EntryExpiryDelay time.Duration
+	// OnCrash, if set, is told of such an end, OnReplacement of the new server.
+	OnCrash, OnReplacement func(*Server)
 
 	mu      sync.Mutex
 	closed  bool
@@ -58,7 +58,7 @@
 
 // New starts a platform without servers, with the standard configuration.
 func New() *Fleet {
-	f := &Fleet{Store: NewStore(), cordoned: make(map[string]bool), timeoutMs: 1500, BackAfter: 2 * time.Second, LapsesAfter: 3 * time.Second}
+	f := &Fleet{Store: NewStore(), cordoned: make(map[string]bool), timeoutMs: 1500, ReplacementDelay: 2 * time.Second, EntryExpiryDelay: 3 * time.Second}
 	f.Configure(Key)
 	return f
 }
@@ -74,31 +74,31 @@
 	f.Store.Close()
 }
 
-// End ends a server as by a fault of its own: its process is gone at once, its entry lapses,
+// Crash ends a server as by a fault of its own: its process is gone at once, its entry lapses,
 // and a new one of its kind starts some time later.
-func (f *Fleet) End(s *Server) {
+func (f *Fleet) Crash(s *Server) {
 	if s.stopped.Load() {
 		return
 	}
 	s.Kill()
-	if f.Ended != nil {
-		f.Ended(s)
+	if f.OnCrash != nil {
+		f.OnCrash(s)
 	}
-	time.AfterFunc(f.LapsesAfter, func() {
+	time.AfterFunc(f.EntryExpiryDelay, func() {
 		if !f.isClosed() {
-			s.Leave()
+			s.RemoveEntry()
 		}
 	})
-	time.AfterFunc(f.BackAfter, func() {
+	time.AfterFunc(f.ReplacementDelay, func() {
 		if f.isClosed() {
 			return
 		}
 		s.mu.Lock()
 		b := s.behave
 		s.mu.Unlock()
-		again, err := f.Add(s.Service, s.Zone, b)
-		if err == nil && f.Began != nil {
-			f.Began(again)
+		again, err := f.Add(s.Service, s.FailureDomain, b)
+		if err == nil && f.OnReplacement != nil {
+			f.OnReplacement(again)
 		}
 	})
 }
@@ -117,7 +117,7 @@
 }
 
 // Add starts a server.
-func (f *Fleet) Add(service, zone string, b Behaviour) (*Server, error) {
+func (f *Fleet) Add(service, zone string, b Behavior) (*Server, error) {
 	id := fmt.Sprintf("i-%s-%s-%d", service, process, servers.Add(1))
 	s, err := newServer(f, service, zone, id, b)
 	if err != nil {
@@ -137,8 +137,8 @@
 		return nil, err
 	}
 	s := &Server{
-		ID: old.ID, Service: old.Service, Address: old.Address, Zone: old.Zone, behave: old.behave,
-		Born: max(time.Now().UnixMilli(), old.Born+1),
+		ID: old.ID, Service: old.Service, Address: old.Address, FailureDomain: old.FailureDomain, behave: old.behave,
+		StartTime: max(time.Now().UnixMilli(), old.StartTime+1),
 	}
 	f.mu.Lock()
 	f.servers = append(f.servers, s)
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// Grow writes a new version with n routes more to the desk service, which stay, and
+// AddRoutes writes a new version with n routes more to the desk service, which stay, and
 // returns the prefix of the last.
-func (f *Fleet) Grow(n int) string {
+func (f *Fleet) AddRoutes(n int) string {
 	f.mu.Lock()
 	for range n {
 		f.grown = append(f.grown, fmt.Sprintf("/grown-%d/", len(f.grown)))
@@ -176,9 +176,9 @@
 // coldTime is how long servers are cold after their start.
 const coldTime = 2 * time.Second
 
-// Limit has operators say what cold servers bear a second, and in which regions requests of
+// SetColdLimit has operators say what cold servers bear a second, and in which regions requests of
 // the desk service may run.
-func (f *Fleet) Limit(coldPerS float64, regions ...string) {
+func (f *Fleet) SetColdLimit(coldPerS float64, regions ...string) {
 	f.mu.Lock()
 	f.coldPerS, f.regions = coldPerS, regions
 	key := f.key
@@ -256,9 +256,9 @@
 	f.Store.Remove("op", cordonPrefix+zone)
 }
 
-// Rewrite has operator and servers write again what they wrote last, in a store that has
+// RewriteRows has operator and servers write again what they wrote last, in a store that has
 // come back older; pause is called between two writes.
-func (f *Fleet) Rewrite(pause func()) {
+func (f *Fleet) RewriteRows(pause func()) {
 	f.mu.Lock()
 	config, servers, cordoned := f.config, slices.Clone(f.servers), maps.Clone(f.cordoned)
 	f.mu.Unlock()
--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -9,34 +9,34 @@
 // limitHeader names the requests a second that a server takes from all gateways.
 const limitHeader = "Server-Limit"
 
-// SaysLeaving are the headers of a server that is about to end.
-func SaysLeaving() http.Header { return http.Header{"Server-Leaving": {"1"}} }
+// LeavingHeaders are the headers of a server that is about to end.
+func LeavingHeaders() http.Header { return http.Header{"Server-Leaving": {"1"}} }
 
-// AsksForRest are the headers of a server that turns requests away and wants none for a time.
-func AsksForRest(d time.Duration) http.Header {
+// BackoffHeaders are the headers of a server that turns requests away and wants none for a time.
+func BackoffHeaders(d time.Duration) http.Header {
 	return http.Header{"Retry-After": {strconv.FormatFloat(d.Seconds(), 'f', -1, 64)}}
 }
 
-// NamesLimit are the headers of a server that takes so many requests a second.
-func NamesLimit(perSecond float64) http.Header {
+// RateLimitHeaders are the headers of a server that takes so many requests a second.
+func RateLimitHeaders(perSecond float64) http.Header {
 	return http.Header{limitHeader: {strconv.FormatFloat(perSecond, 'f', -1, 64)}}
 }
 
-// Say changes the headers of all answers from now on.
-func (s *Server) Say(h http.Header) {
+// SetHeaders changes the headers of all answers from now on.
+func (s *Server) SetHeaders(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave.Says = h
+	s.behave.Headers = h
 }
 
-// Tire has the server turn all requests away and ask for rest, until rested is called.
-func (s *Server) Tire(rest time.Duration) (rested func()) {
+// RejectWithBackoff has the server turn all requests away and ask for rest, until rested is called.
+func (s *Server) RejectWithBackoff(rest time.Duration) (rested func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave.Full, s.behave.Says = true, AsksForRest(rest)
+	s.behave.RejectAll, s.behave.Headers = true, BackoffHeaders(rest)
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.behave.Full, s.behave.Says = false, nil
+		s.behave.RejectAll, s.behave.Headers = false, nil
 	}
 }
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -17,10 +17,10 @@
 			l := NewLink(10)
 			begun := time.Now()
 			for range chunks {
-				l.Pass(chunk)
+				l.Transfer(chunk)
 				time.Sleep(late)
 			}
-			took, needs := time.Since(begun), l.Takes(chunk*chunks)
+			took, needs := time.Since(begun), l.TransferTime(chunk*chunks)
 			require.GreaterOrEqual(t, took, needs-catchUp)
 			require.LessOrEqual(t, took, needs+late+catchUp)
 		})
