--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -148,7 +148,7 @@
 	}
 	st, err := f.reattach(out.Context())
 	if err != nil {
-		st, err = f.recover(out.Context(), errStreamBroken)
+		st, err = f.recoverFrom(out.Context(), errStreamBroken)
 	}
 	return f.relayToEnd(out.Context(), st, err)
 }
--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -15,7 +15,7 @@
 // defaultMaxPromptBytes bounds a prompt if its model sets no bound.
 const defaultMaxPromptBytes = 1 << 20
 
-// checkGenerate validates a generation request and lowers its max_tokens to the
+// checkGenerate validates a generation request and limits its max_tokens to the
 // model's bound.
 func (e *Entry) checkGenerate(req *kingcupv1.GenerateRequest) error {
 	if err := checkRequestID(req.GetRequestId(), req.GetNonIdempotent()); err != nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -61,8 +61,7 @@
 	Random func() uint64
 }
 
-// Deps contains the dependencies of an Entry. Claims may be nil; Observer may
-// be nil.
+// Deps contains the dependencies of an Entry. Observer may be nil.
 type Deps struct {
 	Sync     *confsync.Syncer
 	Store    *conf.Store
@@ -99,7 +98,8 @@
 	policy   placement.Policy
 
 	leaving atomic.Bool
-	active  atomic.Int64
+	// active counts the requests in progress.
+	active atomic.Int64
 
 	mu        sync.Mutex
 	vmsByName map[string]vmlist.VM
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -80,14 +80,14 @@
 		if err = f.relay(ctx, st); err == nil {
 			return nil
 		}
-		st, err = f.recover(ctx, err)
+		st, err = f.recoverFrom(ctx, err)
 	}
 	return err
 }
 
-// recover returns a stream that continues the generation after err, or the
+// recoverFrom returns a stream that continues the generation after err, or the
 // error for the caller if the generation can't continue.
-func (f *inflight) recover(ctx context.Context, err error) (*agentStream, error) {
+func (f *inflight) recoverFrom(ctx context.Context, err error) (*agentStream, error) {
 	if ctx.Err() != nil {
 		return nil, f.contextError(ctx)
 	}
@@ -376,7 +376,7 @@
 }
 
 // relay copies frames from the agent to the caller until the generation ends. It
-// closes st. Errors: errStreamBroken, or a *failure.Error.
+// closes st. It returns errStreamBroken if the agent's stream fails.
 func (f *inflight) relay(ctx context.Context, st *agentStream) error {
 	defer st.close()
 	reply := &innerv1.Reply{}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link keeps sessions to the peers a process watches and what their
-// heartbeats say.
+// Package link maintains sessions to the peers that a process watches, and the
+// last heartbeat of each.
 package link
 
 import (
@@ -18,27 +18,28 @@
 	"kingcupplank.example/kingcup/retry"
 )
 
-// Peer is a process to watch.
+// Peer identifies a process to watch.
 type Peer struct {
 	Name          string
 	Address       string
 	FailureDomain string
 }
 
-// Config sets a Manager.
+// Config configures a Manager.
 type Config struct {
 	Identity wire.Identity
-	// HeartbeatInterval is the time between heartbeats.
+	// HeartbeatInterval is the time between two heartbeats of a peer.
 	HeartbeatInterval time.Duration
-	// DialTimeout bounds a connection attempt.
+	// DialTimeout bounds a connection attempt. For a link it includes the first
+	// heartbeat.
 	DialTimeout time.Duration
 }
 
-// maxMissedHeartbeats is how many heartbeats may be missing before the link counts as
-// stalled and a second path is tried.
+// maxMissedHeartbeats is the number of missing heartbeats after which a link
+// counts as stalled and a second session is opened.
 const maxMissedHeartbeats = 3
 
-// Manager keeps one Link for each peer. It is safe for concurrent use.
+// Manager maintains one Link per peer. It is safe for concurrent use.
 type Manager struct {
 	cfg     Config
 	network wire.Network
@@ -58,13 +59,13 @@
 	return &Manager{cfg: cfg, network: network, sync: s, log: log, ctx: ctx, cancel: cancel, links: make(map[string]*Link)}
 }
 
-// SetPeers makes peers the ones that are watched.
+// SetPeers replaces the set of watched peers. Links to unchanged peers stay.
 func (m *Manager) SetPeers(peers []Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	keep := make(map[string]bool, len(peers))
+	isWanted := make(map[string]bool, len(peers))
 	for _, p := range peers {
-		keep[p.Name] = true
+		isWanted[p.Name] = true
 		old := m.links[p.Name]
 		if old != nil && old.peer == p {
 			continue
@@ -75,13 +76,14 @@
 		m.links[p.Name] = m.startLink(p)
 	}
 	for name, l := range m.links {
-		if !keep[name] {
+		if !isWanted[name] {
 			l.retire()
 			delete(m.links, name)
 		}
 	}
 }
 
+// startLink returns a new link and runs it in a goroutine.
 func (m *Manager) startLink(p Peer) *Link {
 	ctx, cancel := context.WithCancel(m.ctx)
 	l := &Link{manager: m, peer: p, cancel: cancel}
@@ -89,14 +91,14 @@
 	return l
 }
 
-// Get returns the link to a peer, or nil.
+// Get returns the link to a peer, or nil if the peer is not watched.
 func (m *Manager) Get(name string) *Link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.links[name]
 }
 
-// All returns the links in no order.
+// All returns the links in no particular order.
 func (m *Manager) All() []*Link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,14 +109,14 @@
 	return out
 }
 
-// Dial opens a session to a peer that is not watched; the caller closes it.
+// Dial opens a session to a peer outside of any link. The caller closes it.
 func (m *Manager) Dial(ctx context.Context, address string) (*wire.Session, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.DialTimeout)
 	defer cancel()
 	return wire.Dial(ctx, m.network, address, m.cfg.Identity)
 }
 
-// Close ends all links.
+// Close ends all links and waits for their goroutines.
 func (m *Manager) Close() {
 	m.cancel()
 	m.wg.Wait()
@@ -135,17 +137,19 @@
 	streamCount        int
 }
 
-// Status is what is known of a peer.
+// Status describes a link and its peer's last heartbeat.
 type Status struct {
-	Peer         Peer
-	Connected    bool
-	Heartbeat    *innerv1.Heartbeat
+	Peer      Peer
+	Connected bool
+	// Heartbeat is the last one received, or nil.
+	Heartbeat *innerv1.Heartbeat
+	// HeartbeatAge is the time since Heartbeat arrived; 0 if there is none.
 	HeartbeatAge time.Duration
-	// SentSinceHeartbeat counts SentSinceHeartbeat calls since the last heartbeat.
+	// SentSinceHeartbeat counts the requests sent since the last heartbeat.
 	SentSinceHeartbeat int
 }
 
-// Status returns what is known now.
+// Status returns the current status.
 func (l *Link) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,13 +160,15 @@
 	return s
 }
 
-// RecordSent notes that a request goes to the peer.
+// RecordSent counts a request that is sent to the peer.
 func (l *Link) RecordSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sentSinceHeartbeat++
 }
 
+// run connects to the peer, and reconnects with backoff, until ctx ends. It then
+// closes the session unless the link is retired and streams still use it.
 func (l *Link) run(ctx context.Context) {
 	backoff := retry.Backoff{Base: l.manager.cfg.HeartbeatInterval / 4, Max: 4 * l.manager.cfg.HeartbeatInterval}
 	for failures := 0; ctx.Err() == nil; {
@@ -173,21 +179,21 @@
 			continue
 		}
 		l.replaceSession(nil)
-		l.manager.log.WithField("peer", l.peer.Name).WithError(err).Debug("peer not reached")
+		l.manager.log.WithField("peer", l.peer.Name).WithError(err).Debug("failed to connect to the peer")
 		wait.For(ctx, backoff.Delay(failures, rand.Float64()))
 		failures++
 	}
 	l.mu.Lock()
-	used := l.isRetired && l.streamCount > 0 && l.manager.ctx.Err() == nil
+	isInUse := l.isRetired && l.streamCount > 0 && l.manager.ctx.Err() == nil
 	l.mu.Unlock()
-	if !used {
+	if !isInUse {
 		l.replaceSession(nil)
 	}
 }
 
-// retire stops watching but leaves the session to the streams that use it:
-// a peer also drops out of the subset when others join, and closing would cut
-// its streams for no reason.
+// retire stops watching the peer but keeps the session open until no stream uses
+// it. A healthy peer also leaves the watched subset when others join; closing its
+// session would break its streams for no reason.
 func (l *Link) retire() {
 	l.mu.Lock()
 	l.isRetired = true
@@ -195,8 +201,8 @@
 	l.cancel()
 }
 
-// Acquire returns the session, or nil while there is none, and a function that
-// ends the use of it.
+// Acquire returns the session, or nil if there is none, and a function that
+// releases it.
 func (l *Link) Acquire() (*wire.Session, func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -207,19 +213,22 @@
 	return l.session, sync.OnceFunc(l.release)
 }
 
+// release ends one use of the session. It closes the session if the link is
+// retired and this was the last use.
 func (l *Link) release() {
 	l.mu.Lock()
 	l.streamCount--
-	unused := l.isRetired && l.streamCount == 0
+	isUnused := l.isRetired && l.streamCount == 0
 	l.mu.Unlock()
-	if unused {
+	if isUnused {
 		l.replaceSession(nil)
 	}
 }
 
-// connect opens a session and hears a first heartbeat on it. The session in
-// use stays open meanwhile: where a link is merely stalled, its streams go on
-// if the second path fails too, and are moved only once the second path works.
+// connect opens a session and receives a first heartbeat on it. The current
+// session stays open in the meantime. If the link is only stalled and the second
+// session fails too, the streams continue on the current session; they are
+// interrupted only once the second session works.
 func (l *Link) connect(ctx context.Context) (*wire.Session, *wire.Stream, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.manager.cfg.DialTimeout)
 	defer cancel()
@@ -227,8 +236,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// A stalled path accepts the connection and then carries nothing, so the
-	// bound covers the first heartbeat too.
+	// A stalled network path can accept the connection and then carry no data,
+	// so the timeout covers the first heartbeat too.
 	defer context.AfterFunc(ctx, func() { sess.Close() })()
 	st, _, err := sess.Open(&innerv1.Open{
 		ConfigVersion: l.manager.sync.Replica().Version(),
@@ -245,6 +254,7 @@
 	return sess, st, nil
 }
 
+// receiveHeartbeat waits for the next heartbeat and stores it.
 func (l *Link) receiveHeartbeat(st *wire.Stream) error {
 	st.SetReadDeadline(time.Now().Add(maxMissedHeartbeats * l.manager.cfg.HeartbeatInterval))
 	reply := &innerv1.Reply{}
@@ -262,6 +272,8 @@
 	return nil
 }
 
+// watch makes sess the link's session and receives heartbeats from st until one
+// is overdue or the stream ends.
 func (l *Link) watch(ctx context.Context, sess *wire.Session, st *wire.Stream) {
 	defer st.Close()
 	defer st.CloseOnDone(ctx)()
@@ -274,35 +286,39 @@
 	}
 }
 
-// reconcileConfig levels the configuration with the peer: a heartbeat carries the
-// peer's version, so a gap is noticed within one period without the store.
+// reconcileConfig brings the older of the two configurations, this process's or
+// the peer's, to the newer version. Since heartbeats carry the peer's version, a
+// difference is detected within one heartbeat interval and without the store.
 func (l *Link) reconcileConfig(sess *wire.Session) {
 	l.mu.Lock()
-	theirs := l.lastHeartbeat.GetConfigVersion()
+	peerVersion := l.lastHeartbeat.GetConfigVersion()
 	l.mu.Unlock()
-	mine := l.manager.sync.Replica().Version()
+	ownVersion := l.manager.sync.Replica().Version()
 	switch {
-	case theirs > mine:
+	case peerVersion > ownVersion:
 		l.manager.sync.Pull(sess)
-	case theirs < mine:
-		l.manager.sync.Push(sess, theirs)
-	case mine > 0:
+	case peerVersion < ownVersion:
+		l.manager.sync.Push(sess, peerVersion)
+	case ownVersion > 0:
 		l.manager.sync.MarkConfirmed()
 	}
 }
 
-// Push brings the peer to the version in force here, and returns its version.
+// Push sends the peer the configuration it lacks and returns the peer's version
+// afterwards. It returns false if the peer can't be reached.
 func (l *Link) Push() (uint64, bool) {
 	l.mu.Lock()
-	sess, have := l.session, l.lastHeartbeat.GetConfigVersion()
+	sess, peerVersion := l.session, l.lastHeartbeat.GetConfigVersion()
 	l.mu.Unlock()
 	if sess == nil {
 		return 0, false
 	}
-	version, err := l.manager.sync.Push(sess, have)
+	version, err := l.manager.sync.Push(sess, peerVersion)
 	return version, err == nil
 }
 
+// replaceSession makes sess, which may be nil, the link's session and closes the
+// previous one.
 func (l *Link) replaceSession(sess *wire.Session) {
 	l.mu.Lock()
 	old := l.session
