--- a/internal/mux/frame.go
+++ b/internal/mux/frame.go
@@ -1,5 +1,5 @@
-// Package mux carries protobuf frames on yamux streams between the system's own
-// processes.
+// Package mux encodes and decodes protobuf frames and configures the yamux
+// sessions that carry them between the processes of this system.
 package mux
 
 import (
@@ -12,21 +12,24 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxFrameBytes bounds a frame in bytes. A peer that announces more is cut off
-// before anything is allocated for it.
+// MaxFrameBytes bounds the message in a frame. A frame that announces more is
+// rejected before memory is allocated for it.
 const MaxFrameBytes = 4 << 20
 
+// frameHeaderLen is the size of the length that precedes a message, in bytes.
 const frameHeaderLen = 4
 
-// Errors of the inner protocol.
+// Errors of reading and writing frames.
 var (
 	ErrFrameTooLarge = errors.New("frame exceeds the size bound")
 	ErrMalformed     = errors.New("malformed frame")
 )
 
+// writeBuffers reuses the buffers of WriteFrame.
 var writeBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// WriteFrame writes msg with its length in front, in one Write.
+// WriteFrame writes msg, preceded by its length, in one Write. Errors:
+// ErrFrameTooLarge, ErrMalformed, or an error of w.
 func WriteFrame(w io.Writer, msg proto.Message) error {
 	p := writeBuffers.Get().(*[]byte)
 	defer writeBuffers.Put(p)
@@ -39,10 +42,11 @@
 	return err
 }
 
-// EncodeFrame encodes msg with its length in front, for a message that goes to several
-// peers.
+// EncodeFrame encodes msg, preceded by its length, for a message that is sent to
+// several peers. Errors: ErrFrameTooLarge, ErrMalformed.
 func EncodeFrame(msg proto.Message) ([]byte, error) { return appendFrame(nil, msg) }
 
+// appendFrame appends msg, preceded by its length, to buf.
 func appendFrame(buf []byte, msg proto.Message) ([]byte, error) {
 	buf = append(buf, make([]byte, frameHeaderLen)...)
 	buf, err := proto.MarshalOptions{}.MarshalAppend(buf, msg)
@@ -57,8 +61,8 @@
 	return buf, nil
 }
 
-// FrameReader reads frames into a buffer that it reuses. It is for one
-// goroutine.
+// FrameReader reads frames and reuses its buffer. It is not safe for concurrent
+// use.
 type FrameReader struct {
 	r   *bufio.Reader
 	buf []byte
@@ -66,13 +70,13 @@
 
 const readBufferBytes = 1 << 10
 
-// NewFrameReader reads frames from r.
+// NewFrameReader returns a reader of the frames in r.
 func NewFrameReader(r io.Reader) *FrameReader {
 	return &FrameReader{r: bufio.NewReaderSize(r, readBufferBytes)}
 }
 
-// Read fills msg with the next frame. io.EOF means that the peer closed
-// between two frames.
+// Read decodes the next frame into msg. Errors: io.EOF if r ends between two
+// frames, ErrFrameTooLarge, ErrMalformed, or another error of r.
 func (f *FrameReader) Read(msg proto.Message) error {
 	var header [frameHeaderLen]byte
 	if _, err := io.ReadFull(f.r, header[:]); err != nil {
@@ -95,6 +99,8 @@
 	return nil
 }
 
+// toUnexpectedEOF turns io.EOF, which in the middle of a frame is not a regular
+// end, into io.ErrUnexpectedEOF.
 func toUnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/internal/mux/mux_test.go
+++ b/internal/mux/mux_test.go
@@ -18,54 +18,54 @@
 	return binary.BigEndian.AppendUint32(nil, size)
 }
 
-// A peer announces a frame of nearly 4 GiB. The reader must refuse it before it
-// allocates anything for it.
+// A peer announces a frame of nearly 4 GiB. The reader must reject it before it
+// allocates memory for it. The writer must not send a frame beyond the limit.
 func TestOversizedFrame(t *testing.T) {
-	fr := NewFrameReader(bytes.NewReader(header(0xfffffff0)))
-	err := fr.Read(&innerv1.Open{})
+	reader := NewFrameReader(bytes.NewReader(header(0xfffffff0)))
+	err := reader.Read(&innerv1.Open{})
 	require.ErrorIs(t, err, ErrFrameTooLarge)
-	require.Zero(t, cap(fr.buf))
-	big := &innerv1.Open{Kind: &innerv1.Open_Call{Call: &innerv1.Call{Request: &kingcupv1.CallRequest{Body: make([]byte, MaxFrameBytes)}}}}
-	require.ErrorIs(t, WriteFrame(io.Discard, big), ErrFrameTooLarge)
+	require.Zero(t, cap(reader.buf))
+	oversized := &innerv1.Open{Kind: &innerv1.Open_Call{Call: &innerv1.Call{Request: &kingcupv1.CallRequest{Body: make([]byte, MaxFrameBytes)}}}}
+	require.ErrorIs(t, WriteFrame(io.Discard, oversized), ErrFrameTooLarge)
 }
 
-// FuzzFrameReader feeds arbitrary bytes to the inner codec: it must return an
-// error or a message, and never hold more memory than its bound.
+// FuzzFrameReader reads frames from arbitrary bytes. Read must return an error or
+// a message, and its buffer must not exceed MaxFrameBytes.
 func FuzzFrameReader(f *testing.F) {
 	corpus := fuzzseed.New(f)
-	var good bytes.Buffer
-	WriteFrame(&good, &innerv1.Open{Protocol: 1, Kind: &innerv1.Open_Start{Start: &innerv1.Start{GenerationId: "g", Attempt: 1}}})
-	corpus.Add(good.Bytes())
+	var valid bytes.Buffer
+	WriteFrame(&valid, &innerv1.Open{Protocol: 1, Kind: &innerv1.Open_Start{Start: &innerv1.Start{GenerationId: "g", Attempt: 1}}})
+	corpus.Add(valid.Bytes())
 	corpus.Add(header(MaxFrameBytes + 1))
 	corpus.Add([]byte{0, 0, 0, 1})
 	corpus.AddMutations()
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		fr := NewFrameReader(bytes.NewReader(raw))
+		reader := NewFrameReader(bytes.NewReader(raw))
 		for {
 			open := &innerv1.Open{}
-			if err := fr.Read(open); err != nil {
+			if err := reader.Read(open); err != nil {
 				break
 			}
 		}
-		require.LessOrEqual(t, cap(fr.buf), MaxFrameBytes)
+		require.LessOrEqual(t, cap(reader.buf), MaxFrameBytes)
 	})
 }
 
-// writes records what reaches a connection in one Write each.
-type writes struct {
+// writeRecorder records the data of each Write call.
+type writeRecorder struct {
 	net.Conn
-	all [][]byte
+	writes [][]byte
 }
 
-func (w *writes) Write(p []byte) (int, error) {
-	w.all = append(w.all, bytes.Clone(p))
+func (w *writeRecorder) Write(p []byte) (int, error) {
+	w.writes = append(w.writes, bytes.Clone(p))
 	return len(p), nil
 }
 
-// A data frame's header and body must leave together; frames without a body, such
-// as pings and window updates, must not wait for anything.
-func TestCorkedJoinsHeaderAndBody(t *testing.T) {
-	out := &writes{}
+// The header and body of a data frame must be written in one Write. Frames
+// without a body, such as pings and window updates, must be written at once.
+func TestHeaderAndBodyAreWrittenTogether(t *testing.T) {
+	out := &writeRecorder{}
 	c := &coalescingConn{Conn: out}
 	data := []byte{0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 3}
 	ping := []byte{0, 2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9}
@@ -74,5 +74,5 @@
 		require.NoError(t, err)
 		require.Equal(t, len(p), n)
 	}
-	require.Equal(t, [][]byte{ping, append(bytes.Clone(data), "abc"...), append(bytes.Clone(data), "xyz"...), ping}, out.all)
+	require.Equal(t, [][]byte{ping, append(bytes.Clone(data), "abc"...), append(bytes.Clone(data), "xyz"...), ping}, out.writes)
 }
--- a/internal/mux/session.go
+++ b/internal/mux/session.go
@@ -10,8 +10,8 @@
 
 const (
 	acceptBacklog = 1024
-	// A dead peer is noticed by its missing heartbeats before the keepalive;
-	// the keepalive closes sessions that nothing watches.
+	// Missing heartbeats reveal a dead peer before the keepalive does. The
+	// keepalive closes sessions without heartbeats.
 	keepAliveInterval = 10 * time.Second
 	writeTimeout      = 2 * time.Second
 )
@@ -25,12 +25,12 @@
 	return cfg
 }
 
-// Client makes a session of a connection that this side has dialed.
+// Client returns a session over a connection that this process has dialed.
 func Client(conn net.Conn) (*yamux.Session, error) {
 	return yamux.Client(&coalescingConn{Conn: conn}, yamuxConfig())
 }
 
-// Server makes a session of a connection that this side has accepted.
+// Server returns a session over a connection that this process has accepted.
 func Server(conn net.Conn) (*yamux.Session, error) {
 	return yamux.Server(&coalescingConn{Conn: conn}, yamuxConfig())
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -14,11 +14,12 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// Handler answers one stream; the stream is closed when it returns. ctx ends
-// with the session.
+// Handler serves one stream, whose first frame is open. The stream is closed
+// when the handler returns. ctx ends with the session.
 type Handler func(ctx context.Context, open *innerv1.Open, st *Stream)
 
-// Server accepts sessions and hands their streams to a Handler.
+// Server accepts sessions and runs a Handler for each of their streams. It is
+// safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	handler  Handler
@@ -29,12 +30,12 @@
 	wg       sync.WaitGroup
 }
 
-// NewServer serves l with h until Close.
+// NewServer returns a server that accepts connections from l. Serve runs it.
 func NewServer(l net.Listener, h Handler) *Server {
 	return &Server{listener: l, handler: h, sessions: make(map[*yamux.Session]struct{})}
 }
 
-// Serve accepts until the listener closes.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
 	for {
 		conn, err := s.listener.Accept()
@@ -54,6 +55,7 @@
 	}
 }
 
+// addSession registers a session. It returns false if the server is closed.
 func (s *Server) addSession(session *yamux.Session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,6 +67,8 @@
 	return true
 }
 
+// serveSession runs the handlers of a session's streams until the session ends,
+// and waits for them.
 func (s *Server) serveSession(session *yamux.Session) {
 	defer s.wg.Done()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -84,9 +88,11 @@
 	s.mu.Unlock()
 }
 
+// serveStream reads and checks the first frame of a stream and runs the handler.
 func (s *Server) serveStream(ctx context.Context, st *Stream) {
 	defer st.Close()
-	// A peer that opens streams and sends nothing would hold a goroutine each.
+	// Without this deadline, a peer that opens streams and sends nothing would
+	// block one goroutine per stream.
 	st.SetReadDeadline(time.Now().Add(firstFrameTimeout))
 	open := &innerv1.Open{}
 	if err := st.Recv(open); err != nil {
@@ -101,7 +107,8 @@
 	s.handler(ctx, open, st)
 }
 
-// Close stops accepting, ends all sessions and waits for their handlers.
+// Close stops accepting connections, closes all sessions and waits for their
+// handlers.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -1,6 +1,6 @@
-// Package wire is the protocol between entries and agents: protobuf frames on
-// yamux streams. Each stream begins with an Open frame from the dialing side; the
-// accepting side answers with Reply frames.
+// Package wire implements the inner protocol between entries and agents:
+// protobuf frames on yamux streams. The dialing side starts each stream with an
+// Open frame, and the accepting side sends Reply frames.
 package wire
 
 import (
@@ -19,13 +19,13 @@
 	innerv1 "kingcupplank.example/kingcup/proto/kingcup/inner/v1"
 )
 
-// Network is how a process reaches its peers. Tests give one in memory.
+// Network connects a process with its peers. Tests use an in-memory network.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// TCP is the Network of production.
+// TCP is the Network used in production.
 type TCP struct{}
 
 // Listen implements Network.
@@ -39,22 +39,24 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
+// firstFrameTimeout bounds the wait for the Open frame of a new stream.
 const firstFrameTimeout = 5 * time.Second
 
-// ProtocolVersion is the version in every Open; a peer with another one is refused.
+// ProtocolVersion is sent in every Open frame. Streams of another version are
+// refused.
 const ProtocolVersion = 1
 
-// ErrProtocolVersion is the refusal of a peer with another version.
+// ErrProtocolVersion reports that a peer uses another protocol version.
 var ErrProtocolVersion = errors.New("peer speaks another protocol version")
 
-// Identity is what a process says of itself in every Open.
+// Identity names a process. It is sent in every Open frame.
 type Identity struct {
 	Name          string
 	FailureDomain string
 }
 
-// Session is one connection to a peer that carries many streams. It is safe
-// for concurrent use.
+// Session is a connection to a peer that carries many streams. It is safe for
+// concurrent use.
 type Session struct {
 	identity Identity
 	mux      *yamux.Session
@@ -79,13 +81,13 @@
 	return s.mux.Close()
 }
 
-// Closed is closed when the session has ended.
+// Closed returns a channel that is closed when the session ends.
 func (s *Session) Closed() <-chan struct{} {
 	return s.mux.CloseChan()
 }
 
-// Open starts a stream with open as its first frame. If sent is false the peer
-// got nothing of it.
+// Open opens a stream and sends open as its first frame. If sent is false, the
+// peer certainly received no part of open.
 func (s *Session) Open(open *innerv1.Open) (st *Stream, sent bool, err error) {
 	conn, err := s.mux.OpenStream()
 	if err != nil {
@@ -102,16 +104,16 @@
 	return st, true, nil
 }
 
-// Stream is one exchange with a peer. One goroutine may read while others
-// write.
+// Stream is one exchange of frames with a peer. One goroutine may read while
+// others write.
 type Stream struct {
 	conn   *yamux.Stream
 	reader *mux.FrameReader
-	// writeMu serializes frames.
+	// writeMu serializes the writing of frames.
 	writeMu sync.Mutex
 
-	// idleTimeout is how long RecvWithin waits for the next bytes, in nanoseconds; 0 is
-	// without end.
+	// idleTimeout bounds the time without received data, in nanoseconds, while
+	// RecvWithIdleTimeout runs; 0 means no bound.
 	idleTimeout atomic.Int64
 
 	mu     sync.Mutex
@@ -124,15 +126,16 @@
 	return st
 }
 
-// idleTimeoutReader moves a stream's read deadline on before each read.
+// idleTimeoutReader reads a stream's data. If the stream has an idle timeout, it
+// extends the read deadline by it before each read.
 type idleTimeoutReader struct{ *Stream }
 
 // Read implements io.Reader.
-func (w idleTimeoutReader) Read(p []byte) (int, error) {
-	if d := time.Duration(w.idleTimeout.Load()); d > 0 {
-		w.SetReadDeadline(time.Now().Add(d))
+func (r idleTimeoutReader) Read(p []byte) (int, error) {
+	if timeout := time.Duration(r.idleTimeout.Load()); timeout > 0 {
+		r.SetReadDeadline(time.Now().Add(timeout))
 	}
-	return w.conn.Read(p)
+	return r.conn.Read(p)
 }
 
 // Close ends the stream and unblocks its reader.
@@ -143,9 +146,9 @@
 		return nil
 	}
 	s.closed = true
-	// A yamux stream that only this side has closed still blocks its reader
-	// until the peer closes too, which a dead peer does after minutes; the
-	// deadline in the past ends the read at once.
+	// If only this side has closed a yamux stream, reads still block until the
+	// peer closes it too, which takes minutes if the peer is dead. A deadline in
+	// the past unblocks the reader at once.
 	s.conn.SetReadDeadline(time.Unix(1, 0))
 	return s.conn.Close()
 }
@@ -157,27 +160,28 @@
 	return mux.WriteFrame(s.conn, msg)
 }
 
-// Recv reads one frame into msg.
+// Recv reads one frame into msg. Errors: those of mux.FrameReader.
 func (s *Stream) Recv(msg proto.Message) error {
 	return s.reader.Read(msg)
 }
 
-// RecvWithIdleTimeout reads one frame into msg and gives up when nothing has come in for silence.
-// A frame may be a whole configuration: a bound on its time would be one on its size, and
-// over a thin link each try would be given up midway and begun anew.
-func (s *Stream) RecvWithIdleTimeout(msg proto.Message, silence time.Duration) error {
-	s.idleTimeout.Store(int64(silence))
+// RecvWithIdleTimeout reads one frame into msg. It fails with a timeout if no data
+// arrives for idleTimeout. The total time is not bounded: a frame may contain a
+// whole configuration, and over a link of low bandwidth every attempt would time
+// out before the end and start again.
+func (s *Stream) RecvWithIdleTimeout(msg proto.Message, idleTimeout time.Duration) error {
+	s.idleTimeout.Store(int64(idleTimeout))
 	defer s.idleTimeout.Store(0)
 	return s.reader.Read(msg)
 }
 
-// SendFailure sends err as the stream's answer.
+// SendFailure sends err to the peer as a Reply frame.
 func (s *Stream) SendFailure(err error) error {
 	return s.Send(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: failure.FromError(err).Proto()}})
 }
 
-// SetReadDeadline bounds reads; the zero time removes the bound. It does
-// nothing once the stream is closed.
+// SetReadDeadline sets the deadline of reads; the zero time removes it. It does
+// nothing if the stream is closed.
 func (s *Stream) SetReadDeadline(t time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +192,7 @@
 }
 
 // CloseOnDone closes the stream when ctx ends, which unblocks its reader. The
-// returned function releases the hook.
-func (s *Stream) CloseOnDone(ctx context.Context) (release func() bool) {
+// returned function unregisters this, like that of context.AfterFunc.
+func (s *Stream) CloseOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { s.Close() })
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -20,8 +20,9 @@
 	return binary.BigEndian.AppendUint32(nil, size)
 }
 
-// talk sends raw bytes as the first of a stream and returns the server's answer.
-func talk(t *testing.T, raw []byte) *failure.Error {
+// sendRaw opens a stream, sends raw bytes on it and returns the failure that the
+// server replies with.
+func sendRaw(t *testing.T, raw []byte) *failure.Error {
 	t.Helper()
 	network := memnet.New()
 	l, err := network.Listen("server")
@@ -43,27 +44,27 @@
 	return failure.FromProto(reply.GetFailure())
 }
 
-// A peer sends a malformed frame, an oversized one, or speaks another version.
-// It must get one clear refusal that says "not run".
-func TestBadPeersAreRefused(t *testing.T) {
-	other, err := proto.Marshal(&innerv1.Open{Protocol: ProtocolVersion + 1})
+// A peer sends a malformed frame, an oversized frame, or uses another protocol
+// version. The server must reply with a failure whose outcome is "not run".
+func TestInvalidFirstFramesAreRefused(t *testing.T) {
+	otherVersion, err := proto.Marshal(&innerv1.Open{Protocol: ProtocolVersion + 1})
 	require.NoError(t, err)
 	for name, raw := range map[string][]byte{
 		"malformed": append(header(3), 0xff, 0xff, 0xff),
 		"oversized": header(mux.MaxFrameBytes + 1),
-		"version":   append(header(uint32(len(other))), other...),
+		"version":   append(header(uint32(len(otherVersion))), otherVersion...),
 	} {
-		f := talk(t, raw)
-		require.Equal(t, kingcupv1.Reason_REASON_PROTOCOL, f.Reason, name)
-		require.Equal(t, kingcupv1.Outcome_OUTCOME_NOT_RUN, f.Outcome, name)
+		fail := sendRaw(t, raw)
+		require.Equal(t, kingcupv1.Reason_REASON_PROTOCOL, fail.Reason, name)
+		require.Equal(t, kingcupv1.Outcome_OUTCOME_NOT_RUN, fail.Outcome, name)
 	}
 }
 
-// A peer sends a configuration over a thin link, which takes five times as long as it may
-// be silent. The bytes come in all the while, so the frame must be read to its end; when
-// the peer falls silent in the middle, the reader must know soon.
-func TestLongFrameIsReadWhileItComesIn(t *testing.T) {
-	const silence, parts = 300 * time.Millisecond, 25
+// A peer sends a configuration over a link of low bandwidth, which takes five times
+// the idle timeout. Data arrives all the time, so the frame must be read to its end.
+// If the peer stops sending in the middle, the read must time out.
+func TestSlowFrameIsReadWhileDataArrives(t *testing.T) {
+	const idleTimeout, parts = 300 * time.Millisecond, 25
 	frame, err := mux.EncodeFrame(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: &kingcupv1.Failure{Detail: string(make([]byte, 5000))}}})
 	require.NoError(t, err)
 	network := memnet.New()
@@ -72,11 +73,11 @@
 	srv := NewServer(l, func(_ context.Context, open *innerv1.Open, st *Stream) {
 		for i := range parts {
 			if open.GetConfigPull().GetHaveVersion() == 1 && i == parts/2 {
-				time.Sleep(10 * silence)
+				time.Sleep(10 * idleTimeout)
 				return
 			}
 			st.conn.Write(frame[i*len(frame)/parts : (i+1)*len(frame)/parts])
-			time.Sleep(5 * silence / parts)
+			time.Sleep(5 * idleTimeout / parts)
 		}
 	})
 	go srv.Serve()
@@ -84,11 +85,11 @@
 	sess, err := Dial(t.Context(), network, "server", Identity{Name: "peer"})
 	require.NoError(t, err)
 	defer sess.Close()
-	for version, whole := range []bool{true, false} {
+	for version, isComplete := range []bool{true, false} {
 		st, _, err := sess.Open(&innerv1.Open{Kind: &innerv1.Open_ConfigPull{ConfigPull: &innerv1.ConfigPull{HaveVersion: uint64(version)}}})
 		require.NoError(t, err)
-		err = st.RecvWithIdleTimeout(&innerv1.Reply{}, silence)
-		require.Equal(t, whole, err == nil, "version %d: %v", version, err)
+		err = st.RecvWithIdleTimeout(&innerv1.Reply{}, idleTimeout)
+		require.Equal(t, isComplete, err == nil, "version %d: %v", version, err)
 		st.Close()
 	}
 }
