--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -1,9 +1,10 @@
-// Package changewire encodes changes of the configuration, and rows of tables, for links
-// between gateways.
+// Package changewire encodes configuration changes and table rows for the links between
+// gateways, as compressed protobuf messages.
 //
-// What an operator writes of a route is mostly names of fields and values that all
-// routes share. As protobuf behind deflate 1,400 routes take 19 KB, a nineteenth of what
-// they take in the store: 15 ms of a link of 10 Mbit/s, less than a pause of a stream.
+// A route as an operator writes it consists mostly of field names and of values that all
+// routes share. As protobuf compressed with deflate, 1,400 routes take 19 KB, a nineteenth
+// of their size in the store. Sending them takes 15 ms on a link of 10 Mbit/s, less than
+// the permitted pause between two events of a stream.
 package changewire
 
 import (
@@ -20,26 +21,27 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// ErrMalformed says that bytes are no change.
+// ErrMalformed reports that a received message can't be decoded.
 var ErrMalformed = errors.New("malformed change")
 
-// maxInflatedBytes bounds what a head or a part may become, in bytes: the keys of 1,500 teams
-// take 0.1 MB, 400 routes 0.05 MB.
+// maxInflatedBytes bounds the decompressed size of a head or a part. The keys of 1,500
+// teams take 0.1 MB, and 400 routes 0.05 MB.
 const maxInflatedBytes = 16 << 20
 
-// routesPerPart is how many routes stand in a part: some 5 KB, 4 ms of a link of 10 Mbit/s,
-// and as much of the processor of a VM with 0.144 cores to decode.
+// routesPerPart is the number of routes in a part. They take about 5 KB, which is 4 ms on a
+// link of 10 Mbit/s, and about as long to decode on a VM with 0.144 cores.
 const routesPerPart = 400
 
-// Encode gives the head of an answer that carries a change, and the parts that follow it.
-// Each part is decoded by itself. pause is called between parts.
+// Encode returns the head of a response that carries a change, and the parts that follow
+// it. The parts can be decoded one by one. Encode calls pause after each part, so that the
+// caller can yield the CPU.
 func Encode(ch *routing.Change, pause func()) (head *peerv1.Change, parts [][]byte, err error) {
 	access, err := marshalCompressed(accessToProto(ch))
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, rs := range splitIntoParts(ch) {
-		part, err := marshalCompressed(rs)
+	for _, routes := range splitIntoParts(ch) {
+		part, err := marshalCompressed(routes)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -49,39 +51,40 @@
 	return &peerv1.Change{Base: ch.Base, Version: ch.Version, Access: access, Parts: uint32(len(parts))}, parts, nil
 }
 
-// DecodeHead is a change as far as its head tells: versions, teams and keys. Errors:
-// ErrMalformed.
+// DecodeHead returns the part of a change that its head contains: versions, teams and
+// keys. Errors: ErrMalformed.
 func DecodeHead(head *peerv1.Change) (*routing.Change, error) {
-	var a peerv1.Access
-	if err := unmarshalCompressed(head.GetAccess(), &a); err != nil {
+	var access peerv1.Access
+	if err := unmarshalCompressed(head.GetAccess(), &access); err != nil {
 		return nil, err
 	}
-	ch := &routing.Change{Base: head.GetBase(), Version: head.GetVersion(), KeysRequired: a.GetKeyed(), DropTeams: a.GetDrop()}
-	for _, t := range a.GetSet() {
+	ch := &routing.Change{Base: head.GetBase(), Version: head.GetVersion(), KeysRequired: access.GetKeyed(), DropTeams: access.GetDrop()}
+	for _, t := range access.GetSet() {
 		ch.SetTeams = append(ch.SetTeams, &routing.Team{Name: t.GetName(), Keys: t.GetKeys(), Priority: int(t.GetPriority()), HasPriority: t.GetRanked(), Regions: t.GetRegions()})
 	}
 	return ch, nil
 }
 
-// ApplyPart adds a part to an update. Errors: ErrMalformed.
+// ApplyPart decodes a part and adds its routes, services and limits to an update. Errors:
+// ErrMalformed.
 func ApplyPart(u *routing.Update, part []byte) error {
-	var rs peerv1.Routes
-	if err := unmarshalCompressed(part, &rs); err != nil {
+	var routes peerv1.Routes
+	if err := unmarshalCompressed(part, &routes); err != nil {
 		return err
 	}
 	var drop []routing.RouteID
-	for _, id := range rs.GetDrop() {
+	for _, id := range routes.GetDrop() {
 		drop = append(drop, routing.RouteID{Host: id.GetHost(), Prefix: id.GetPrefix()})
 	}
-	set := make([]*routing.Route, 0, len(rs.GetSet()))
-	for _, r := range rs.GetSet() {
+	set := make([]*routing.Route, 0, len(routes.GetSet()))
+	for _, r := range routes.GetSet() {
 		set = append(set, routeFromProto(r))
 	}
 	u.Add(drop, set)
-	for _, s := range rs.GetServices() {
+	for _, s := range routes.GetServices() {
 		u.Services = append(u.Services, serviceFromProto(s))
 	}
-	if l := rs.GetLimits(); l != nil {
+	if l := routes.GetLimits(); l != nil {
 		u.Limits = routing.Limits{
 			HeaderBytes: int(l.GetHeaderBytes()), BodyBytes: int(l.GetBodyBytes()),
 			HeaderTimeout: time.Duration(l.GetHeaderTimeout()), IdleTimeout: time.Duration(l.GetIdleTimeout()),
@@ -90,12 +93,12 @@
 	return nil
 }
 
-// EncodeRows gives a part of an answer that holds rows of a table.
+// EncodeRows returns a part of a response that contains table rows.
 func EncodeRows(rows []*peerv1.Row) ([]byte, error) {
 	return marshalCompressed(&peerv1.Rows{Rows: rows})
 }
 
-// DecodeRows reads a part that holds rows. Errors: ErrMalformed.
+// DecodeRows decodes a part that contains table rows. Errors: ErrMalformed.
 func DecodeRows(part []byte) ([]*peerv1.Row, error) {
 	var rows peerv1.Rows
 	if err := unmarshalCompressed(part, &rows); err != nil {
@@ -135,16 +138,16 @@
 }
 
 func accessToProto(ch *routing.Change) *peerv1.Access {
-	a := &peerv1.Access{Drop: ch.DropTeams, Keyed: ch.KeysRequired}
+	access := &peerv1.Access{Drop: ch.DropTeams, Keyed: ch.KeysRequired}
 	for _, t := range ch.SetTeams {
-		a.Set = append(a.Set, &peerv1.Team{Name: t.Name, Keys: t.Keys, Priority: int32(t.Priority), Ranked: t.HasPriority, Regions: t.Regions})
+		access.Set = append(access.Set, &peerv1.Team{Name: t.Name, Keys: t.Keys, Priority: int32(t.Priority), Ranked: t.HasPriority, Regions: t.Regions})
 	}
-	return a
+	return access
 }
 
-// splitIntoParts makes parts of what is not access: services and limits first, then routes to
-// drop, then routes to set.
-func splitIntoParts(ch *routing.Change) (out []*peerv1.Routes) {
+// splitIntoParts returns the parts of a change, which contain everything but its teams and
+// keys: first the services and limits, then the routes to drop, then the routes to set.
+func splitIntoParts(ch *routing.Change) (parts []*peerv1.Routes) {
 	l := ch.Limits
 	first := &peerv1.Routes{Limits: &peerv1.Limits{
 		HeaderBytes: int64(l.HeaderBytes), BodyBytes: int64(l.BodyBytes),
@@ -153,22 +156,22 @@
 	for _, s := range ch.Services {
 		first.Services = append(first.Services, serviceToProto(s))
 	}
-	out = append(out, first)
+	parts = append(parts, first)
 	for ids := range slices.Chunk(ch.DropRoutes, routesPerPart) {
 		part := &peerv1.Routes{}
 		for _, id := range ids {
 			part.Drop = append(part.Drop, &peerv1.RouteID{Host: id.Host, Prefix: id.Prefix})
 		}
-		out = append(out, part)
+		parts = append(parts, part)
 	}
 	for routes := range slices.Chunk(ch.SetRoutes, routesPerPart) {
 		part := &peerv1.Routes{}
 		for _, r := range routes {
 			part.Set = append(part.Set, routeToProto(r))
 		}
-		out = append(out, part)
+		parts = append(parts, part)
 	}
-	return out
+	return parts
 }
 
 func routeToProto(r *routing.Route) *peerv1.Route {
--- a/internal/changewire/changewire_test.go
+++ b/internal/changewire/changewire_test.go
@@ -14,10 +14,11 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// atOnce makes no pauses.
-func atOnce() {}
+// noPause is a pause function that does nothing.
+func noPause() {}
 
-// fill sets every field of a struct, so that one that is not encoded shows.
+// fill sets every field of a struct to a value other than zero, so that a field that is not
+// encoded is detected.
 func fill(t *testing.T, v reflect.Value) {
 	t.Helper()
 	for i := range v.NumField() {
@@ -58,43 +59,46 @@
 	}
 }
 
-func pass(t require.TestingT, ch *routing.Change) *routing.Change {
-	head, parts, err := Encode(ch, atOnce)
+// roundTrip encodes a change and decodes it again.
+func roundTrip(t require.TestingT, ch *routing.Change) *routing.Change {
+	head, parts, err := Encode(ch, noPause)
 	require.NoError(t, err)
 	require.Len(t, parts, int(head.GetParts()))
 	access, err := DecodeHead(head)
 	require.NoError(t, err)
-	u := begun(t, access)
+	u := beginUpdate(t, access)
 	for _, part := range parts {
 		require.NoError(t, ApplyPart(u, part))
 	}
 	return u.Change
 }
 
-// begun is an update by a change whose base is in force.
-func begun(t require.TestingT, ch *routing.Change) *routing.Update {
+// beginUpdate starts an update of a replica whose version is the change's base.
+func beginUpdate(t require.TestingT, ch *routing.Change) *routing.Update {
 	r := routing.NewReplica()
 	if ch.Base != 0 {
-		r.Put(routing.Content{Version: ch.Base}, atOnce)
+		r.Put(routing.Content{Version: ch.Base}, noPause)
 	}
 	u, err := r.Begin(ch)
 	require.NoError(t, err)
 	return u
 }
 
-// A field that is added to a route and forgotten here would be in force at gateways that
-// read the store and not at the others.
-func TestEveryFieldPasses(t *testing.T) {
+// Guards against a field that is added to the configuration but not to this encoding.
+// Gateways that read the store would apply it, and gateways that receive changes from peers
+// would not.
+func TestEveryFieldIsEncoded(t *testing.T) {
 	var ch routing.Change
 	fill(t, reflect.ValueOf(&ch).Elem())
-	require.Equal(t, &ch, pass(t, &ch))
+	require.Equal(t, &ch, roundTrip(t, &ch))
 }
 
-// drawn is a change that adds n routes as operators name them.
-func drawn(n int) *routing.Change {
+// randomRoutes returns a change that adds n routes with random names in the form that
+// operators use.
+func randomRoutes(n int) *routing.Change {
 	rng := rand.New(rand.NewPCG(1, 2))
-	name := func(n int) string {
-		b := make([]byte, n)
+	name := func(length int) string {
+		b := make([]byte, length)
 		for i := range b {
 			b[i] = "abcdefghijklmnopqrstuvwxyz0123456789"[rng.IntN(36)]
 		}
@@ -110,10 +114,11 @@
 	return ch
 }
 
-// 1,400 routes more take 350 KB of the row in the store, and 19 KB between gateways. They
-// must stay far below what a thin link passes in the pause of a stream.
+// 1,400 new routes take 350 KB in the store's row and 19 KB between gateways. That must stay
+// far below what a link of low bandwidth can send during the permitted pause between two
+// events of a stream.
 func TestChangeIsSmall(t *testing.T) {
-	_, parts, err := Encode(drawn(1400), atOnce)
+	_, parts, err := Encode(randomRoutes(1400), noPause)
 	require.NoError(t, err)
 	size := 0
 	for _, part := range parts {
@@ -124,30 +129,31 @@
 	t.Logf("1,400 routes take %d bytes", size)
 }
 
-// BenchmarkEncode and BenchmarkDecode: 1,400 routes; encoded once for all peers, decoded
-// by each.
+// BenchmarkEncode encodes 1,400 routes, as a gateway does once for all peers.
 func BenchmarkEncode(b *testing.B) {
-	ch := drawn(1400)
+	ch := randomRoutes(1400)
 	for b.Loop() {
-		Encode(ch, atOnce)
+		Encode(ch, noPause)
 	}
 }
 
+// BenchmarkDecode decodes 1,400 routes, as each peer does.
 func BenchmarkDecode(b *testing.B) {
-	head, parts, _ := Encode(drawn(1400), atOnce)
+	head, parts, _ := Encode(randomRoutes(1400), noPause)
 	for b.Loop() {
 		ch, _ := DecodeHead(head)
-		u := begun(b, ch)
+		u := beginUpdate(b, ch)
 		for _, part := range parts {
 			ApplyPart(u, part)
 		}
 	}
 }
 
-// FuzzDecode: whatever bytes a peer sends, they are a change or an error.
+// FuzzDecode decodes arbitrary bytes as a head and a part. The result must be a change that
+// can be committed, or an error.
 func FuzzDecode(f *testing.F) {
 	corpus := fuzzseed.New(f)
-	head, parts, err := Encode(drawn(3), atOnce)
+	head, parts, err := Encode(randomRoutes(3), noPause)
 	require.NoError(f, err)
 	corpus.Add(head.GetAccess(), parts[1])
 	corpus.Add([]byte{}, []byte{})
