--- a/internal/confsync/confsync_test.go
+++ b/internal/confsync/confsync_test.go
@@ -20,7 +20,7 @@
 	"kingcupplank.example/kingcup/storage/objectclient"
 )
 
-// slowObjects serves the objects of a table over a link with a rate.
+// slowObjects serves the objects of a table over HTTP, with the bandwidth of link.
 func slowObjects(t *testing.T, table *tables.Table, link *standin.Link) *objectclient.Client {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		value, err := table.Get(r.Context(), strings.TrimPrefix(r.URL.Path, "/objects/"))
@@ -43,9 +43,10 @@
 	return objectclient.New(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// Guards against a snapshot that takes longer than the time between two looks at the store:
-// each try would be given up and begun anew, and the process would never have a version.
-func TestSnapshotOverAThinLinkIsReadToItsEnd(t *testing.T) {
+// Guards against a timeout on reading a snapshot: if reading it takes longer than the
+// interval between two polls of the store, every attempt would be aborted and started again,
+// and the process would never get a version.
+func TestSnapshotOverSlowLinkIsReadToItsEnd(t *testing.T) {
 	const poll = 250 * time.Millisecond
 	table := tables.New()
 	writer, replica := conf.NewReplica(), conf.NewReplica()
@@ -61,14 +62,14 @@
 	}
 	require.NoError(t, store.SaveSnapshot(t.Context(), writer.State()))
 	require.NoError(t, store.Prune(t.Context(), changes))
-	const thinMbps = 1
+	const linkMbps = 1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := New(Config{PollInterval: poll, StaleAfter: time.Minute}, replica, conf.NewStore(table, slowObjects(t, table, standin.NewLink(thinMbps))), log)
+	s := New(Config{PollInterval: poll, StaleAfter: time.Minute}, replica, conf.NewStore(table, slowObjects(t, table, standin.NewLink(linkMbps))), log)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go s.Run(ctx)
-	begun := time.Now()
+	start := time.Now()
 	require.Eventually(t, func() bool { return replica.Version() == changes }, 10*time.Second, 10*time.Millisecond)
-	require.Greater(t, time.Since(begun), 2*poll, "the link is thin enough")
+	require.Greater(t, time.Since(start), 2*poll, "the link is slow enough")
 }
