--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,7 @@
-// Package client is for applications that call the system. It resumes streams
-// at another entry by itself, waits as long as a refusal says, and never repeats
-// a non-idempotent request whose outcome is unknown.
+// Package client is the client library for applications that call the system. It
+// resumes broken streams at another entry, retries refused requests after the
+// delay that the refusal asks for, and never repeats a non-idempotent request
+// whose outcome is unknown.
 package client
 
 import (
@@ -18,18 +19,19 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// Options set a Client.
+// Options configure a Client.
 type Options struct {
-	// MaxRetries is how many refusals that name a time are waited out.
+	// MaxRetries bounds the retries of a request that was refused with a retry
+	// delay.
 	MaxRetries int
-	// MaxResumes is how many times in a row a broken stream is resumed without
-	// receiving a token.
+	// MaxResumes bounds the consecutive attempts to resume a broken stream that
+	// bring no token, and the repeats of a call whose entry was lost.
 	MaxResumes int
-	// ResumeInterval is the wait between two such tries.
+	// ResumeInterval is the delay before each such attempt.
 	ResumeInterval time.Duration
 }
 
-// DefaultOptions suit interactive callers.
+// DefaultOptions returns options for interactive callers.
 func DefaultOptions() Options {
 	return Options{MaxRetries: 3, MaxResumes: 20, ResumeInterval: 250 * time.Millisecond}
 }
@@ -42,8 +44,8 @@
 	nextEntry atomic.Uint64
 }
 
-// New returns a client that uses conns in turn; behind a balancer one is
-// enough. The caller closes them.
+// New returns a client that uses conns in round-robin order. One connection is
+// enough if it leads to a load balancer. The caller closes the connections.
 func New(opts Options, conns ...grpc.ClientConnInterface) *Client {
 	c := &Client{opts: opts}
 	for _, conn := range conns {
@@ -52,6 +54,7 @@
 	return c
 }
 
+// pickEntry returns the next entry in round-robin order.
 func (c *Client) pickEntry() kingcupv1.CallerServiceClient {
 	return c.entries[c.nextEntry.Add(1)%uint64(len(c.entries))]
 }
@@ -62,48 +65,49 @@
 	Text  []byte
 }
 
-// Result describes a generation that is whole.
+// Result describes a generation, complete unless Generate returned an error.
 type Result struct {
 	GenerationID string
 	Tokens       uint64
 	FinishReason string
-	// Resumes is how often the stream broke and was continued.
+	// Resumes counts the attempts to resume the stream after it broke.
 	Resumes int
-	// Servers are the backend servers that the stream came from, in order.
+	// Servers names the backend servers that the stream came from, in order.
 	Servers []string
 }
 
-// Handler takes what a generation sends. Its functions are called from the
-// goroutine that called Generate; either may be nil.
+// Handler receives the events of a generation. Its functions are called from the
+// goroutine that called Generate. Each may be nil.
 type Handler struct {
-	// Started is called when a backend server accepts the generation, again
+	// Started is called when a backend server accepts the generation, and again
 	// when another one continues it.
 	Started func(generationID, backendServer string)
-	// Token is called for each token, in order and once each.
+	// Token is called exactly once for each token, in order.
 	Token func(Token)
 }
 
-// Generate runs one generation. The error is a *failure.Error.
+// Generate runs one generation. Its error is a *failure.Error.
 func (c *Client) Generate(ctx context.Context, req *kingcupv1.GenerateRequest, h Handler) (Result, error) {
 	g := &generation{client: c, req: req, handler: h, digest: engine.NewDigest()}
-	for refusals := 0; ; refusals++ {
+	for retries := 0; ; retries++ {
 		err := g.run(ctx)
 		if err == nil {
 			return g.result, nil
 		}
-		f := failure.FromError(err)
-		if !failure.IsNotRun(f) || f.RetryAfter == 0 || refusals >= c.opts.MaxRetries {
-			return g.result, f
+		fail := failure.FromError(err)
+		if !failure.IsNotRun(fail) || fail.RetryAfter == 0 || retries >= c.opts.MaxRetries {
+			return g.result, fail
 		}
-		if !wait.For(ctx, f.RetryAfter) {
-			return g.result, f
+		if !wait.For(ctx, fail.RetryAfter) {
+			return g.result, fail
 		}
-		// The refused generation is over; the next try begins a new one.
+		// The refused generation has ended; the next attempt starts a new one.
 		g.result.GenerationID = ""
 	}
 }
 
-// generation is one stream as the caller sees it. It is for one goroutine.
+// generation is the state of one Generate call. It is not safe for concurrent
+// use.
 type generation struct {
 	client    *Client
 	req       *kingcupv1.GenerateRequest
@@ -114,25 +118,28 @@
 	digest    engine.Digest
 }
 
+// generationStream is the stream of a Generate or Resume call.
 type generationStream interface {
 	Recv() (*kingcupv1.GenerateResponse, error)
 }
 
+// run opens the generation's stream and reads it to its end. It resumes the
+// stream when it breaks.
 func (g *generation) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	st, err := g.open(ctx)
-	for idle := 0; ; idle++ {
+	for attemptsWithoutToken := 0; ; attemptsWithoutToken++ {
 		if err == nil {
-			had := len(g.delivered)
+			before := len(g.delivered)
 			if err = g.read(st); err == nil {
 				return nil
 			}
-			if len(g.delivered) > had {
-				idle = 0
+			if len(g.delivered) > before {
+				attemptsWithoutToken = 0
 			}
 		}
-		if idle >= g.client.opts.MaxResumes || !g.canResume(err) || !wait.For(ctx, g.client.opts.ResumeInterval) {
+		if attemptsWithoutToken >= g.client.opts.MaxResumes || !g.canResume(err) || !wait.For(ctx, g.client.opts.ResumeInterval) {
 			return err
 		}
 		g.result.Resumes++
@@ -140,29 +147,30 @@
 	}
 }
 
-// canResume reports whether another entry may have the answer. Before a
-// generation is known a repeat may run a second time, which only an idempotent
-// request allows.
+// canResume reports whether the request can continue at another entry after err.
+// Until the generation's id is known, the request can only be repeated and may
+// then run twice, which only an idempotent request allows.
 func (g *generation) canResume(err error) bool {
-	f := failure.FromError(err)
+	fail := failure.FromError(err)
 	if g.result.GenerationID == "" {
-		return isEntryLost(f) && !g.req.GetNonIdempotent()
+		return isEntryLost(fail) && !g.req.GetNonIdempotent()
 	}
-	switch f.Reason {
+	switch fail.Reason {
 	case kingcupv1.Reason_REASON_INTERNAL, kingcupv1.Reason_REASON_LEAVING, kingcupv1.Reason_REASON_NOT_READY,
 		kingcupv1.Reason_REASON_NO_BACKEND, kingcupv1.Reason_REASON_BACKEND_LOST:
-		return f.Outcome == kingcupv1.Outcome_OUTCOME_UNKNOWN
+		return fail.Outcome == kingcupv1.Outcome_OUTCOME_UNKNOWN
 	}
 	return false
 }
 
-// isEntryLost reports whether an error came from the way to the entry: entries
-// themselves always give a reason.
-func isEntryLost(f *failure.Error) bool {
-	return f.Reason == kingcupv1.Reason_REASON_INTERNAL
+// isEntryLost reports whether an error comes from the connection to the entry.
+// Such errors have no reason and become REASON_INTERNAL, while entries always
+// give a reason.
+func isEntryLost(fail *failure.Error) bool {
+	return fail.Reason == kingcupv1.Reason_REASON_INTERNAL
 }
 
-// open begins the generation, or finds it again.
+// open starts the generation, or resumes it if its id is known.
 func (g *generation) open(ctx context.Context) (generationStream, error) {
 	if g.result.GenerationID == "" {
 		return g.client.pickEntry().Generate(ctx, g.req)
@@ -177,6 +185,8 @@
 	return g.client.pickEntry().Resume(ctx, req)
 }
 
+// read handles the events of a stream until the generation ends or the stream
+// breaks.
 func (g *generation) read(st generationStream) error {
 	for {
 		m, err := st.Recv()
@@ -208,9 +218,9 @@
 }
 
 func (g *generation) handleTokens(t *kingcupv1.Tokens) error {
-	next := uint64(len(g.delivered))
-	if t.GetFirstIndex() != next {
-		return failure.Unknown(kingcupv1.Reason_REASON_PROTOCOL, 0, "token %d came, %d was due", t.GetFirstIndex(), next)
+	nextIndex := uint64(len(g.delivered))
+	if t.GetFirstIndex() != nextIndex {
+		return failure.Unknown(kingcupv1.Reason_REASON_PROTOCOL, 0, "token %d came, %d was due", t.GetFirstIndex(), nextIndex)
 	}
 	g.attempt = max(g.attempt, t.GetAttempt())
 	for _, text := range t.GetTexts() {
@@ -232,29 +242,29 @@
 	return nil
 }
 
-// Call sends one request to a plain service. A refusal that names a time is
-// waited out and an idempotent call is repeated when its entry is lost; an unknown
-// outcome of a non-idempotent one is returned as it is.
+// Call sends one request to a plain service. It retries a request that was refused
+// with a retry delay, and repeats an idempotent request whose entry was lost. If
+// the outcome of a non-idempotent request is unknown, it returns that error.
 func (c *Client) Call(ctx context.Context, req *kingcupv1.CallRequest) (*kingcupv1.CallResponse, error) {
-	refusals, losses := 0, 0
+	retries, lostEntries := 0, 0
 	for {
 		resp, err := c.pickEntry().Call(ctx, req)
 		if err == nil {
 			return resp, nil
 		}
-		f := failure.FromError(err)
-		after := f.RetryAfter
+		fail := failure.FromError(err)
+		delay := fail.RetryAfter
 		switch {
-		case failure.IsNotRun(f) && after > 0 && refusals < c.opts.MaxRetries:
-			refusals++
-		case isEntryLost(f) && !req.GetNonIdempotent() && losses < c.opts.MaxResumes:
-			losses++
-			after = c.opts.ResumeInterval
+		case failure.IsNotRun(fail) && delay > 0 && retries < c.opts.MaxRetries:
+			retries++
+		case isEntryLost(fail) && !req.GetNonIdempotent() && lostEntries < c.opts.MaxResumes:
+			lostEntries++
+			delay = c.opts.ResumeInterval
 		default:
-			return nil, f
+			return nil, fail
 		}
-		if !wait.For(ctx, after) {
-			return nil, f
+		if !wait.For(ctx, delay) {
+			return nil, fail
 		}
 	}
 }
