--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -252,7 +252,7 @@
 // ended: it looks least used to all of them.
 func TestEndedServerIsKnownToAll(t *testing.T) {
 	r := New("z", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
-	ended, sound := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, Born: 7}, Server{ID: "b", Service: svc, FailureDomain: "z", Slots: 6}
+	ended, sound := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, StartTime: 7}, Server{ID: "b", Service: svc, FailureDomain: "z", Slots: 6}
 	r.Put(ended, 0)
 	r.Put(sound, 0)
 	picked := func(now time.Duration) (ids []string) {
@@ -267,15 +267,15 @@
 		return ids
 	}
 	require.Len(t, picked(0), 2)
-	r.SetLosses("vm-2", map[string]Loss{"a": {Ended: true, Born: 7}}, 0)
+	r.SetLosses("vm-2", map[string]Loss{"a": {Ended: true, StartTime: 7}}, 0)
 	require.Equal(t, []string{"b"}, picked(0), "by what another gateway tells")
-	r.SetLosses("vm-2", map[string]Loss{"a": {Ended: true, Born: 6}}, 0)
+	r.SetLosses("vm-2", map[string]Loss{"a": {Ended: true, StartTime: 6}}, 0)
 	require.Len(t, picked(0), 2, "an earlier life")
 	r.SetLosses("vm-2", nil, 0)
 	lease := r.Acquire(Query{Service: svc, Tried: []string{"b"}}, 0)
 	lease.Done(Ended, 0)
 	require.Equal(t, []string{"b"}, picked(lostFor-1))
-	require.Equal(t, map[string]Loss{"a": {Ended: true, Born: 7}}, r.Losses(lostFor-1))
+	require.Equal(t, map[string]Loss{"a": {Ended: true, StartTime: 7}}, r.Losses(lostFor-1))
 	require.Len(t, picked(lostFor), 2, "asked again")
 	require.Empty(t, r.Losses(lostFor))
 	require.True(t, r.HasEnded(ended, lostFor))
@@ -288,7 +288,7 @@
 // directory cannot say so: only those that run something there have asked.
 func TestReportIsToldToAll(t *testing.T) {
 	var notices []LeaveReason
-	leaving := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, Born: 7}
+	leaving := Server{ID: "a", Service: svc, FailureDomain: "z", Slots: 6, StartTime: 7}
 	reg := func() *Registry {
 		r := New("z", func(string) Traits { return Traits{} }, func(_ Server, n LeaveReason) { notices = append(notices, n) })
 		r.Put(leaving, 0)
@@ -298,8 +298,8 @@
 	require.True(t, asked.Reported(leaving))
 	require.False(t, asked.Reported(leaving), "no news")
 	losses := asked.Losses(0)
-	require.Equal(t, map[string]Loss{"a": {Leaving: true, Born: 7}}, losses)
-	told.SetLosses("vm-1", map[string]Loss{"a": {Leaving: true, Born: 6}}, 0)
+	require.Equal(t, map[string]Loss{"a": {Leaving: true, StartTime: 7}}, losses)
+	told.SetLosses("vm-1", map[string]Loss{"a": {Leaving: true, StartTime: 6}}, 0)
 	require.Equal(t, 1, told.Ready(svc), "an earlier life")
 	told.SetLosses("vm-1", losses, 0)
 	told.SetLosses("vm-1", losses, 0)
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -10,7 +10,7 @@
 
 func bornAt(id string, born int64) Server {
 	s := entry(id)
-	s.Born = born
+	s.StartTime = born
 	return s
 }
 
@@ -24,8 +24,8 @@
 		r.Acquire(Query{Service: svc}, 0).Done(Lost, 0)
 	}
 	held := r.Acquire(Query{Service: svc, Tokens: 20000, Prompt: 9000}, 0)
-	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, Born: 100}})
-	r.SetLosses("vm-2", map[string]Loss{"a": {InARow: 2, Born: 100}}, 0)
+	r.SetRemote("vm-2", map[string]Load{"a": {Running: 5, Tokens: 20000, Prompt: 9000, StartTime: 100}})
+	r.SetLosses("vm-2", map[string]Loss{"a": {InARow: 2, StartTime: 100}}, 0)
 	r.Reported(bornAt("a", 100))
 	require.Zero(t, r.Ready(svc))
 
@@ -38,7 +38,7 @@
 	require.Empty(t, r.Losses(0))
 	held.Done(Lost, 0)
 	require.Empty(t, r.Losses(0), "a request of the earlier life that ends late says nothing of this one")
-	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 9000, Prompt: 3000, Born: 200}}, r.Loads())
+	require.Equal(t, map[string]Load{"a": {Running: 1, Tokens: 9000, Prompt: 3000, StartTime: 200}}, r.Loads())
 }
 
 // Messages of a server's earlier life arrive late: an entry that was written before its
@@ -110,10 +110,10 @@
 		for range rapid.IntRange(1, 12).Draw(t, "entries") {
 			s := bornAt("a", rapid.Int64Range(1, 5).Draw(t, "born"))
 			s.Leaving = rapid.Bool().Draw(t, "leaving")
-			if s.Born > newest {
-				newest, leaves = s.Born, false
+			if s.StartTime > newest {
+				newest, leaves = s.StartTime, false
 			}
-			leaves = leaves || s.Born == newest && s.Leaving
+			leaves = leaves || s.StartTime == newest && s.Leaving
 			r.Put(s, time.Second)
 		}
 		lease := r.Acquire(Query{Service: svc}, time.Second)
@@ -122,6 +122,6 @@
 			return
 		}
 		require.NotNil(t, lease)
-		require.Equal(t, newest, lease.Server.Born)
+		require.Equal(t, newest, lease.Server.StartTime)
 	})
 }
--- a/engine/engineclient/client.go
+++ b/engine/engineclient/client.go
@@ -96,34 +96,34 @@
 }
 
 // List implements engine.Engine.
-func (c *Client) List(ctx context.Context) ([]engine.Running, error) {
+func (c *Client) List(ctx context.Context) ([]engine.RunningStream, error) {
 	resp, err := c.rpc.List(ctx, &platformv1.EngineListRequest{})
 	if err != nil {
 		return nil, engineError(err)
 	}
-	out := make([]engine.Running, 0, len(resp.GetStreams()))
+	out := make([]engine.RunningStream, 0, len(resp.GetStreams()))
 	for _, s := range resp.GetStreams() {
-		out = append(out, engine.Running{
-			ID:        s.GetId(),
-			Attempt:   s.GetAttempt(),
-			Team:      s.GetTeam(),
-			RequestID: s.GetRequestId(),
-			Model:     s.GetModel(),
-			Emitted:   s.GetEmitted(),
-			Prompt:    s.GetPromptBytes(),
-			MaxTokens: s.GetMaxTokens(),
+		out = append(out, engine.RunningStream{
+			ID:          s.GetId(),
+			Attempt:     s.GetAttempt(),
+			Team:        s.GetTeam(),
+			RequestID:   s.GetRequestId(),
+			Model:       s.GetModel(),
+			Emitted:     s.GetEmitted(),
+			PromptBytes: s.GetPromptBytes(),
+			MaxTokens:   s.GetMaxTokens(),
 		})
 	}
 	return out, nil
 }
 
 // Load implements engine.Engine.
-func (c *Client) Load(ctx context.Context) (engine.Load, error) {
+func (c *Client) Load(ctx context.Context) (engine.Status, error) {
 	resp, err := c.rpc.Load(ctx, &platformv1.EngineLoadRequest{})
 	if err != nil {
-		return engine.Load{}, engineError(err)
+		return engine.Status{}, engineError(err)
 	}
-	return engine.Load{
+	return engine.Status{
 		Running:           resp.GetRunning(),
 		MemoryUsed:        resp.GetMemoryUsed(),
 		MemoryCapacity:    resp.GetMemoryCapacity(),
--- a/flow/shares_test.go
+++ b/flow/shares_test.go
@@ -53,13 +53,13 @@
 			if (now+time.Duration(i)*90*time.Millisecond)%t.every >= tick {
 				continue
 			}
-			w := &Waiter{Priority: 1, Prompt: read, Arrived: now, OnTimeDeadline: now + seconds(1.3), DispatchDeadline: now + seconds(6)}
+			w := &Waiter{Priority: 1, PromptTokens: read, Arrived: now, OnTimeDeadline: now + seconds(1.3), DispatchDeadline: now + seconds(6)}
 			if fair {
 				w.Level = shares.Level(t.name, nil, now)
 			}
 			t.asked++
 			if !q.Refuse(w, now) {
-				q.Enter(w)
+				q.Add(w)
 				owner[w] = t
 			}
 		}
@@ -68,7 +68,7 @@
 			if w == nil {
 				break
 			}
-			q.Leave(w, true, now)
+			q.Remove(w, true, now)
 			free = max(free, now) + seconds(float64(read)/perSecond)
 			shares.Charge(owner[w].name, read, now)
 			if now <= w.OnTimeDeadline {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func (a *Agent) adoptOne(r engine.Running) {
+func (a *Agent) adoptOne(r engine.RunningStream) {
 	g := &generation{
 		id: r.ID,
 		req: engine.Request{
@@ -233,7 +233,7 @@
 	g.buf.Begin(r.Attempt)
 	g.job = &sched.Job{
 		ID: r.ID, Team: r.Team, Model: r.Model, Weight: 1,
-		Prompt: int(r.Prompt)/a.cfg.BytesPerToken + 1, MaxTokens: int(r.MaxTokens), Emitted: int(r.Emitted),
+		PromptTokens: int(r.PromptBytes)/a.cfg.BytesPerToken + 1, MaxTokens: int(r.MaxTokens), Emitted: int(r.Emitted),
 	}
 	a.mu.Lock()
 	a.enter(g)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -100,7 +100,7 @@
 	for id, l := range g.registry.Loads() {
 		s.Loads = append(s.Loads, &peerv1.Load{
 			Server: id, Running: uint32(l.Running), Tokens: uint64(max(0, l.Tokens)),
-			Prompt: uint64(max(0, l.Prompt)), Copying: uint64(max(0, l.Copying)), Born: l.Born,
+			Prompt: uint64(max(0, l.Prompt)), Copying: uint64(max(0, l.Copying)), Born: l.StartTime,
 		})
 	}
 	for id, l := range g.registry.Losses(clock.SinceBoot()) {
@@ -127,7 +127,7 @@
 		}
 		l := losses[t.ID].Limit
 		g.log.WithFields(logrus.Fields{
-			"server": t.ID, "born": t.Born, "service": t.Service, "peer": peer,
+			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
 			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
 		}).Info("a peer tells of a server's limit")
 	}
@@ -137,7 +137,7 @@
 }
 
 func lossOf(server string, l backends.Loss) *peerv1.Loss {
-	out := &peerv1.Loss{Server: server, InARow: uint32(l.InARow), Ended: l.Ended, Leaving: l.Leaving, Resting: l.Resting, Born: l.Born}
+	out := &peerv1.Loss{Server: server, InARow: uint32(l.InARow), Ended: l.Ended, Leaving: l.Leaving, Resting: l.Resting, Born: l.StartTime}
 	if l.Limit.Known {
 		out.Limit = &peerv1.Limit{Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, AgeMs: l.Limit.Age.Milliseconds()}
 	}
@@ -148,7 +148,7 @@
 const mostAge = 24 * time.Hour
 
 func lossFrom(l *peerv1.Loss) backends.Loss {
-	out := backends.Loss{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), Born: l.GetBorn()}
+	out := backends.Loss{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
 		out.Limit = backends.ToldLimit{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
 	}
@@ -179,7 +179,7 @@
 	loads := make(map[string]backends.Load, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads[l.GetServer()] = backends.Load{
-			Running: int(l.GetRunning()), Tokens: int(l.GetTokens()), Prompt: int(l.GetPrompt()), Copying: int(l.GetCopying()), Born: l.GetBorn(),
+			Running: int(l.GetRunning()), Tokens: int(l.GetTokens()), Prompt: int(l.GetPrompt()), Copying: int(l.GetCopying()), StartTime: l.GetBorn(),
 		}
 	}
 	g.registry.SetRemote(peer, loads)
--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -110,8 +110,8 @@
 // Registry returns the registry of all metrics of the gateway.
 func (r *Recorder) Registry() *prometheus.Registry { return r.registry }
 
-// Gauge registers a gauge whose value is computed at each scrape.
-func (r *Recorder) Gauge(name, help string, value func() float64) {
+// RegisterGauge registers a gauge whose value is computed at each scrape.
+func (r *Recorder) RegisterGauge(name, help string, value func() float64) {
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -75,7 +75,7 @@
 	}
 	wake = make(chan struct{}, 1)
 	l.wakes[w] = wake
-	l.queue.Enter(w)
+	l.queue.Add(w)
 	return wake
 }
 
@@ -94,7 +94,7 @@
 		return
 	}
 	delete(l.wakes, w)
-	l.queue.Leave(w, sent, now)
+	l.queue.Remove(w, sent, now)
 	l.wakeFirst(now)
 }
 
@@ -167,7 +167,7 @@
 		lastBy = min(lastBy, j.arrived+time.Duration(silenceShare*float64(s))-read)
 	}
 	return &flow.Waiter{
-		Priority: j.priority, Level: r.level(j, l), Prompt: j.prompt(), Arrived: j.arrived,
+		Priority: j.priority, Level: r.level(j, l), PromptTokens: j.prompt(), Arrived: j.arrived,
 		OnTimeDeadline:   j.arrived + j.route.Target - read,
 		DispatchDeadline: max(lastBy, j.arrived+j.patience()),
 	}
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -62,8 +62,8 @@
 func (l *line) enter(w *flow.Waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.queue.Holds(w) {
-		l.queue.Enter(w)
+	if !l.queue.Contains(w) {
+		l.queue.Add(w)
 	}
 }
 
@@ -74,7 +74,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.queue.Leave(w, false, now)
+	l.queue.Remove(w, false, now)
 }
 
 // wait estimates how long a request waits for its turn.
@@ -95,7 +95,7 @@
 // lineWaiter describes a plain request to its line.
 func (r *Relay) lineWaiter(j *job) *flow.Waiter {
 	lastBy := j.arrived + max(j.patience(), r.paceWait(j))
-	return &flow.Waiter{Priority: j.priority, Prompt: 1, Arrived: j.arrived, OnTimeDeadline: lastBy, DispatchDeadline: lastBy}
+	return &flow.Waiter{Priority: j.priority, PromptTokens: 1, Arrived: j.arrived, OnTimeDeadline: lastBy, DispatchDeadline: lastBy}
 }
 
 // latestReturn bounds when a caller is told to come back to servers that name a limit: the limit
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -52,8 +52,8 @@
 	doubtful bool
 }
 
-// NewBook returns an empty book.
-func NewBook(p Policy) *Tracker {
+// NewTracker returns an empty book.
+func NewTracker(p Policy) *Tracker {
 	return &Tracker{policy: p, records: make(map[ID]*Record), held: make(map[ID]verdict)}
 }
 
@@ -75,7 +75,7 @@
 func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Change {
 	list := make([]Record, 0, len(ran))
 	for _, id := range ran {
-		list = append(list, Record{ID: id, Ends: []End{{Server: server, At: at}}})
+		list = append(list, Record{ID: id, Crashes: []Crash{{Incarnation: server, At: at}}})
 	}
 	return b.Merge(list)
 }
@@ -86,7 +86,7 @@
 	if r := b.records[id]; r == nil || len(r.together(b.policy.Window)) == 0 {
 		return Change{}
 	}
-	return b.Merge([]Record{{ID: id, Absolved: at}})
+	return b.Merge([]Record{{ID: id, ClearedAt: at}})
 }
 
 // Merge takes records of this process or of others.
@@ -201,14 +201,14 @@
 		if ends := r.together(b.policy.Window); len(ends) >= b.policy.Ends {
 			b.held[id] = verdict{newest: ends[0].At}
 		}
-		if len(r.Ends) > 1 {
-			for _, e := range r.Ends {
-				shared[e.Server]++
+		if len(r.Crashes) > 1 {
+			for _, e := range r.Crashes {
+				shared[e.Incarnation]++
 			}
 		}
 	}
 	for id, v := range b.held {
-		v.doubtful = b.records[id].endsAmong(b.policy.Window, func(e End) bool { return shared[e.Server] == 1 }) < b.policy.Ends
+		v.doubtful = b.records[id].endsAmong(b.policy.Window, func(e Crash) bool { return shared[e.Incarnation] == 1 }) < b.policy.Ends
 		b.held[id] = v
 	}
 	return missing(b.held, was), missing(was, b.held)
