--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -12,86 +12,93 @@
 )
 
 const (
-	// agreePoll is how often a gateway that has started asks its peers.
-	agreePoll = 50 * time.Millisecond
-	// agreePatience bounds the wait for peers of which none answers: they may all have ended.
-	agreePatience = 500 * time.Millisecond
+	// configCheckPoll is the interval at which a starting gateway asks its peers for their
+	// configuration version.
+	configCheckPoll = 50 * time.Millisecond
+	// configCheckTimeout bounds the wait for peers when none of them answers: all of them
+	// may have stopped.
+	configCheckTimeout = 500 * time.Millisecond
 )
 
 // Agreed implements relay.Others.
-func (g *group) Agreed() bool { return g.agreed.Load() }
+func (g *group) Agreed() bool { return g.configChecked.Load() }
 
-// agree compares the configuration with the peers' before keys are trusted: a store that has
-// come back older shows a gateway that starts keys that were taken away.
-func (g *group) agree(ctx context.Context) {
+// checkConfig compares the configuration with the peers' before this gateway trusts API
+// keys. A store that was restored from an older copy shows a starting gateway keys that
+// have been revoked since.
+func (g *group) checkConfig(ctx context.Context) {
 	begun := time.Now()
-	var known time.Time
-	for !g.agreed.Load() && wait.For(ctx, agreePoll) {
-		if g.config.replica.Version() == 0 || !g.followers[membersTable].Filled() && time.Since(begun) < tablesPatience {
+	var loadedAt time.Time
+	for !g.configChecked.Load() && wait.For(ctx, configCheckPoll) {
+		if g.config.replica.Version() == 0 || !g.followers[membersTable].Filled() && time.Since(begun) < membersTimeout {
 			continue
 		}
-		if known.IsZero() {
-			known = time.Now()
+		if loadedAt.IsZero() {
+			loadedAt = time.Now()
 		}
-		switch newer, heard := g.namedVersions(); {
+		switch newer, known := g.compareVersions(); {
 		case len(newer) > 0:
-			g.askConfig(ctx, newer)
+			g.fetchConfigFromAny(ctx, newer)
 		case g.links.Known() == 1:
-			g.setAgreed("no peer is known")
-		case heard:
-			g.setAgreed("peers name no newer version")
-		case g.askConfig(ctx, g.links.Linked()):
-			g.setAgreed("answered by a peer")
-		case time.Since(known) > agreePatience:
-			g.setAgreed("no peer answers")
+			g.setConfigChecked("no peer is known")
+		case known:
+			g.setConfigChecked("peers name no newer version")
+		case g.fetchConfigFromAny(ctx, g.links.Linked()):
+			g.setConfigChecked("answered by a peer")
+		case time.Since(loadedAt) > configCheckTimeout:
+			g.setConfigChecked("no peer answers")
 		}
 	}
 }
 
-func (g *group) setAgreed(why string) {
-	if g.agreed.CompareAndSwap(false, true) {
-		g.log.WithField("version", g.config.replica.Version()).WithField("why", why).Info("configuration is compared with the peers'")
+// setConfigChecked notes that the configuration has been compared with the peers'. The
+// first call logs the reason.
+func (g *group) setConfigChecked(reason string) {
+	if g.configChecked.CompareAndSwap(false, true) {
+		g.log.WithField("version", g.config.replica.Version()).WithField("why", reason).Info("configuration has been compared with the peers'")
 	}
 }
 
-// ownVersion is the version that peers are told of, 0 before the own one is compared with theirs.
-func (g *group) ownVersion() uint64 {
-	if !g.agreed.Load() {
+// checkedVersion returns the configuration version to report to peers. It is 0 until the
+// own version has been compared with theirs.
+func (g *group) checkedVersion() uint64 {
+	if !g.configChecked.Load() {
 		return 0
 	}
 	return g.config.replica.Version()
 }
 
-// namedVersions lists the peers that name a newer version in force than this gateway's, and
-// reports whether any names one.
-func (g *group) namedVersions() (newer []string, heard bool) {
+// compareVersions lists the peers that report a newer configuration version than this
+// gateway's. known says whether any peer reports a version at all.
+func (g *group) compareVersions() (newer []string, known bool) {
 	own := g.config.replica.Version()
 	for _, s := range g.links.Live() {
-		heard = heard || s.GetConfigVersion() > 0
+		known = known || s.GetConfigVersion() > 0
 		if s.GetConfigVersion() > own {
 			newer = append(newer, s.GetFrom().GetName())
 		}
 	}
-	return newer, heard
+	return newer, known
 }
 
-// askConfig has some of the peers bring the configuration up to theirs, and reports whether
-// one has answered.
-func (g *group) askConfig(ctx context.Context, names []string) bool {
-	rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	return slices.ContainsFunc(names[:min(len(names), askedPeers)], func(peer string) bool {
+// fetchConfigFromAny fetches the configuration from up to maxAskedPeers of the named peers,
+// in random order, until one succeeds. It reports whether one did.
+func (g *group) fetchConfigFromAny(ctx context.Context, candidates []string) bool {
+	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return slices.ContainsFunc(candidates[:min(len(candidates), maxAskedPeers)], func(peer string) bool {
 		_, err := g.config.fetchFrom(ctx, peer)
 		if err != nil {
-			g.log.WithError(err).WithField("peer", peer).Info("configuration is not compared with a peer's")
+			g.log.WithError(err).WithField("peer", peer).Info("cannot fetch the configuration from a peer to compare it")
 		}
 		return err == nil
 	})
 }
 
-// configNamed takes the version that a peer has in force. Where it is newer than the own one
-// the difference is fetched, whatever the positions: those of two gateways that have read the
-// same copy of a store are equal, and only one of them knows what was before.
-func (g *group) configNamed(s *peerv1.State) {
+// noteConfigVersion handles the configuration version that a peer reports. If it is newer
+// than the own one, the difference is fetched, even if the two positions in the table are
+// equal: two gateways that have read the same restored store are at the same position, but
+// only one of them may know the newer version from before the restore.
+func (g *group) noteConfigVersion(s *peerv1.State) {
 	if s.GetConfigVersion() > g.config.replica.Version() {
 		g.followers[operator.Table].SetBehind()
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -19,57 +19,60 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// configSharing lets the gateways have the configuration from each other. It implements
+// configSharing distributes the configuration between the gateways. It implements
 // follow.Sharing.
 //
-// The operator's row holds the whole configuration, and the store gives it to nobody in
-// parts: passed on as it is, or read by every gateway, each change costs every link the
-// whole. So the readers only announce that there is a newer version; each gateway fetches
-// what has changed since its own, once, from one that has it. A whole version is fetched
-// the same way by one that is too far behind. The store is read when no peer answers.
+// The operator's row holds the whole configuration, and the store can only return it whole.
+// If gateways passed the row on, or each of them read it, every change would cost each VM's
+// link the whole row. Instead, the gateways that read the store only announce that there is
+// a newer version. Each other gateway then fetches the changes since its own version, once,
+// from a peer that has them. A gateway that is too far behind fetches a whole version in
+// the same way. If no peer answers, the gateway reads the store.
 type configSharing struct {
 	*group
 	replica *routing.Replica
 	sink    *operator.Sink
 
-	// mu guards announcers, the peers that announced pages last, newest first. It is a
-	// leaf.
+	// mu guards announcers: the peers that last announced pages of the table, newest first.
+	// No other lock is taken while mu is locked.
 	mu         sync.Mutex
 	announcers []string
-	// encoding guards encoded; the replica's locks come behind it.
-	encoding sync.Mutex
+	// encodeMu guards encoded. It is locked before the replica's locks.
+	encodeMu sync.Mutex
 	encoded  encodedChange
 }
 
-// encodedChange is a change as several peers are about to ask for it.
+// encodedChange is a change encoded for peers. It is kept because several peers usually ask
+// for the same one.
 type encodedChange struct {
 	base, version uint64
 	head          *peerv1.Change
 	parts         [][]byte
 }
 
-// askedPeers is how many peers are asked before the store: both readers.
-const askedPeers = readers.Count
+// maxAskedPeers is how many peers are asked before the store is read: as many as there are
+// gateways that read the store.
+const maxAskedPeers = readers.Count
 
-// table is the name of the table that holds the configuration.
+// table returns the name of the table that holds the configuration.
 func (s *configSharing) table() string { return operator.Table }
 
 // Reads implements follow.Sharing.
 func (s *configSharing) Reads(reached bool) bool {
-	return sharing{s.group, operator.Table}.Reads(reached)
+	return tableSharing{s.group, operator.Table}.Reads(reached)
 }
 
 // Turn implements follow.Sharing.
 func (s *configSharing) Turn(without time.Duration) bool {
-	return sharing{s.group, operator.Table}.Turn(without)
+	return tableSharing{s.group, operator.Table}.Turn(without)
 }
 
-// Share implements follow.Sharing: of changes only their revision is announced.
+// Share implements follow.Sharing. For changes, only the new revision is announced.
 func (s *configSharing) Share(p follow.Shared) {
 	if len(p.Rows) > 0 {
 		p.Since, p.Rows = p.Revision, nil
 	}
-	sharing{s.group, operator.Table}.Share(p)
+	tableSharing{s.group, operator.Table}.Share(p)
 }
 
 // Reading implements follow.Sharing.
@@ -77,39 +80,39 @@
 	return slices.ContainsFunc(s.links.Live(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
 }
 
-// announced notes a peer that follows the store.
-func (s *configSharing) announced(peer string) {
+// recordAnnouncer puts a peer that announced a page at the front of announcers.
+func (s *configSharing) recordAnnouncer(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.announcers = slices.DeleteFunc(s.announcers, func(p string) bool { return p == peer })
 	s.announcers = slices.Insert(s.announcers, 0, peer)
-	s.announcers = s.announcers[:min(len(s.announcers), askedPeers)]
+	s.announcers = s.announcers[:min(len(s.announcers), maxAskedPeers)]
 }
 
 // Fetch implements follow.Sharing.
 func (s *configSharing) Fetch(ctx context.Context, since revision.Revision) (follow.Page, error) {
 	err := follow.ErrNoPeer
-	for _, peer := range s.candidates(since.IsZero()) {
+	for _, peer := range s.fetchCandidates(since.IsZero()) {
 		var page follow.Page
 		version := s.replica.Version()
 		if page, err = s.fetchFrom(ctx, peer); err == nil && !since.Before(page.Revision) && s.replica.Version() == version {
-			err = errNotFurther
+			err = errPeerNotAhead
 		}
 		if err == nil {
-			s.setAgreed("taken from a peer")
+			s.setConfigChecked("taken from a peer")
 			return page, nil
 		}
-		s.log.WithError(err).WithFields(logrus.Fields{"peer": peer, "config": s.replica.Version()}).Info("configuration is not fetched from a peer")
+		s.log.WithError(err).WithFields(logrus.Fields{"peer": peer, "config": s.replica.Version()}).Info("cannot fetch the configuration from a peer")
 	}
 	return follow.Page{}, err
 }
 
-// candidates are the live peers to ask: those that announced last, then some that say that
-// they have a newer version, or are further. One that announced may be behind by now: it has
-// ended to read the store.
-// A peer that has fallen silent would cost an answer's timeout. starts says that nothing is
-// known here.
-func (s *configSharing) candidates(starts bool) (out []string) {
+// fetchCandidates returns the live peers to fetch from: first those that announced last,
+// then some that report a newer version or a position ahead of this gateway's. An announcer
+// may itself be behind by now, if it has stopped reading the store. Peers whose states no
+// longer arrive are left out, since each would cost a response timeout. isEmpty says that
+// this gateway has no configuration yet.
+func (s *configSharing) fetchCandidates(isEmpty bool) (out []string) {
 	s.mu.Lock()
 	announcers := slices.Clone(s.announcers)
 	s.mu.Unlock()
@@ -122,8 +125,8 @@
 			out = append(out, name)
 		}
 	}
-	newer, _ := s.namedVersions()
-	for _, name := range append(newer[:min(len(newer), askedPeers)], s.ahead(operator.Table, starts)...) {
+	newer, _ := s.compareVersions()
+	for _, name := range append(newer[:min(len(newer), maxAskedPeers)], s.peersAhead(operator.Table, isEmpty)...) {
 		if !slices.Contains(out, name) {
 			out = append(out, name)
 		}
@@ -131,33 +134,36 @@
 	return out
 }
 
+// fetchFrom fetches the changes since this gateway's version from a peer and puts them in
+// force. It returns a page without rows that holds the peer's position.
 func (s *configSharing) fetchFrom(ctx context.Context, peer string) (follow.Page, error) {
 	begun, from := time.Now(), s.replica.Version()
-	taker := &changeTaker{replica: s.replica}
-	if err := s.links.Fetch(ctx, peer, &peerv1.Fetch{Version: from, LinkMbps: s.linkMbps}, taker); err != nil {
+	reader := &changeReader{replica: s.replica}
+	if err := s.links.Fetch(ctx, peer, &peerv1.Fetch{Version: from, LinkMbps: s.linkMbps}, reader); err != nil {
 		return follow.Page{}, err
 	}
-	head := taker.head
+	head := reader.head
 	s.adoptCordons(head)
 	page := follow.Page{Revision: revision.FromWire(head.GetRevision()), Changed: revision.FromWire(head.GetChanged()), Clock: time.Duration(head.GetClockMs()) * time.Millisecond}
 	if head.GetVersion() == from {
 		return page, nil
 	}
-	taken, err := s.replica.Commit(taker.update)
+	committed, err := s.replica.Commit(reader.update)
 	if err != nil {
 		return follow.Page{}, err
 	}
-	if taken {
+	if committed {
 		s.log.WithFields(logrus.Fields{
 			"version": head.GetVersion(), "revision": head.GetRevision(), "peer": peer, "base": head.GetBase(),
-			"rows": taker.update.Size(), "bytes": taker.bytes, "took_ms": time.Since(begun).Milliseconds(),
+			"rows": reader.update.Size(), "bytes": reader.bytes, "took_ms": time.Since(begun).Milliseconds(),
 		}).Info("configuration in force")
 	}
 	return page, nil
 }
 
-// changeTaker builds a version as its change comes in. It implements peers.Taker.
-type changeTaker struct {
+// changeReader builds a new configuration version from a peer's response while the response
+// arrives. It implements peers.Taker.
+type changeReader struct {
 	replica *routing.Replica
 	head    *peerv1.Change
 	update  *routing.Update
@@ -165,7 +171,7 @@
 }
 
 // Head implements peers.Taker.
-func (t *changeTaker) Head(head *peerv1.Change) error {
+func (t *changeReader) Head(head *peerv1.Change) error {
 	t.head, t.bytes = head, len(head.GetAccess())
 	if head.GetVersion() == head.GetBase() {
 		return nil
@@ -179,7 +185,7 @@
 }
 
 // Part implements peers.Taker.
-func (t *changeTaker) Part(part []byte) error {
+func (t *changeReader) Part(part []byte) error {
 	t.bytes += len(part)
 	if t.update == nil {
 		return changewire.ErrMalformed
@@ -187,40 +193,42 @@
 	return changewire.Add(t.update, part)
 }
 
-// Errors of an answer.
+// Errors of a fetch.
 var (
-	errNotNewer   = errors.New("asked for changes of a version that is not known here")
-	errUnreadable = errors.New("the newest version could not be read here")
-	errNotFurther = errors.New("the peer is not further than this gateway")
+	errVersionUnknown   = errors.New("requested changes since a version newer than this gateway's")
+	errConfigUnreadable = errors.New("the newest configuration in the store is unreadable")
+	errPeerNotAhead     = errors.New("the peer has nothing newer than this gateway")
 )
 
-// answer implements peers.Deps.Answer.
-func (s *configSharing) answer(ask *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
-	// The position comes first: the version read behind it is complete up to there.
+// serveFetch answers a peer's fetch of the configuration. See peers.Deps.Answer.
+func (s *configSharing) serveFetch(req *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
+	// Take the position first: the version read after it is then complete up to that
+	// position.
 	position, ok := s.followers[operator.Table].Last()
 	if !ok {
-		return nil, nil, errNoTable
+		return nil, nil, errTableUnknown
 	}
 	if s.sink.Unreadable() {
-		return nil, nil, errUnreadable
+		return nil, nil, errConfigUnreadable
 	}
-	if s.replica.Version() < ask.GetVersion() {
-		return nil, nil, errNotNewer
+	if s.replica.Version() < req.GetVersion() {
+		return nil, nil, errVersionUnknown
 	}
-	e, err := s.encode(ask.GetVersion())
+	encoded, err := s.encodeSince(req.GetVersion())
 	if err != nil {
 		return nil, nil, err
 	}
 	return &peerv1.Change{
-		Base: e.head.GetBase(), Version: e.head.GetVersion(), Revision: position.Revision.Wire(), Changed: position.Changed.Wire(), ClockMs: position.Clock.Milliseconds(),
-		Access: e.head.GetAccess(), Parts: e.head.GetParts(), Cordoned: s.cordonsOf(),
-	}, e.parts, nil
+		Base: encoded.head.GetBase(), Version: encoded.head.GetVersion(), Revision: position.Revision.Wire(), Changed: position.Changed.Wire(), ClockMs: position.Clock.Milliseconds(),
+		Access: encoded.head.GetAccess(), Parts: encoded.head.GetParts(), Cordoned: s.cordonMessages(),
+	}, encoded.parts, nil
 }
 
-// encode gives what leads from a version to the newest; most peers have the same one.
-func (s *configSharing) encode(version uint64) (encodedChange, error) {
-	s.encoding.Lock()
-	defer s.encoding.Unlock()
+// encodeSince returns the encoded change from a version to the newest one. The last result
+// is kept, since most peers have the same version.
+func (s *configSharing) encodeSince(version uint64) (encodedChange, error) {
+	s.encodeMu.Lock()
+	defer s.encodeMu.Unlock()
 	newest := s.replica.Version()
 	if s.encoded.head != nil && s.encoded.base == version && s.encoded.version == newest {
 		return s.encoded, nil
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -11,71 +11,73 @@
 	"kingcupplank.example/kingcup/internal/peers"
 )
 
-// controlEvery is how often a gateway logs what its control costs: six lines a minute.
-const controlEvery = 10 * time.Second
+// controlLogInterval is how often a gateway logs its control traffic: six lines a minute.
+const controlLogInterval = 10 * time.Second
 
-// controlCosts counts what a gateway spends on the store and on its peers: what must not
-// grow with their number. It is safe for concurrent use; mu is a leaf.
-type controlCosts struct {
+// controlStats counts a gateway's control traffic: calls to the store and bytes sent to
+// peers. This traffic must not grow with the number of gateways. It is safe for concurrent
+// use; no other lock is taken while mu is locked.
+type controlStats struct {
 	recorder *gatewaymetrics.Recorder
 
 	mu sync.Mutex
-	// calls are those of the followers to the store, by table and reason; sent the bytes
-	// to peers, by cause.
-	calls map[string]int
-	sent  map[peers.Cause]int
+	// storeCalls counts the followers' calls to the store, by table and reason. peerBytes
+	// counts the bytes sent to peers, by cause.
+	storeCalls map[string]int
+	peerBytes  map[peers.Cause]int
 }
 
-func newControlCosts(rec *gatewaymetrics.Recorder) *controlCosts {
-	return &controlCosts{recorder: rec, calls: make(map[string]int), sent: make(map[peers.Cause]int)}
+func newControlStats(rec *gatewaymetrics.Recorder) *controlStats {
+	return &controlStats{recorder: rec, storeCalls: make(map[string]int), peerBytes: make(map[peers.Cause]int)}
 }
 
-// called counts a call of a follower to the store.
-func (c *controlCosts) called(table, reason string) {
+// countStoreCall counts a call of a follower to the store.
+func (c *controlStats) countStoreCall(table, reason string) {
 	if c.recorder != nil {
 		c.recorder.StoreReason(table, reason)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls[table+": "+reason]++
+	c.storeCalls[table+": "+reason]++
 }
 
-// restored counts a table that has come back from a copy.
-func (c *controlCosts) restored(table string) {
+// countRestore counts a restore of the store from an older copy that was detected in a
+// table.
+func (c *controlStats) countRestore(table string) {
 	if c.recorder != nil {
 		c.recorder.StoreRestored(table)
 	}
 }
 
-// toPeer counts bytes sent to a peer.
-func (c *controlCosts) toPeer(cause peers.Cause, bytes int) {
+// countPeerBytes counts bytes sent to a peer.
+func (c *controlStats) countPeerBytes(cause peers.Cause, bytes int) {
 	if c.recorder != nil {
 		c.recorder.PeerSent(string(cause), bytes)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sent[cause] += bytes
+	c.peerBytes[cause] += bytes
 }
 
-// take returns what was counted since the last call.
-func (c *controlCosts) take() logrus.Fields {
+// flush returns the counts since the last call, as log fields, and resets them.
+func (c *controlStats) flush() logrus.Fields {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fields := logrus.Fields{"store_calls": c.calls, "peer_bytes": c.sent}
-	c.calls, c.sent = make(map[string]int), make(map[peers.Cause]int)
+	fields := logrus.Fields{"store_calls": c.storeCalls, "peer_bytes": c.peerBytes}
+	c.storeCalls, c.peerBytes = make(map[string]int), make(map[peers.Cause]int)
 	return fields
 }
 
-// logControl logs the costs of control until ctx ends.
-func (g *group) logControl(ctx context.Context) {
-	t := time.NewTicker(controlEvery)
+// logControlStats logs the control traffic every controlLogInterval until ctx ends.
+func (g *group) logControlStats(ctx context.Context) {
+	t := time.NewTicker(controlLogInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			g.log.WithFields(g.costs.take()).WithFields(logrus.Fields{"peers_known": g.links.Known() - 1, "peers_heard": len(g.links.Live())}).Info("costs of control")
+			g.log.WithFields(g.stats.flush()).WithFields(logrus.Fields{"peers_known": g.links.Known() - 1, "peers_heard": len(g.links.Live())}).Info("control traffic")
 		}
 	}
 }
--- a/internal/gateway/cordons.go
+++ b/internal/gateway/cordons.go
@@ -9,27 +9,27 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// cordonsChanged has the registry know which failure domains get nothing.
-func (g *group) cordonsChanged(domains []string) {
-	back := g.registry.SetCordoned(domains, clock.SinceBoot())
-	g.log.WithFields(logrus.Fields{"cordoned": domains, "back": back}).Info("cordoned failure domains")
+// applyCordons updates the registry's set of cordoned failure domains.
+func (g *group) applyCordons(domains []string) {
+	uncordoned := g.registry.SetCordoned(domains, clock.SinceBoot())
+	g.log.WithFields(logrus.Fields{"cordoned": domains, "back": uncordoned}).Info("set of cordoned failure domains has changed")
 }
 
-// cordonsOf is what peers that are behind are told of cordons, all of them each time: there
-// are fewer than failure domains.
-func (g *group) cordonsOf() (out []*peerv1.Cordon) {
+// cordonMessages returns all cordons for a response to a peer that is behind. Each response
+// has all of them, as there are fewer cordons than failure domains.
+func (g *group) cordonMessages() (out []*peerv1.Cordon) {
 	for _, r := range g.cordons.List() {
 		out = append(out, &peerv1.Cordon{Domain: r.Domain, Revision: r.Revision.Wire()})
 	}
 	return out
 }
 
-// adoptCordons takes what a peer that is further has in force.
+// adoptCordons replaces the cordons with those in a response of a peer that is ahead.
 func (g *group) adoptCordons(head *peerv1.Change) {
 	var list []cordon.Request
 	for _, c := range head.GetCordoned() {
 		if c.GetDomain() == "" {
-			g.log.WithField("revision", c.GetRevision()).Error("peer tells of a cordon without a failure domain, it is passed over")
+			g.log.WithField("revision", c.GetRevision()).Error("skipped a cordon without a failure domain from a peer")
 			continue
 		}
 		list = append(list, cordon.Request{Domain: c.GetDomain(), Revision: revision.FromWire(c.GetRevision())})
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -101,9 +101,9 @@
 	}
 	var held string
 	nodes[0].eventually(func() bool {
-		list := quarantined{nodes[0].group.suspects}.Held()
+		list := adminQuarantine{nodes[0].group.quarantine}.Held()
 		if len(list) == 1 {
-			held = suspectPrefix + list[0].Content
+			held = recordRowPrefix + list[0].Content
 		}
 		return held != "" && s.fleet.Store.Row(membersTable, held) != nil
 	}, "the verdict is in the store")
@@ -181,16 +181,16 @@
 	s.fleet.Configure("second")
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
-		n.group.answerBy(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errNoTable })
+		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errTableUnknown })
 	}
 	s.restore(c)
 	late := s.launch(s.settings("vm-3"))
-	for begun := time.Now(); time.Since(begun) < 3*agreePatience; time.Sleep(5 * time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < 3*configCheckTimeout; time.Sleep(5 * time.Millisecond) {
 		require.NotEqual(t, http.StatusOK, late.status(fleet.Key), "after %v", time.Since(begun))
 		require.False(t, late.isReady())
 	}
 	for _, n := range nodes {
-		n.group.answerBy(n.group.newest)
+		n.group.setFetchHandler(n.group.serveFetch)
 	}
 	late.eventually(func() bool { return late.isReady() && late.status("second") == http.StatusOK }, "the second key")
 	require.Equal(t, http.StatusUnauthorized, late.status(fleet.Key))
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -36,11 +36,11 @@
 
 func (m memberRows) Table(string) follow.Feed { return memberFeed(m) }
 
-func quietGroup(store rows) *group {
+func quietGroup(store tableStore) *group {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	registry := backends.New("z", func(string) backends.Traits { return backends.Traits{} }, func(backends.Server, backends.LeaveReason) {})
-	g := newGroup(peers.Member{Name: "self", Address: "10.0.0.1:80", FailureDomain: "z"}, store, registry, routing.NewReplica(), 10, peers.DefaultLinks, newControlCosts(nil), log)
+	g := newGroup(peers.Member{Name: "self", Address: "10.0.0.1:80", FailureDomain: "z"}, store, registry, routing.NewReplica(), 10, peers.DefaultLinks, newControlStats(nil), log)
 	for _, table := range []string{operator.Table, directory.Table} {
 		g.followers[table] = follow.New(follow.Config{Name: table}, nil, g.config.sink, g.config, clock.SinceBoot, log)
 	}
@@ -95,9 +95,9 @@
 		}
 		if s := frame.GetSuspects(); s != nil {
 			g.Suspects("p", s)
-			g.suspects.greet()
+			g.quarantine.initialRecords()
 		}
-		g.state()
+		g.ownState()
 	})
 }
 
@@ -106,20 +106,20 @@
 func FuzzSuspect(f *testing.F) {
 	corpus := fuzzseed.New(f)
 	valid := quarantine.Record{ID: quarantine.Of("team", "POST", "h", "/p", nil), Crashes: []quarantine.Crash{{Incarnation: 7, At: time.Second}}, ClearedAt: time.Millisecond}
-	data, err := encodeSuspect(valid)
+	data, err := encodeRecord(valid)
 	require.NoError(f, err)
 	for _, seed := range []string{string(data), "", "null", "[]", "{}", `{"team":"t","content":-1}`, `{"ends":[{"at_ms":9e18}]}`} {
-		corpus.Add(suspectKey(valid.ID), []byte(seed))
+		corpus.Add(recordRowKey(valid.ID), []byte(seed))
 	}
 	corpus.Grow()
 	f.Fuzz(func(t *testing.T, key string, data []byte) {
-		r, err := decodeSuspect(follow.Row{Key: key, Value: data})
+		r, err := decodeRecord(follow.Row{Key: key, Value: data})
 		if err != nil {
 			return
 		}
-		again, err := encodeSuspect(r)
+		again, err := encodeRecord(r)
 		require.NoError(t, err)
-		same, err := decodeSuspect(follow.Row{Key: key, Value: again})
+		same, err := decodeRecord(follow.Row{Key: key, Value: again})
 		require.NoError(t, err)
 		require.Equal(t, r.ID, same.ID)
 		quarantine.NewTracker(quarantine.Default()).Merge([]quarantine.Record{r, same})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway wires the program that serves callers on the users' platform:
-// ingress, relay, upstream, and the copies of directory and configuration.
+// Package gateway assembles the program that serves callers on the users' platform from the
+// ingress, the relay and the upstream client, and keeps copies of the tables of backend
+// servers, configuration and gateways.
 package gateway
 
 import (
@@ -33,24 +34,25 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// Options are the gateway's own settings.
+// Options are the gateway's own settings; the platform's are in settings.Settings.
 type Options struct {
 	// FeedTimeout is how long a call to the store waits for changes.
 	FeedTimeout time.Duration
-	// MinDirectoryInterval is the least time between two calls for the directory.
+	// MinDirectoryInterval is the minimum time between two calls for changes of the
+	// directory.
 	MinDirectoryInterval time.Duration
-	// MaxPeerLinks bounds the gateways that this one tells of itself.
+	// MaxPeerLinks bounds the gateways that this one sends its state to.
 	MaxPeerLinks int
-	// ShutdownDelay is how long after SIGTERM connections are still taken, until the
-	// balancer has noticed.
+	// ShutdownDelay is how long after SIGTERM connections are still accepted. The balancer
+	// needs that time to notice that the gateway is not ready.
 	ShutdownDelay time.Duration
-	// MetricsPort serves metrics and reports; 0 for none.
+	// MetricsPort is the port of the metrics and reports; 0 disables them.
 	MetricsPort int
-	// DroppedLogLines counts the log lines that were not written.
+	// DroppedLogLines counts the log lines that were dropped.
 	DroppedLogLines func() uint64
 }
 
-// DefaultOptions are the defaults of the flags.
+// DefaultOptions returns the defaults of the flags.
 func DefaultOptions() Options {
 	return Options{
 		FeedTimeout: time.Second, MinDirectoryInterval: 100 * time.Millisecond, MaxPeerLinks: peers.DefaultLinks, ShutdownDelay: 3 * time.Second, MetricsPort: 9464,
@@ -62,13 +64,13 @@
 type Gateway struct {
 	log      logrus.FieldLogger
 	opts     Options
-	set      *atomic.Pointer[settings.Settings]
+	settings *atomic.Pointer[settings.Settings]
 	store    *store.Client
 	relay    *relay.Relay
 	callers  *ingress.Server
 	registry *backends.Registry
 	upstream *upstream.Client
-	// directory copies the table of backend servers.
+	// directory follows the table of backend servers.
 	directory *follow.Follower
 	group     *group
 	admin     *admin.Server
@@ -78,13 +80,15 @@
 	wg        sync.WaitGroup
 }
 
-// memoryShare is the part of the VM's memory at which the garbage collector works
-// harder, so that a burst does not run into the limit.
-const memoryShare = 0.6
+// memoryLimitFraction is the fraction of the VM's memory that the Go runtime's memory limit
+// is set to. Near it the garbage collector works harder, so that a burst doesn't exhaust
+// the VM's memory.
+const memoryLimitFraction = 0.6
 
-// Start runs a gateway.
+// Start starts a gateway. It returns once the gateway's addresses are bound, before the
+// gateway is ready.
 func Start(opts Options, set *settings.Settings, log logrus.FieldLogger) (*Gateway, error) {
-	debug.SetMemoryLimit(int64(memoryShare * float64(set.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(set.MemoryBytes)))
 	c := dig.New()
 	for _, p := range providers(opts, set, log) {
 		if err := c.Provide(p); err != nil {
@@ -92,58 +96,59 @@
 		}
 	}
 	var g *Gateway
-	err := c.Invoke(func(r *relay.Relay, reg *backends.Registry, up *upstream.Client, rep *routing.Replica, rec *gatewaymetrics.Recorder, st *store.Client, gr *group, l *late) error {
-		g = &Gateway{started: time.Now(), set: &l.set, log: log, opts: opts, store: st, relay: r, registry: reg, upstream: up, group: gr}
+	err := c.Invoke(func(r *relay.Relay, reg *backends.Registry, up *upstream.Client, rep *routing.Replica, rec *gatewaymetrics.Recorder, st *store.Client, gr *group, l *lateDeps) error {
+		g = &Gateway{started: time.Now(), settings: &l.settings, log: log, opts: opts, store: st, relay: r, registry: reg, upstream: up, group: gr}
 		reg.SetRegions(set.Regions)
 		return g.run(set, rep, rec)
 	})
 	return g, dig.RootCause(err)
 }
 
-// late holds what is needed before it can be made, as the registry tells the relay and the
-// relay asks the registry, and the settings, which change.
-type late struct {
-	relay atomic.Pointer[relay.Relay]
-	set   atomic.Pointer[settings.Settings]
+// lateDeps holds dependencies that are read after construction: the relay, because the
+// registry calls the relay and the relay calls the registry, and the settings, because they
+// change.
+type lateDeps struct {
+	relay    atomic.Pointer[relay.Relay]
+	settings atomic.Pointer[settings.Settings]
 }
 
 func providers(opts Options, set *settings.Settings, log logrus.FieldLogger) []any {
 	return []any{
 		func() logrus.FieldLogger { return log },
-		func() *late {
-			l := &late{}
-			l.set.Store(set)
+		func() *lateDeps {
+			l := &lateDeps{}
+			l.settings.Store(set)
 			return l
 		},
 		func() clock.Source { return clock.SinceBoot },
 		func(rec *gatewaymetrics.Recorder) *store.Client { return store.New(set.Store, set.LinkMbps, rec) },
-		func(l *late) *upstream.Client {
-			return upstream.New(func(s backends.Server, a backends.Signals, begun time.Duration) {
+		func(l *lateDeps) *upstream.Client {
+			return upstream.New(func(s backends.Server, signals backends.Signals, begun time.Duration) {
 				if r := l.relay.Load(); r != nil {
-					r.Advised(s, a, begun)
+					r.Advised(s, signals, begun)
 				}
 			})
 		},
 		gatewaymetrics.New,
-		newControlCosts,
+		newControlStats,
 		routing.NewReplica,
-		func(rep *routing.Replica, l *late) *backends.Registry {
-			return backends.New(set.FailureDomain, traitsOf(rep, l), func(s backends.Server, n backends.LeaveReason) {
+		func(rep *routing.Replica, l *lateDeps) *backends.Registry {
+			return backends.New(set.FailureDomain, traitsFunc(rep, l), func(s backends.Server, n backends.LeaveReason) {
 				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(n)}).Info("server is leaving")
 				if r := l.relay.Load(); r != nil {
 					r.Noticed(s, n)
 				}
 			})
 		},
-		func(st *store.Client, reg *backends.Registry, rep *routing.Replica, costs *controlCosts) *group {
+		func(st *store.Client, reg *backends.Registry, rep *routing.Replica, costs *controlStats) *group {
 			self := peers.Member{Name: set.VM, Address: peerAddress(set), FailureDomain: set.FailureDomain}
 			return newGroup(self, st, reg, rep, set.LinkMbps, opts.MaxPeerLinks, costs, log)
 		},
-		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *late) *relay.Relay {
-			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Others: gr, Suspects: gr.suspects})
+		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *lateDeps) *relay.Relay {
+			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Others: gr, Suspects: gr.quarantine})
 			l.relay.Store(r)
-			held := r.Quarantined
-			gr.suspects.held.Store(&held)
+			onQuarantined := r.Quarantined
+			gr.quarantine.onQuarantined.Store(&onQuarantined)
 			return r
 		},
 	}
@@ -156,16 +161,19 @@
 	}
 }
 
-// peerAddress is where this gateway takes links: the first of the ports between
-// the system's own processes.
+// peerAddress returns the address on which this gateway accepts links: the first of the
+// ports reserved for the system's own processes.
 func peerAddress(set *settings.Settings) string {
 	return net.JoinHostPort(set.IP, strconv.Itoa(set.PeerPorts[0]))
 }
 
-// coldWindow is the time in which the platform counts what a cold server gets.
+// coldWindow is the window in which the platform counts the requests that a cold server
+// receives.
 const coldWindow = time.Second
 
-func traitsOf(rep *routing.Replica, l *late) func(service string) backends.Traits {
+// traitsFunc returns a function that looks up the traits of a service in the current
+// configuration and settings. The traits are zero for an unknown service.
+func traitsFunc(rep *routing.Replica, l *lateDeps) func(service string) backends.Traits {
 	return func(service string) (t backends.Traits) {
 		cfg, _ := rep.Current()
 		if cfg == nil {
@@ -175,7 +183,7 @@
 		if s == nil {
 			return t
 		}
-		bounds := l.set.Load().Bounds
+		bounds := l.settings.Load().Bounds
 		t.ColdTime = s.ColdTime
 		t.Cold = pacing.Limit{Rate: s.ColdRate, Most: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
 		if s.Engine != nil {
@@ -185,21 +193,22 @@
 	}
 }
 
+// run binds the gateway's addresses and starts its goroutines.
 func (g *Gateway) run(set *settings.Settings, rep *routing.Replica, rec *gatewaymetrics.Recorder) error {
 	callers, err := net.Listen("tcp", set.Callers)
 	if err != nil {
-		return errors.Wrap(err, "callers' address")
+		return errors.Wrap(err, "listen on the callers' address")
 	}
 	ready, err := net.Listen("tcp", set.Ready)
 	if err != nil {
 		callers.Close()
-		return errors.Wrap(err, "readiness address")
+		return errors.Wrap(err, "listen on the readiness address")
 	}
 	links, err := net.Listen("tcp", peerAddress(set))
 	if err != nil {
 		callers.Close()
 		ready.Close()
-		return errors.Wrap(err, "peers' address")
+		return errors.Wrap(err, "listen on the peers' address")
 	}
 	g.callers = ingress.New(callers, g.relay)
 	rep.OnChange(func(c *routing.Config) { g.callers.SetLimits(c.Limits) })
@@ -217,7 +226,7 @@
 	})
 	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
 	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.Live())) })
-	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.suspects.holds()) })
+	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.quarantine.countQuarantined()) })
 	rec.RegisterGauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
 	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.Limited()) })
 	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.Resting(clock.SinceBoot())) })
@@ -231,54 +240,58 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	g.wg.Go(func() { g.callers.Serve() })
-	op := g.follow(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
-	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, sharing{g.group, directory.Table})
-	gateways := g.follow(membersTable, membersWait, membersGap, members{g.group}, sharing{g.group, membersTable})
+	config := g.follow(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
+	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, tableSharing{g.group, directory.Table})
+	members := g.follow(membersTable, membersFeedTimeout, minMembersInterval, membersSink{g.group}, tableSharing{g.group, membersTable})
 	go ingress.NewReady(g.Ready).Serve(ready)
 	g.wg.Go(func() { g.group.links.Run(ctx, links) })
-	g.wg.Go(func() { op.Run(ctx) })
+	g.wg.Go(func() { config.Run(ctx) })
 	g.wg.Go(func() { g.directory.Run(ctx) })
-	g.wg.Go(func() { gateways.Run(ctx) })
+	g.wg.Go(func() { members.Run(ctx) })
 	g.wg.Go(func() { g.group.join(ctx) })
-	g.wg.Go(func() { g.group.agree(ctx) })
+	g.wg.Go(func() { g.group.checkConfig(ctx) })
 	g.wg.Go(func() { g.relay.Scout(ctx, g.directory.Away) })
-	g.wg.Go(func() { g.tend(ctx) })
-	g.wg.Go(func() { g.group.logControl(ctx) })
-	g.wg.Go(func() { g.group.suspects.tend(ctx) })
+	g.wg.Go(func() { g.runMaintenance(ctx) })
+	g.wg.Go(func() { g.group.logControlStats(ctx) })
+	g.wg.Go(func() { g.group.quarantine.run(ctx) })
 	return nil
 }
 
-// follow copies a table, together with the peers.
-func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, shared follow.Sharing) *follow.Follower {
+// follow creates the follower of a table, which shares the reads of the store with the
+// peers. wait bounds a call's wait for changes, gap is the minimum time between two calls.
+func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, sharing follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
 		Name: table, Wait: wait, Gap: gap,
-		Called:   func(r follow.Reason) { g.group.costs.called(table, string(r)) },
-		Restored: func() { g.group.costs.restored(table) },
-		Keep:     g.group.answers[table] != nil,
+		Called:   func(r follow.Reason) { g.group.stats.countStoreCall(table, string(r)) },
+		Restored: func() { g.group.stats.countRestore(table) },
+		Keep:     g.group.encoders[table] != nil,
 	}
-	f := follow.New(cfg, g.store.Table(table), sink, shared, clock.SinceBoot, g.log)
+	f := follow.New(cfg, g.store.Table(table), sink, sharing, clock.SinceBoot, g.log)
 	g.group.followers[table] = f
 	return f
 }
 
+// serveMetrics serves the metrics and reports, unless MetricsPort is 0.
 func (g *Gateway) serveMetrics(set *settings.Settings, rec *gatewaymetrics.Recorder) error {
 	if g.opts.MetricsPort == 0 {
 		return nil
 	}
 	l, err := net.Listen("tcp", net.JoinHostPort(set.IP, strconv.Itoa(g.opts.MetricsPort)))
 	if err != nil {
-		return errors.Wrap(err, "metrics address")
+		return errors.Wrap(err, "listen on the metrics address")
 	}
-	g.admin = admin.New(admin.Source{Registry: rec.Registry(), Ready: g.Ready, Report: rec.Report, Quarantine: quarantined{g.group.suspects}})
+	g.admin = admin.New(admin.Source{Registry: rec.Registry(), Ready: g.Ready, Report: rec.Report, Quarantine: adminQuarantine{g.group.quarantine}})
 	go g.admin.Serve(l)
 	return nil
 }
 
-// tendEvery is how often idle connections and lapsed entries are looked through.
-const tendEvery = 500 * time.Millisecond
+// maintenanceInterval is how often idle connections and expired entries are removed.
+const maintenanceInterval = 500 * time.Millisecond
 
-func (g *Gateway) tend(ctx context.Context) {
-	t := time.NewTicker(tendEvery)
+// runMaintenance removes idle connections, expired servers and expired cordons until ctx
+// ends.
+func (g *Gateway) runMaintenance(ctx context.Context) {
+	t := time.NewTicker(maintenanceInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -292,72 +305,76 @@
 	}
 }
 
-// Ready tells the balancer whether callers may come. A gateway that has just started
-// may know the configuration well before a long directory: each request would be
-// refused for lack of a server, while other gateways could serve it.
+// Ready reports to the balancer whether callers may connect. It requires the directory of
+// servers besides the configuration: a gateway that has just started may have the
+// configuration well before a long directory, and would refuse each request for lack of a
+// server while other gateways could serve it.
 //
-// The table of gateways says under which requests servers end: one that does not know it
-// would send them on.
+// It also requires the table of gateways, which holds the quarantine's records: without it
+// the gateway would send requests that crash servers. After membersTimeout it no longer
+// waits for that table.
 func (g *Gateway) Ready() bool {
 	return !g.stopping.Load() && g.relay.Ready() && g.directory.Filled() &&
-		(g.group.followers[membersTable].Filled() || time.Since(g.started) > tablesPatience)
+		(g.group.followers[membersTable].Filled() || time.Since(g.started) > membersTimeout)
 }
 
-// tablesPatience is how long after its start a gateway waits for the table of gateways.
-// Where only that one cannot be read, callers must not be refused for it.
-const tablesPatience = 2 * time.Second
+// membersTimeout is how long after its start a gateway waits for the table of gateways. If
+// only that table is unreadable, callers must not be refused because of it.
+const membersTimeout = 2 * time.Second
 
 const (
-	// endMargin is kept between the end of the last answer and SIGKILL.
-	endMargin = 300 * time.Millisecond
-	idlePoll  = 50 * time.Millisecond
-	// leaveMargin covers a request that is on its way when callers are last taken.
-	leaveMargin = 300 * time.Millisecond
-	// lastWrites bounds the time in which the ends of the last answers leave; it is
-	// less than endMargin, so that SIGKILL does not come first.
-	lastWrites = 200 * time.Millisecond
+	// killMargin is the time kept free between the end of the last response and SIGKILL.
+	killMargin = 300 * time.Millisecond
+	stopPoll   = 50 * time.Millisecond
+	// lastAcceptMargin covers a request that is still on its way when the last connections
+	// are accepted.
+	lastAcceptMargin = 300 * time.Millisecond
+	// lastWriteTimeout bounds the time in which the ends of the last responses are written.
+	// It is less than killMargin, so that SIGKILL doesn't come first.
+	lastWriteTimeout = 200 * time.Millisecond
 )
 
-// Stop ends the gateway after SIGTERM: it stops being ready at once, takes
-// connections until the balancer has noticed, and ends when no request is left or
-// the time until SIGKILL is nearly over.
+// Stop shuts the gateway down after SIGTERM. The gateway is not ready from now on, but
+// still accepts connections for ShutdownDelay. Stop returns when no request is in progress,
+// or shortly before SIGKILL.
 func (g *Gateway) Stop() {
 	begun := time.Now()
 	g.stopping.Store(true)
 	g.callers.Stop()
-	g.group.stop()
-	g.relay.EndAt(begun.Add(g.set.Load().Bounds.Shutdown-endMargin), begun.Add(g.opts.ShutdownDelay-leaveMargin))
+	g.group.announceStop()
+	g.relay.EndAt(begun.Add(g.settings.Load().Bounds.Shutdown-killMargin), begun.Add(g.opts.ShutdownDelay-lastAcceptMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
-	last := g.set.Load().Bounds.Shutdown - endMargin
-	for time.Since(begun) < last {
-		time.Sleep(idlePoll)
+	timeout := g.settings.Load().Bounds.Shutdown - killMargin
+	for time.Since(begun) < timeout {
+		time.Sleep(stopPoll)
 		if time.Since(begun) >= g.opts.ShutdownDelay && g.relay.InProgress() == 0 {
 			break
 		}
 	}
-	left := g.relay.InProgress()
-	g.callers.Finish(lastWrites)
+	unfinished := g.relay.InProgress()
+	g.callers.Finish(lastWriteTimeout)
 	g.cancel()
-	g.log.WithField("in_progress", left).Info("stopped")
+	g.log.WithField("in_progress", unfinished).Info("stopped")
 }
 
-// Reload takes new settings: the store's address, the bounds and the memory. The
-// addresses that a process serves are fixed while it lives.
+// Reload applies new settings: regions, the store's address, the link's bandwidth, the
+// bounds and the memory limit. The addresses that the gateway serves don't change while it
+// runs.
 func (g *Gateway) Reload(set *settings.Settings) {
-	old := g.set.Swap(set)
-	same := reflect.DeepEqual(set, old)
-	g.log.WithField("changed", !same).Info("settings reloaded")
-	if same {
+	old := g.settings.Swap(set)
+	unchanged := reflect.DeepEqual(set, old)
+	g.log.WithField("changed", !unchanged).Info("settings reloaded")
+	if unchanged {
 		return
 	}
 	g.registry.SetRegions(set.Regions)
 	g.store.SetAddress(set.Store)
 	g.store.SetLink(set.LinkMbps)
 	g.relay.Configure(relayConfig(set))
-	debug.SetMemoryLimit(int64(memoryShare * float64(set.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(set.MemoryBytes)))
 }
 
-// Close ends the gateway at once.
+// Close stops the gateway at once, without waiting for requests.
 func (g *Gateway) Close() {
 	g.cancel()
 	g.callers.Close()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -396,8 +396,8 @@
 	s.fleet.Configure(fleet.Key, more...)
 	last := nodes[len(nodes)-1]
 	last.eventually(func() bool { return last.do(plain("/extra-399/a")).status == http.StatusOK }, "in force")
-	require.True(t, nodes[0].group.tooLong(follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 40000)}}}}))
-	require.False(t, nodes[0].group.tooLong(follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 500)}}}}))
+	require.True(t, nodes[0].group.exceedsLinks(follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 40000)}}}}))
+	require.False(t, nodes[0].group.exceedsLinks(follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 500)}}}}))
 }
 
 // The platform moves the store to another address and changes a bound while the
@@ -409,7 +409,7 @@
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	door, err := s.fleet.Store.Open()
 	require.NoError(t, err)
-	changed := *n.set.Load()
+	changed := *n.settings.Load()
 	changed.Store, changed.Bounds.Revoke = door.Address, 2*time.Second
 	n.Reload(&changed)
 	n.door.SetFault(fleet.Reset)
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -63,7 +63,7 @@
 	last := s.gateway("vm-c")
 	linked(wide[0], wide[1], last)
 	for _, n := range wide {
-		n.group.answerBy(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errUnreadable })
+		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errConfigUnreadable })
 	}
 	s.fleet.Configure(fleet.Key, "/extra/")
 	last.eventually(func() bool { return last.do(plain("/extra/a")).status == http.StatusOK }, "in force")
@@ -94,9 +94,9 @@
 	page := func(size int) follow.Shared {
 		return follow.Shared{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, size)}}}}
 	}
-	require.False(t, wide.group.tooLong(page(100_000)))
+	require.False(t, wide.group.exceedsLinks(page(100_000)))
 	thin, _ := s.thin("vm-b", 10)
 	linked(wide, thin)
-	require.True(t, wide.group.tooLong(page(100_000)))
-	require.False(t, wide.group.tooLong(page(10_000)))
+	require.True(t, wide.group.exceedsLinks(page(100_000)))
+	require.False(t, wide.group.exceedsLinks(page(10_000)))
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -16,37 +16,40 @@
 	"kingcupplank.example/kingcup/retry"
 )
 
-// membersTable holds a row for each gateway, by the name of its VM, and one for each request
-// that is not sent to servers.
+// membersTable is the table with one row per gateway, keyed by the name of its VM, and one
+// row per request in the quarantine's records.
 const membersTable = "gateways"
 
 const (
-	// membersPatience bounds the wait for each page of the rows of all gateways.
-	membersPatience = 3 * time.Second
-	// membersWait is how long a call for changes of the members waits. One that is new
-	// tells those that it links to of itself; the rest need it for their count of gateways
-	// and cells only.
-	membersWait = 5 * time.Second
-	// membersGap is the least time between two of them: when all start at once, each
-	// writes a row.
-	membersGap = 500 * time.Millisecond
-	// firstReaders is how many gateways read the tables for themselves when all start.
-	firstReaders = 2 * readers.Count
-	// rewriteWithin spreads the gateways that write their rows again.
-	rewriteWithin = 800 * time.Millisecond
+	// membersPageTimeout bounds the wait for each page of the snapshot of the table.
+	membersPageTimeout = 3 * time.Second
+	// membersFeedTimeout is how long a call waits for changes of the table. It may be long:
+	// a new gateway sends its state to the peers that it links to, and the others need its
+	// row only to count gateways and cells.
+	membersFeedTimeout = 5 * time.Second
+	// minMembersInterval is the minimum time between two calls for changes. When all
+	// gateways start at once, each of them writes a row.
+	minMembersInterval = 500 * time.Millisecond
+	// initialReaders is how many gateways read the tables from the store when all gateways
+	// start at once.
+	initialReaders = 2 * readers.Count
+	// maxRewriteDelay is the upper bound of the random delay before a gateway writes its
+	// lost row again. It spreads these writes over time.
+	maxRewriteDelay = 800 * time.Millisecond
 )
 
+// joinBackoff spaces the retries of failed calls to the store.
 var joinBackoff = retry.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
 
-// memberRow is what a gateway writes of itself.
+// memberRow is the row of a gateway.
 type memberRow struct {
 	Address       string  `json:"address"`
 	FailureDomain string  `json:"failure_domain"`
 	LinkMbps      float64 `json:"link_mbps,omitempty"`
 }
 
-// decodeMember reads the row of a gateway. One with an address that is none would be
-// dialed in vain for as long as gateways remember each other.
+// decodeMember decodes the row of a gateway. It rejects a row whose address is not an IP
+// address and port: every gateway would keep dialing it in vain.
 func decodeMember(data []byte) (memberRow, error) {
 	var m memberRow
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -56,52 +59,55 @@
 	return m, err
 }
 
-// join reads the rows of all gateways and has this one's among them.
+// join registers this gateway in the table of gateways. It retries until it succeeds or ctx
+// ends.
 func (g *group) join(ctx context.Context) {
-	for tries := 0; ctx.Err() == nil; tries++ {
-		err := g.announce(ctx)
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		err := g.register(ctx)
 		if err == nil {
-			g.log.WithField("peers", g.links.Known()-1).Info("joined the gateways")
+			g.log.WithField("peers", g.links.Known()-1).Info("registered with the other gateways")
 			return
 		}
-		g.log.WithError(err).WithField("try", tries+1).Warn("cannot join the gateways yet")
-		wait.For(ctx, joinBackoff.After(tries, rand.Float64()))
+		g.log.WithError(err).WithField("try", attempt+1).Warn("cannot register with the other gateways, will retry")
+		wait.For(ctx, joinBackoff.After(attempt, rand.Float64()))
 	}
 }
 
-// announce reads the rows of all gateways and writes this one's, unless it stands there from
-// before a restart: hundreds of VMs that lose power together would write for a second, one
-// after the other, what is there already. Two gateways that start at once and do not see
-// each other's rows hear of them as the table is followed.
-func (g *group) announce(ctx context.Context) error {
+// register reads the rows of all gateways and writes this gateway's row. The row is not
+// written if it is already there from before a restart: if hundreds of VMs lost power
+// together, rewriting rows one after the other would take a second. Two gateways that start
+// at once and don't see each other's rows learn of each other from the changes of the
+// table.
+func (g *group) register(ctx context.Context) error {
 	begun := clock.SinceBoot()
-	page, err := g.store.Table(membersTable).Snapshot(ctx, membersPatience)
+	page, err := g.store.Table(membersTable).Snapshot(ctx, membersPageTimeout)
 	if err != nil {
 		return err
 	}
-	g.seedClock(page.Clock, begun)
+	g.setStoreClock(page.Clock, begun)
 	_, gateways := splitRows(page.Rows)
-	g.role.startsFirst(g.decodeMembers(gateways))
+	g.role.chooseInitialReaders(g.decodeMembers(gateways))
 	g.followers[membersTable].Seed(page, begun)
 	g.role.joined.Store(true)
-	row := g.row()
-	if slices.ContainsFunc(page.Rows, func(r follow.Row) bool { return r.Key == g.self.Name && isRow(r, row) }) {
+	row := g.ownRow()
+	if slices.ContainsFunc(page.Rows, func(r follow.Row) bool { return r.Key == g.self.Name && rowMatches(r, row) }) {
 		return nil
 	}
 	return g.putRow(ctx)
 }
 
-func isRow(r follow.Row, row memberRow) bool {
-	m, err := decodeMember(r.Value)
+// rowMatches reports whether a stored row equals a gateway's row.
+func rowMatches(stored follow.Row, row memberRow) bool {
+	m, err := decodeMember(stored.Value)
 	return err == nil && m == row
 }
 
-// decodeMembers reads the rows of gateways; those that cannot be read are passed over.
+// decodeMembers decodes the rows of gateways. It logs and skips unreadable ones.
 func (g *group) decodeMembers(rows []follow.Row) (out []peers.Member) {
 	for _, row := range rows {
 		m, err := decodeMember(row.Value)
 		if err != nil {
-			g.log.WithError(err).WithField("row", row.Key).Warn("row of a gateway is unreadable, it is passed over")
+			g.log.WithError(err).WithField("row", row.Key).Warn("skipped the unreadable row of a gateway")
 			continue
 		}
 		out = append(out, peers.Member{Name: row.Key, Address: m.Address, FailureDomain: m.FailureDomain, LinkMbps: m.LinkMbps, Revision: row.Revision})
@@ -109,71 +115,73 @@
 	return out
 }
 
-// forgotten removes the row of a gateway that is gone, unless it has been written
-// anew.
-func (g *group) forgotten(m peers.Member) {
+// removeRow removes the row of a gateway that has been unreachable for long, unless the row
+// has been written again.
+func (g *group) removeRow(m peers.Member) {
 	if m.Revision.IsZero() {
 		return
 	}
 	if err := g.store.Remove(context.Background(), membersTable, m.Name, m.Revision); err != nil {
-		g.log.WithError(err).WithField("peer", m.Name).Info("row of a forgotten gateway stays")
+		g.log.WithError(err).WithField("peer", m.Name).Info("cannot remove the row of an unreachable gateway")
 	}
 }
 
-// members has the links follow the table of gateways. It implements follow.Sink.
-type members struct{ *group }
+// membersSink passes the table of gateways on to the links and to the quarantine. It
+// implements follow.Sink.
+type membersSink struct{ *group }
 
-// Reset implements follow.Sink. Gateways that are linked and have no row any more are told
-// by their links.
-func (m members) Reset(rows []follow.Row, _ time.Duration) {
+// Reset implements follow.Sink. Gateways without a row stay known: the links to them report
+// whether they still run.
+func (m membersSink) Reset(rows []follow.Row, _ time.Duration) {
 	requests, gateways := splitRows(rows)
-	m.suspects.read(requests, true)
+	m.quarantine.applyRows(requests, true)
 	m.links.Learn(m.decodeMembers(gateways))
 	if m.role.joined.Load() && !slices.ContainsFunc(gateways, func(r follow.Row) bool { return r.Key == m.self.Name }) {
-		time.AfterFunc(time.Duration(rand.Float64()*float64(rewriteWithin)), m.rewrite)
+		time.AfterFunc(time.Duration(rand.Float64()*float64(maxRewriteDelay)), m.rewriteRow)
 	}
 }
 
-// rewrite writes this gateway's row again: the store has come back from a copy that does
-// not have it, and gateways that start would not hear of this one.
-func (g *group) rewrite() {
+// rewriteRow writes this gateway's row again after the store was restored from a copy that
+// lacks it. Without the row, gateways that start would not learn of this one.
+func (g *group) rewriteRow() {
 	ctx, cancel := context.WithTimeout(context.Background(), saveTimeout)
 	defer cancel()
 	if err := g.putRow(ctx); err != nil {
-		g.log.WithError(err).Warn("own row is not written again")
+		g.log.WithError(err).Warn("cannot write the own row that the restored store lacks")
 		return
 	}
-	g.log.Info("own row is written again")
+	g.log.Info("wrote the own row that the restored store lacked")
 }
 
 // putRow writes this gateway's row.
 func (g *group) putRow(ctx context.Context) error {
-	data, err := json.Marshal(g.row())
+	data, err := json.Marshal(g.ownRow())
 	if err != nil {
 		return err
 	}
 	return g.store.Put(ctx, membersTable, g.self.Name, data)
 }
 
-func (g *group) row() memberRow {
+// ownRow returns this gateway's row.
+func (g *group) ownRow() memberRow {
 	return memberRow{Address: g.self.Address, FailureDomain: g.self.FailureDomain, LinkMbps: g.linkMbps}
 }
 
 // Apply implements follow.Sink.
-func (m members) Apply(rows []follow.Row, _ time.Duration) {
+func (m membersSink) Apply(rows []follow.Row, _ time.Duration) {
 	requests, gateways := splitRows(rows)
-	m.suspects.read(requests, false)
-	var gone []string
+	m.quarantine.applyRows(requests, false)
+	var deleted []string
 	var written []follow.Row
 	for _, row := range gateways {
 		if row.Deleted {
-			gone = append(gone, row.Key)
+			deleted = append(deleted, row.Key)
 			continue
 		}
 		written = append(written, row)
 	}
-	if len(gone) > 0 {
-		m.links.Gone(gone)
+	if len(deleted) > 0 {
+		m.links.Gone(deleted)
 	}
 	if len(written) > 0 {
 		m.links.Learn(m.decodeMembers(written))
@@ -181,4 +189,4 @@
 }
 
 // Confirm implements follow.Sink.
-func (m members) Confirm(time.Duration) {}
+func (m membersSink) Confirm(time.Duration) {}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -25,77 +25,79 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// rows is what membership needs of the store.
-type rows interface {
+// tableStore is the part of the store's client that the group uses.
+type tableStore interface {
 	Put(ctx context.Context, table, key string, data []byte) error
 	Remove(ctx context.Context, table, key string, at revision.Revision) error
 	Table(name string) follow.Feed
 }
 
-// group is this gateway among its peers. It implements peers.Receiver and
-// relay.Others.
+// group is this gateway's view of the other gateways, and what it shares with them. It
+// implements peers.Receiver and relay.Others.
 type group struct {
 	self     peers.Member
-	store    rows
+	store    tableStore
 	registry *backends.Registry
 	config   *configSharing
-	// cordons are the failure domains that get nothing.
+	// cordons are the cordoned failure domains.
 	cordons *cordon.Set
 	// linkMbps is this VM's bandwidth in Mbit/s, 0 if it is not known.
 	linkMbps float64
 	log      logrus.FieldLogger
 	links    *peers.Manager
-	costs    *controlCosts
+	stats    *controlStats
 	stopping atomic.Bool
-	// agreed says that the configuration has been compared with the peers' since the start.
-	agreed   atomic.Bool
-	role     *readerRole
-	suspects *suspects
-	// followers by table take the pages of peers, answers encode what peers ask for of
-	// those whose rows are kept.
+	// configChecked says that the configuration has been compared with the peers' since the
+	// start.
+	configChecked atomic.Bool
+	role          *readerRole
+	quarantine    *sharedQuarantine
+	// followers, by table, receive the pages that peers read. encoders, by table, encode
+	// the responses to peers' fetches for the tables whose rows are kept.
 	followers map[string]*follow.Follower
-	answers   map[string]*tableAnswers
-	// answering answers peers: newest, unless a test has others stand for it.
-	answering atomic.Pointer[answerFunc]
+	encoders  map[string]*changeEncoder
+	// fetchHandler answers peers' fetches. It is serveFetch except in tests.
+	fetchHandler atomic.Pointer[fetchHandlerFunc]
 
-	// mu guards queues, what waits here by service, and used, what the largest teams
-	// have used. It is a leaf.
-	mu     sync.Mutex
-	queues map[string]flow.Contender
-	used   map[string]usages
+	// mu guards queues, the requests that wait here by service, and teamUsage, what the
+	// teams with the highest usage have used by service. No other lock is taken while mu is
+	// locked.
+	mu        sync.Mutex
+	queues    map[string]flow.Contender
+	teamUsage map[string]usageSnapshot
 }
 
-func newGroup(self peers.Member, store rows, registry *backends.Registry, replica *routing.Replica, linkMbps float64, mostLinks int, costs *controlCosts, log logrus.FieldLogger) *group {
-	g := &group{self: self, store: store, registry: registry, linkMbps: linkMbps, costs: costs, log: log, followers: make(map[string]*follow.Follower), queues: make(map[string]flow.Contender), used: make(map[string]usages)}
-	g.answers = map[string]*tableAnswers{directory.Table: {}, membersTable: {}}
+func newGroup(self peers.Member, store tableStore, registry *backends.Registry, replica *routing.Replica, linkMbps float64, maxLinks int, stats *controlStats, log logrus.FieldLogger) *group {
+	g := &group{self: self, store: store, registry: registry, linkMbps: linkMbps, stats: stats, log: log, followers: make(map[string]*follow.Follower), queues: make(map[string]flow.Contender), teamUsage: make(map[string]usageSnapshot)}
+	g.encoders = map[string]*changeEncoder{directory.Table: {}, membersTable: {}}
 	g.role = newReaderRole(g)
-	g.suspects = newSuspects(g)
-	g.answerBy(g.newest)
-	g.cordons = cordon.New(g.cordonsChanged)
+	g.quarantine = newSharedQuarantine(g)
+	g.setFetchHandler(g.serveFetch)
+	g.cordons = cordon.New(g.applyCordons)
 	g.config = &configSharing{group: g, replica: replica, sink: operator.NewSink(replica, g.cordons, clock.SinceBoot, wait.Breathe, log)}
 	var d net.Dialer
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
-		State: g.state, Receiver: g, Answer: g.answer, Log: log, Forgotten: g.forgotten,
-		Sent: costs.toPeer, MostLinks: mostLinks, Placed: g.placed, Greet: g.suspects.greet,
+		State: g.ownState, Receiver: g, Answer: g.handleFetch, Log: log, Forgotten: g.removeRow,
+		Sent: stats.countPeerBytes, MostLinks: maxLinks, Placed: g.applyCell, Greet: g.quarantine.initialRecords,
 	})
 	return g
 }
 
-// placed has the registry know the place of this gateway among the others.
-func (g *group) placed(p cells.Place) {
-	if g.registry.SetPlace(p) {
-		g.log.WithFields(logrus.Fields{"cell": p.Own, "cells": p.Count}).Info("cell of this gateway")
+// applyCell updates the registry with the cell of this gateway.
+func (g *group) applyCell(place cells.Place) {
+	if g.registry.SetPlace(place) {
+		g.log.WithFields(logrus.Fields{"cell": place.Own, "cells": place.Count}).Info("the cell of this gateway has changed")
 	}
 }
 
-// state is what this gateway tells of itself.
-func (g *group) state() *peerv1.State {
+// ownState returns the state that this gateway sends to its peers.
+func (g *group) ownState() *peerv1.State {
 	s := &peerv1.State{
 		From:     &peerv1.Member{Name: g.self.Name, Address: g.self.Address, FailureDomain: g.self.FailureDomain},
-		Stopping: g.stopping.Load(), StoreReached: g.reached(),
-		ConfigVersion: g.ownVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].Reading(),
-		Positions: g.positions(), Readers: g.role.list(),
+		Stopping: g.stopping.Load(), StoreReached: g.storeReached(),
+		ConfigVersion: g.checkedVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].Reading(),
+		Positions: g.positionMessages(), Readers: g.role.readerMessages(),
 	}
 	for id, l := range g.registry.Loads() {
 		s.Loads = append(s.Loads, &peerv1.Load{
@@ -104,23 +106,24 @@
 		})
 	}
 	for id, l := range g.registry.Losses(clock.SinceBoot()) {
-		s.Losses = append(s.Losses, lossOf(id, l))
+		s.Losses = append(s.Losses, statusMessage(id, l))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for service, q := range g.queues {
 		s.Queues = append(s.Queues, &peerv1.Queue{Service: service, Waiting: uint32(q.Waiting), Rank: uint32(q.Rank), First: uint32(q.First)})
 	}
-	for service, used := range g.used {
-		for _, u := range used.now(clock.SinceBoot()) {
+	for service, used := range g.teamUsage {
+		for _, u := range used.decayedAt(clock.SinceBoot()) {
 			s.Usages = append(s.Usages, &peerv1.Usage{Service: service, Team: u.Team, Amount: float32(u.Amount)})
 		}
 	}
 	return s
 }
 
-// pass passes on what a peer has told of servers that is news here.
-func (g *group) pass(peer string, losses map[string]backends.Loss, news []backends.Told) {
+// forwardStatuses logs the rate limits among a peer's status changes, and sends the peers
+// this gateway's state if there are any changes.
+func (g *group) forwardStatuses(peer string, losses map[string]backends.Loss, news []backends.Told) {
 	for _, t := range news {
 		if !t.Limit {
 			continue
@@ -129,14 +132,14 @@
 		g.log.WithFields(logrus.Fields{
 			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
 			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
-		}).Info("a peer tells of a server's limit")
+		}).Info("peer reported a server's rate limit")
 	}
 	if len(news) > 0 {
 		g.links.Nudge()
 	}
 }
 
-func lossOf(server string, l backends.Loss) *peerv1.Loss {
+func statusMessage(server string, l backends.Loss) *peerv1.Loss {
 	out := &peerv1.Loss{Server: server, InARow: uint32(l.InARow), Ended: l.Ended, Leaving: l.Leaving, Resting: l.Resting, Born: l.StartTime}
 	if l.Limit.Known {
 		out.Limit = &peerv1.Limit{Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, AgeMs: l.Limit.Age.Milliseconds()}
@@ -144,18 +147,19 @@
 	return out
 }
 
-// mostAge bounds the age of what a peer tells.
-const mostAge = 24 * time.Hour
+// maxReportAge bounds the age of a rate limit in a peer's report.
+const maxReportAge = 24 * time.Hour
 
-func lossFrom(l *peerv1.Loss) backends.Loss {
+func statusFromMessage(l *peerv1.Loss) backends.Loss {
 	out := backends.Loss{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
-		out.Limit = backends.ToldLimit{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), mostAge.Milliseconds())) * time.Millisecond}
+		out.Limit = backends.ToldLimit{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), maxReportAge.Milliseconds())) * time.Millisecond}
 	}
 	return out
 }
 
-func (g *group) reached() bool {
+// storeReached reports whether the last call of every follower to the store succeeded.
+func (g *group) storeReached() bool {
 	for _, f := range g.followers {
 		if !f.Reached() {
 			return false
@@ -173,9 +177,9 @@
 	}
 	losses := make(map[string]backends.Loss, len(s.GetLosses()))
 	for _, l := range s.GetLosses() {
-		losses[l.GetServer()] = lossFrom(l)
+		losses[l.GetServer()] = statusFromMessage(l)
 	}
-	g.pass(peer, losses, g.registry.SetLosses(peer, losses, clock.SinceBoot()))
+	g.forwardStatuses(peer, losses, g.registry.SetLosses(peer, losses, clock.SinceBoot()))
 	loads := make(map[string]backends.Load, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads[l.GetServer()] = backends.Load{
@@ -183,13 +187,15 @@
 		}
 	}
 	g.registry.SetRemote(peer, loads)
-	g.role.hear(s.GetReaders())
-	g.positionsHeard(s.GetPositions())
-	g.configNamed(s)
+	g.role.receive(s.GetReaders())
+	g.applyPositions(s.GetPositions())
+	g.noteConfigVersion(s)
 }
 
 // Suspects implements peers.Receiver.
-func (g *group) Suspects(peer string, s *peerv1.Suspects) { g.suspects.hear(peer, s.GetSuspects()) }
+func (g *group) Suspects(peer string, s *peerv1.Suspects) {
+	g.quarantine.receive(peer, s.GetSuspects())
+}
 
 // Page implements peers.Receiver.
 func (g *group) Page(peer string, p *peerv1.Page) {
@@ -201,9 +207,9 @@
 		Revision: revision.FromWire(p.GetRevision()), Clock: time.Duration(p.GetClockMs()) * time.Millisecond,
 		Outage: time.Duration(p.GetOutageMs()) * time.Millisecond,
 	}
-	page.Rows = rowsFrom(p.GetRows())
+	page.Rows = rowsFromMessages(p.GetRows())
 	if p.GetTable() == operator.Table {
-		g.config.announced(peer)
+		g.config.recordAnnouncer(peer)
 	}
 	f.Offer(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
 }
@@ -219,60 +225,62 @@
 // Nudge implements relay.Others.
 func (g *group) Nudge() { g.links.Nudge() }
 
-// stop tells the peers that this gateway is stopping.
-func (g *group) stop() {
+// announceStop sends the peers a state which says that this gateway is stopping.
+func (g *group) announceStop() {
 	g.stopping.Store(true)
 	g.links.Nudge()
 }
 
-// sharing lets the gateways read a table for each other. It implements
-// follow.Sharing.
-type sharing struct {
+// tableSharing distributes a table between the gateways, so that only some of them read it
+// from the store. It implements follow.Sharing.
+type tableSharing struct {
 	*group
 	table string
 }
 
 // Reading implements follow.Sharing.
-func (s sharing) Reading() bool { return false }
+func (s tableSharing) Reading() bool { return false }
 
-// shareTime is the time of a VM's link that passing a page on may take. Beyond it callers
-// would wait behind the page: 64 KB for 28 peers take 1.5 s of a link of 10 Mbit/s.
-const shareTime = 50 * time.Millisecond
+// maxShareTime bounds the time that sending a page may occupy a VM's link. Callers' data
+// waits behind a page: 64 KB for 28 peers take 1.5 s of a link of 10 Mbit/s.
+const maxShareTime = 50 * time.Millisecond
 
-// rowOverhead is what a row takes in a page beside its value, in bytes.
+// rowOverhead is the size of a row in a page without its value, in bytes.
 const rowOverhead = 64
 
-// tooLong reports whether a page would hold up this VM's link, which passes it to every
-// peer, or a peer's: a wide link takes at once what a thin one takes seconds for, longer
-// than a frame may take to be written, and the link would be given up with it.
-func (g *group) tooLong(p follow.Shared) bool {
+// exceedsLinks reports whether a page would occupy a link for longer than maxShareTime:
+// this VM's link, over which the page goes to every peer, or the link of any peer. A wide
+// link sends in an instant what a thin link receives in seconds. That exceeds the write
+// timeout of a frame, and the connection to that peer would be closed.
+func (g *group) exceedsLinks(page follow.Shared) bool {
 	size := 0
-	for _, r := range p.Rows {
+	for _, r := range page.Rows {
 		size += len(r.Value) + rowOverhead
 	}
-	if holdsUp(size*g.links.Links(), g.linkMbps) {
+	if exceedsLink(size*g.links.Links(), g.linkMbps) {
 		return true
 	}
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return holdsUp(size, s.GetLinkMbps()) })
+	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return exceedsLink(size, s.GetLinkMbps()) })
 }
 
-// holdsUp reports whether bytes take a link of some Mbit/s for too long.
-func holdsUp(size int, mbps float64) bool {
-	return mbps > 0 && 8*float64(size) > mbps*1e6*shareTime.Seconds()
+// exceedsLink reports whether sending size bytes over a link of mbps Mbit/s takes longer
+// than maxShareTime. It is false if the bandwidth is not known.
+func exceedsLink(size int, mbps float64) bool {
+	return mbps > 0 && 8*float64(size) > mbps*1e6*maxShareTime.Seconds()
 }
 
-// Share implements follow.Sharing. Of a page that is too long only its revision is
-// told; the peers notice the gap and read it from the store.
-func (s sharing) Share(p follow.Shared) {
-	s.role.answered()
+// Share implements follow.Sharing. If a page is too long for a link, only its revision is
+// sent; the peers notice the gap and get the rows by other means.
+func (s tableSharing) Share(p follow.Shared) {
+	s.role.announceRole()
 	page := &peerv1.Page{
 		Table: s.table, Since: p.Since.Wire(), Revision: p.Revision.Wire(),
 		ClockMs: p.Clock.Milliseconds(), OutageMs: p.Outage.Milliseconds(),
 	}
-	if s.tooLong(p) {
+	if s.exceedsLinks(p) {
 		page.Since = p.Revision.Wire()
 		p.Rows = nil
 	}
-	page.Rows = rowsOf(p.Rows)
+	page.Rows = rowMessages(p.Rows)
 	s.links.Spread(page)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -23,232 +23,244 @@
 )
 
 const (
-	// toldPerSecond and toldAtOnce bound the records of suspects that a gateway passes on,
-	// so that the loss of a failure domain, under which thousands of requests end, does not
-	// fill its links: 32 links of 50 bytes a record are 26 KB a second at most.
-	toldPerSecond, toldAtOnce = 16, 256
-	// greeted bounds the records that a peer is told when a link to it is up.
-	greeted = 64
-	// saveSoonest and savePerGateway spread the gateways that write a verdict which they
-	// have heard of, while the store has no row of it: the first of some hundred writes
-	// within a second, and the others hear of its row by the table.
-	saveSoonest    = 300 * time.Millisecond
-	savePerGateway = 100 * time.Millisecond
-	savePoll       = 50 * time.Millisecond
-	saveTimeout    = 3 * time.Second
-	// expireEvery is how often what does not count any more is forgotten.
-	expireEvery = time.Minute
-	// mostEvidence bounds the ends that a log line names.
-	mostEvidence = 8
+	// recordsPerSecond and recordsBurst limit the records that a gateway sends to its
+	// peers. Thousands of requests are in flight when a failure domain is lost; their
+	// records must not fill the links. 32 links of 50 bytes a record are 26 KB a second at
+	// most.
+	recordsPerSecond, recordsBurst = 16, 256
+	// maxInitialRecords bounds the records that a peer receives when a link to it is
+	// established.
+	maxInitialRecords = 64
+	// minSaveDelay and saveDelayPerGateway spread the writes of a quarantine decision that
+	// a gateway has received, while the store has no row of it. Of some hundred gateways
+	// the first one writes within a second; the others see its row when they follow the
+	// table.
+	minSaveDelay        = 300 * time.Millisecond
+	saveDelayPerGateway = 100 * time.Millisecond
+	savePoll            = 50 * time.Millisecond
+	saveTimeout         = 3 * time.Second
+	// expireInterval is how often expired records are removed.
+	expireInterval = time.Minute
+	// maxLoggedCrashes bounds the crashes listed in a log line.
+	maxLoggedCrashes = 8
 )
 
-// suspects is what this gateway knows of requests under which servers end, and shares with
-// the others. It implements relay.Suspects.
+// sharedQuarantine tracks the requests under which servers crash, and shares the records
+// with the other gateways. It implements relay.Suspects.
 //
-// What it learns it tells its peers, which pass on what is news to them. A verdict is a row
-// of the store besides: it outlives all gateways, and reaches those that start later. It is
-// safe for concurrent use; mu is a leaf.
-type suspects struct {
-	group *group
-	log   logrus.FieldLogger
-	told  *rate.Limiter
-	// held is told of each request that is refused from now on; it may be nil.
-	held atomic.Pointer[func(quarantine.ID)]
-	// any says that the book is not empty.
-	any atomic.Bool
-
-	mu   sync.Mutex
-	book *quarantine.Tracker
-	// rows are the rows of the store, by request, and due is when a row is to be written.
-	rows map[quarantine.ID]suspectRow
-	due  map[quarantine.ID]time.Time
-	// tries counts the writes in a row that failed.
-	tries int
+// New records are sent to the peers, which forward those that are new to them. A quarantine
+// decision is also written to the store as a row: it outlives all gateways and reaches
+// those that start later. sharedQuarantine is safe for concurrent use; no other lock is
+// taken while mu is locked.
+type sharedQuarantine struct {
+	group         *group
+	log           logrus.FieldLogger
+	recordLimiter *rate.Limiter
+	// onQuarantined is called for each request that becomes quarantined; it may be nil.
+	onQuarantined atomic.Pointer[func(quarantine.ID)]
+	// hasRecords says that the tracker is not empty.
+	hasRecords atomic.Bool
+
+	mu      sync.Mutex
+	tracker *quarantine.Tracker
+	// rows are the rows in the store, by request. saveAt is when a row is due to be
+	// written.
+	rows   map[quarantine.ID]storedRecord
+	saveAt map[quarantine.ID]time.Time
+	// failedSaves counts the consecutive failed writes.
+	failedSaves int
 }
 
-func newSuspects(g *group) *suspects {
-	return &suspects{
-		group: g, log: g.log, told: rate.NewLimiter(toldPerSecond, toldAtOnce), book: quarantine.NewTracker(quarantine.Default()),
-		rows: make(map[quarantine.ID]suspectRow), due: make(map[quarantine.ID]time.Time),
+func newSharedQuarantine(g *group) *sharedQuarantine {
+	return &sharedQuarantine{
+		group: g, log: g.log, recordLimiter: rate.NewLimiter(recordsPerSecond, recordsBurst), tracker: quarantine.NewTracker(quarantine.Default()),
+		rows: make(map[quarantine.ID]storedRecord), saveAt: make(map[quarantine.ID]time.Time),
 	}
 }
 
-var _ relay.Suspects = (*suspects)(nil)
+var _ relay.Suspects = (*sharedQuarantine)(nil)
 
 // Any implements relay.Suspects.
-func (s *suspects) Any() bool { return s.any.Load() }
+func (s *sharedQuarantine) Any() bool { return s.hasRecords.Load() }
 
 // Held implements relay.Suspects.
-func (s *suspects) Held(id quarantine.ID) (time.Duration, bool) {
-	now, known := s.group.role.now()
+func (s *sharedQuarantine) Held(id quarantine.ID) (time.Duration, bool) {
+	now, known := s.group.role.storeTime()
 	if !known {
 		return 0, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Held(id, now)
+	return s.tracker.Held(id, now)
 }
 
 // Due implements relay.Suspects.
-func (s *suspects) Due(id quarantine.ID) bool {
-	now, known := s.group.role.now()
+func (s *sharedQuarantine) Due(id quarantine.ID) bool {
+	now, known := s.group.role.storeTime()
 	if !known {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Due(id, now)
+	return s.tracker.Due(id, now)
 }
 
 // Try implements relay.Suspects.
-func (s *suspects) Try(id quarantine.ID) (tried bool) {
-	now, known := s.group.role.now()
+func (s *sharedQuarantine) Try(id quarantine.ID) (tried bool) {
+	now, known := s.group.role.storeTime()
 	if !known {
 		return false
 	}
-	s.learn("tried", 0, func(b *quarantine.Tracker) (c quarantine.Change) {
+	s.update("tried", 0, func(b *quarantine.Tracker) (c quarantine.Change) {
 		c, tried = b.Try(id, now)
 		return c
 	})
 	if tried {
-		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team}).Info("request that is held in doubt is tried")
+		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team}).Info("trying a request whose quarantine is in doubt")
 	}
 	return tried
 }
 
-// holds counts the requests that are refused.
-func (s *suspects) holds() int {
+// countQuarantined returns the number of quarantined requests.
+func (s *sharedQuarantine) countQuarantined() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Holds()
+	return s.tracker.Holds()
 }
 
 // Near implements relay.Suspects.
-func (s *suspects) Near(id quarantine.ID) bool {
+func (s *sharedQuarantine) Near(id quarantine.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Near(id)
+	return s.tracker.Near(id)
 }
 
 // Ended implements relay.Suspects.
-func (s *suspects) Ended(server backends.Server, ran []quarantine.ID) {
-	now, known := s.group.role.now()
+func (s *sharedQuarantine) Ended(server backends.Server, ran []quarantine.ID) {
+	now, known := s.group.role.storeTime()
 	if !known {
-		s.log.WithField("server", server.ID).Warn("end of a server is not counted, the store's clock is not known")
+		s.log.WithField("server", server.ID).Warn("crash of a server is not recorded, because the store's clock is not known yet")
 		return
 	}
-	s.learn("seen here", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Ended(lifeHash(server), now, ran) })
+	s.update("seen here", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Ended(incarnationHash(server), now, ran) })
 }
 
-// lifeHash identifies a life of a server among all gateways.
-func lifeHash(s backends.Server) uint64 {
+// incarnationHash identifies an incarnation of a server. It is the same at all gateways.
+func incarnationHash(s backends.Server) uint64 {
 	return xxhash.Sum64String(s.ID + "/" + strconv.FormatInt(s.StartTime, 10))
 }
 
 // Answered implements relay.Suspects.
-func (s *suspects) Answered(id quarantine.ID) { s.absolve(id, "answered") }
+func (s *sharedQuarantine) Answered(id quarantine.ID) { s.clearRequest(id, "answered") }
 
-func (s *suspects) absolve(id quarantine.ID, why string) {
-	if now, known := s.group.role.now(); known {
-		s.learn(why, 0, func(b *quarantine.Tracker) quarantine.Change { return b.Absolve(id, now) })
+// clearRequest clears a request of the crashes so far, because a server has answered it or
+// an operator has released it.
+func (s *sharedQuarantine) clearRequest(id quarantine.ID, reason string) {
+	if now, known := s.group.role.storeTime(); known {
+		s.update(reason, 0, func(b *quarantine.Tracker) quarantine.Change { return b.Absolve(id, now) })
 	}
 }
 
-// hear takes what a peer tells.
-func (s *suspects) hear(peer string, list []*peerv1.Suspect) {
-	records := make([]quarantine.Record, 0, len(list))
-	for _, p := range list {
-		records = append(records, recordOf(p))
+// receive merges the records that a peer has sent.
+func (s *sharedQuarantine) receive(peer string, suspects []*peerv1.Suspect) {
+	records := make([]quarantine.Record, 0, len(suspects))
+	for _, p := range suspects {
+		records = append(records, recordFromMessage(p))
 	}
-	s.learn("told by "+peer, s.turn(), func(b *quarantine.Tracker) quarantine.Change { return b.Merge(records) })
+	s.update("told by "+peer, s.saveDelay(), func(b *quarantine.Tracker) quarantine.Change { return b.Merge(records) })
 }
 
-// turn is when this gateway writes a row that others may write as well.
-func (s *suspects) turn() time.Duration {
-	return saveSoonest + time.Duration(rand.Float64()*float64(s.group.Known())*float64(savePerGateway))
+// saveDelay returns a random delay before writing a row that other gateways may write as
+// well.
+func (s *sharedQuarantine) saveDelay() time.Duration {
+	return minSaveDelay + time.Duration(rand.Float64()*float64(s.group.Known())*float64(saveDelayPerGateway))
 }
 
-// learn changes the book, and tells peers, the relay and the store what follows from it;
-// the store after some time.
-func (s *suspects) learn(why string, after time.Duration, change func(*quarantine.Tracker) quarantine.Change) {
+// update changes the tracker, sends new records to the peers, notifies the relay of newly
+// quarantined requests, and schedules the writes to the store after delay. The reason is
+// logged.
+func (s *sharedQuarantine) update(reason string, delay time.Duration, change func(*quarantine.Tracker) quarantine.Change) {
 	s.mu.Lock()
-	c := change(s.book)
-	s.any.Store(s.book.Len() > 0)
+	c := change(s.tracker)
+	s.hasRecords.Store(s.tracker.Len() > 0)
 	for _, id := range slices.Concat(c.Held, c.Freed) {
-		s.schedule(id, after)
+		s.scheduleSave(id, delay)
 	}
 	for _, r := range c.News {
 		if len(r.Trials) > 0 {
-			s.schedule(r.ID, after)
+			s.scheduleSave(r.ID, delay)
 		}
 	}
-	evidence := make([]quarantine.Record, 0, len(c.Held))
+	quarantined := make([]quarantine.Record, 0, len(c.Held))
 	for _, id := range c.Held {
-		evidence = append(evidence, s.book.Record(id))
+		quarantined = append(quarantined, s.tracker.Record(id))
 	}
 	s.mu.Unlock()
-	s.tell(c.News)
-	for _, r := range evidence {
-		s.log.WithFields(logrus.Fields{"content": r.String(), "team": r.Team, "why": why, "ends": ends(r)}).Warn("request is held: servers end under it")
-		if held := s.held.Load(); held != nil {
-			(*held)(r.ID)
+	s.send(c.News)
+	for _, r := range quarantined {
+		s.log.WithFields(logrus.Fields{"content": r.String(), "team": r.Team, "why": reason, "ends": describeCrashes(r)}).Warn("request is quarantined: servers crash under it")
+		if notify := s.onQuarantined.Load(); notify != nil {
+			(*notify)(r.ID)
 		}
 	}
 	for _, id := range c.Freed {
-		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team, "why": why}).Warn("request is not held any more")
+		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team, "why": reason}).Warn("request is no longer quarantined")
 	}
 }
 
-// ends describes the evidence of a record, as the lines on servers that ended name it.
-func ends(r quarantine.Record) (out []string) {
-	for _, e := range r.Crashes[:min(len(r.Crashes), mostEvidence)] {
+// describeCrashes lists the crashes of a record as the log lines on crashed servers name
+// them.
+func describeCrashes(r quarantine.Record) (out []string) {
+	for _, e := range r.Crashes[:min(len(r.Crashes), maxLoggedCrashes)] {
 		out = append(out, fmt.Sprintf("%016x at %d ms", e.Incarnation, e.At.Milliseconds()))
 	}
 	return out
 }
 
-// tell passes records on to the peers, those with most ends first.
-func (s *suspects) tell(news []quarantine.Record) {
-	slices.SortStableFunc(news, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Crashes), len(x.Crashes)) })
+// send sends records to the peers, those with the most crashes first. Records beyond the
+// rate limit are not sent.
+func (s *sharedQuarantine) send(records []quarantine.Record) {
+	slices.SortStableFunc(records, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Crashes), len(x.Crashes)) })
 	out := &peerv1.Suspects{}
-	for _, r := range news {
-		if !s.told.Allow() {
-			s.log.WithField("records", len(news)).Warn("too many suspects, not all are told to peers")
+	for _, r := range records {
+		if !s.recordLimiter.Allow() {
+			s.log.WithField("records", len(records)).Warn("too many quarantine records at once, some are not sent to peers")
 			break
 		}
-		out.Suspects = append(out.Suspects, suspectOf(r))
+		out.Suspects = append(out.Suspects, recordMessage(r))
 	}
 	if len(out.Suspects) > 0 {
 		s.group.links.Tell(out)
 	}
 }
 
-// greet is what a peer is told when a link to it is up: it may have been away, or the
-// store may be, so that it has heard of no verdict.
-func (s *suspects) greet() *peerv1.Suspects {
+// initialRecords returns the records that a peer receives when a link to it is established,
+// nil if there are none. The peer may not have received them before, if it was unreachable
+// or the store is unavailable.
+func (s *sharedQuarantine) initialRecords() *peerv1.Suspects {
 	s.mu.Lock()
-	list := s.book.List(1)
+	list := s.tracker.List(1)
 	s.mu.Unlock()
 	if len(list) == 0 {
 		return nil
 	}
 	slices.SortStableFunc(list, func(x, y quarantine.Record) int { return cmp.Compare(len(y.Crashes), len(x.Crashes)) })
 	out := &peerv1.Suspects{}
-	for _, r := range list[:min(len(list), greeted)] {
-		out.Suspects = append(out.Suspects, suspectOf(r))
+	for _, r := range list[:min(len(list), maxInitialRecords)] {
+		out.Suspects = append(out.Suspects, recordMessage(r))
 	}
 	return out
 }
 
-func suspectOf(r quarantine.Record) *peerv1.Suspect {
-	p := &peerv1.Suspect{Team: r.Team, Content: r.Content, AbsolvedMs: r.ClearedAt.Milliseconds(), TrialsMs: millis(r.Trials)}
+func recordMessage(r quarantine.Record) *peerv1.Suspect {
+	p := &peerv1.Suspect{Team: r.Team, Content: r.Content, AbsolvedMs: r.ClearedAt.Milliseconds(), TrialsMs: toMillis(r.Trials)}
 	for _, e := range r.Crashes {
 		p.Ends = append(p.Ends, &peerv1.End{Server: e.Incarnation, AtMs: e.At.Milliseconds()})
 	}
 	return p
 }
 
-func recordOf(p *peerv1.Suspect) quarantine.Record {
+func recordFromMessage(p *peerv1.Suspect) quarantine.Record {
 	r := quarantine.Record{ID: quarantine.ID{Team: p.GetTeam(), Content: p.GetContent()}, ClearedAt: time.Duration(p.GetAbsolvedMs()) * time.Millisecond, Trials: fromMillis(p.GetTrialsMs())}
 	for _, e := range p.GetEnds() {
 		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.GetServer(), At: time.Duration(e.GetAtMs()) * time.Millisecond})
@@ -256,7 +268,7 @@
 	return r
 }
 
-func millis(times []time.Duration) (out []int64) {
+func toMillis(times []time.Duration) (out []int64) {
 	for _, t := range times {
 		out = append(out, t.Milliseconds())
 	}
@@ -270,9 +282,9 @@
 	return out
 }
 
-// tend writes rows and forgets what does not count any more, until ctx ends.
-func (s *suspects) tend(ctx context.Context) {
-	save, expire := time.NewTicker(savePoll), time.NewTicker(expireEvery)
+// run writes due rows and removes expired records, until ctx ends.
+func (s *sharedQuarantine) run(ctx context.Context) {
+	save, expire := time.NewTicker(savePoll), time.NewTicker(expireInterval)
 	defer save.Stop()
 	defer expire.Stop()
 	for {
@@ -280,63 +292,64 @@
 		case <-ctx.Done():
 			return
 		case <-save.C:
-			s.saveDue(ctx)
+			s.saveDueRows(ctx)
 		case <-expire.C:
 			s.expire(ctx)
 		}
 	}
 }
 
-// expire forgets records, and drops the rows of those that are forgotten. One gateway of
-// all does so in the middle.
-func (s *suspects) expire(ctx context.Context) {
-	now, known := s.group.role.now()
+// expire removes expired records, and their rows from the store. Every gateway draws at
+// random whether it removes a row, so that on average one of them does.
+func (s *sharedQuarantine) expire(ctx context.Context) {
+	now, known := s.group.role.storeTime()
 	if !known {
 		return
 	}
-	s.learn("expired", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Expire(now) })
+	s.update("expired", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Expire(now) })
 	for _, row := range s.expiredRows(now) {
 		if rand.IntN(max(1, s.group.Known())) > 0 {
 			continue
 		}
-		if err := s.group.store.Remove(ctx, membersTable, suspectKey(row.record.ID), row.revision); err != nil {
-			s.log.WithError(err).WithField("content", row.record.String()).Info("row of a request that is not held stays")
+		if err := s.group.store.Remove(ctx, membersTable, recordRowKey(row.record.ID), row.revision); err != nil {
+			s.log.WithError(err).WithField("content", row.record.String()).Info("cannot remove the row of an expired quarantine record")
 		}
 	}
 }
 
-// quarantined shows verdicts to operators. It implements admin.Quarantine.
-type quarantined struct{ *suspects }
+// adminQuarantine lets operators see and lift quarantines. It implements admin.Quarantine.
+type adminQuarantine struct{ *sharedQuarantine }
 
 // Held implements admin.Quarantine.
-func (q quarantined) Held() (out []admin.Held) {
-	now, known := q.group.role.now()
+func (q adminQuarantine) Held() (out []admin.Held) {
+	now, known := q.group.role.storeTime()
 	if !known {
 		return nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, r := range q.book.List(1) {
-		if left, held := q.book.Held(r.ID, now); held {
-			out = append(out, admin.Held{Content: r.String(), Team: r.Team, Ends: ends(r), LeftSeconds: int(left.Seconds())})
+	for _, r := range q.tracker.List(1) {
+		if left, held := q.tracker.Held(r.ID, now); held {
+			out = append(out, admin.Held{Content: r.String(), Team: r.Team, Ends: describeCrashes(r), LeftSeconds: int(left.Seconds())})
 		}
 	}
 	return out
 }
 
 // Lift implements admin.Quarantine.
-func (q quarantined) Lift(content string) bool {
+func (q adminQuarantine) Lift(content string) bool {
 	id, found := q.find(content)
 	if found {
-		q.absolve(id, "lifted by an operator")
+		q.clearRequest(id, "lifted by an operator")
 	}
 	return found
 }
 
-func (q quarantined) find(content string) (quarantine.ID, bool) {
+// find returns the ID of a tracked request by the name that logs give it.
+func (q adminQuarantine) find(content string) (quarantine.ID, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, r := range q.book.List(1) {
+	for _, r := range q.tracker.List(1) {
 		if r.String() == content {
 			return r.ID, true
 		}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -155,7 +155,7 @@
 	reached := len(s.reached(harmful))
 	time.Sleep(toldWithin)
 	for _, n := range nodes {
-		require.Equal(t, http.StatusServiceUnavailable, n.generate(fleet.PlanPath, harmful), n.set.Load().VM)
+		require.Equal(t, http.StatusServiceUnavailable, n.generate(fleet.PlanPath, harmful), n.settings.Load().VM)
 	}
 	require.Len(t, s.reached(harmful), reached)
 }
@@ -172,16 +172,16 @@
 	content := quarantine.Of(fleet.Team, "POST", fleet.Host, fleet.PlanPath, []byte(harmful)).String()
 	for _, n := range nodes {
 		n.eventually(func() bool { return n.generate(fleet.PlanPath, harmful) == http.StatusServiceUnavailable }, "held")
-		require.Equal(t, content, quarantined{n.group.suspects}.Held()[0].Content)
+		require.Equal(t, content, adminQuarantine{n.group.quarantine}.Held()[0].Content)
 	}
 	for _, srv := range s.fleet.Servers() {
 		srv.SetBehaviour(fleet.Behaviour{Events: 3})
 	}
-	require.False(t, quarantined{nodes[0].group.suspects}.Lift("no such content"))
-	require.True(t, quarantined{nodes[0].group.suspects}.Lift(content))
+	require.False(t, adminQuarantine{nodes[0].group.quarantine}.Lift("no such content"))
+	require.True(t, adminQuarantine{nodes[0].group.quarantine}.Lift(content))
 	for _, n := range append(nodes, s.gateway("vm-3")) {
 		n.eventually(func() bool { return n.generate(fleet.PlanPath, harmful) == http.StatusOK }, "served")
-		require.Empty(t, quarantined{n.group.suspects}.Held())
+		require.Empty(t, adminQuarantine{n.group.quarantine}.Held())
 	}
 }
 
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -9,32 +9,32 @@
 	"kingcupplank.example/kingcup/platform/operator"
 )
 
-// Queued implements relay.Others. What others act on is told at once: that there is
-// a queue, or that something more urgent waits there than before.
+// Queued implements relay.Others. Peers act on two changes, which are therefore sent at
+// once: requests begin to wait here, or a more urgent one than before waits.
 func (g *group) Queued(service string, q flow.Contender) {
 	q.Name = g.self.Name
 	g.mu.Lock()
-	was := g.queues[service]
+	before := g.queues[service]
 	if q.Waiting > 0 {
 		g.queues[service] = q
 	} else {
 		delete(g.queues, service)
 	}
 	g.mu.Unlock()
-	if q.Waiting > 0 && (was.Waiting == 0 || q.Rank < was.Rank) {
+	if q.Waiting > 0 && (before.Waiting == 0 || q.Rank < before.Rank) {
 		g.links.Nudge()
 	}
 }
 
-// usages is what the largest teams had used at some time.
-type usages struct {
+// usageSnapshot is what the teams with the highest usage of a service had used at a time.
+type usageSnapshot struct {
 	top []flow.Usage
 	at  time.Duration
 }
 
-// now is what that counts now. A gateway that gets no more requests of a team must not
-// go on telling of its surge.
-func (u usages) now(now time.Duration) []flow.Usage {
+// decayedAt returns the usage decayed to a later time. Without the decay, a gateway that no
+// longer gets requests of a team would keep reporting its past surge.
+func (u usageSnapshot) decayedAt(now time.Duration) []flow.Usage {
 	out := make([]flow.Usage, len(u.top))
 	for i, t := range u.top {
 		out[i] = flow.Usage{Team: t.Team, Amount: flow.Fade(t.Amount, now-u.at)}
@@ -46,7 +46,7 @@
 func (g *group) Used(service string, top []flow.Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.used[service] = usages{top, clock.SinceBoot()}
+	g.teamUsage[service] = usageSnapshot{top, clock.SinceBoot()}
 }
 
 // Usage implements relay.Others.
@@ -61,38 +61,39 @@
 	return out
 }
 
-// turnPeriod is how long a server is one gateway's: longer than a state takes to
-// reach all peers of a small VM (20 ms), and short beside the 400 ms that an engine
-// reads a prompt.
+// turnPeriod is how long a turn lasts: the time in which a server is left to one gateway.
+// It is longer than the 20 ms that a state takes to reach all peers of a small VM, and
+// short compared with the 400 ms in which an engine reads a prompt.
 const turnPeriod = 60 * time.Millisecond
 
 // Turns implements relay.Others.
 func (g *group) Turns(service string, rank int) *flow.Turns {
-	period, known := g.period()
+	period, known := g.currentPeriod()
 	if !known {
 		return nil
 	}
-	self := flow.Contender{Name: g.self.Name, Waiting: g.waiting(service)}
+	self := flow.Contender{Name: g.self.Name, Waiting: g.waitingHere(service)}
 	return flow.TurnsFor(self, g.contenders(service), rank, period)
 }
 
 // MoveTurns implements relay.Others.
 func (g *group) MoveTurns(domain string) *flow.Turns {
-	period, known := g.period()
-	movers := g.registry.Movers(g.self.Name, domain)
-	if !known || len(movers) < 2 {
+	period, known := g.currentPeriod()
+	contenders := g.registry.Movers(g.self.Name, domain)
+	if !known || len(contenders) < 2 {
 		return nil
 	}
 	t := &flow.Turns{Self: g.self.Name, Period: period}
-	for name, n := range movers {
+	for name, n := range contenders {
 		t.Contenders = append(t.Contenders, flow.Contender{Name: name, Waiting: n})
 	}
 	return t
 }
 
-// period numbers the present span of turns, on the store's clock, which all gateways
-// know; false while this one does not know it.
-func (g *group) period() (int64, bool) {
+// currentPeriod returns the number of the current period of turns. Periods are counted on
+// the store's clock, which all gateways share. The result is false while this gateway
+// doesn't know that clock.
+func (g *group) currentPeriod() (int64, bool) {
 	clock := g.SharedClock()
 	return int64(clock.Now / turnPeriod), clock.Known
 }
@@ -107,7 +108,7 @@
 	return pacing.Clock{Now: now, Known: known}
 }
 
-// contenders lists the peers that have requests waiting for a service.
+// contenders lists the peers at which requests wait for a service.
 func (g *group) contenders(service string) (out []flow.Contender) {
 	for _, s := range g.links.Live() {
 		for _, q := range s.GetQueues() {
@@ -119,7 +120,8 @@
 	return out
 }
 
-func (g *group) waiting(service string) int {
+// waitingHere counts the requests that wait at this gateway for a service.
+func (g *group) waitingHere(service string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queues[service].Waiting
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -17,30 +17,35 @@
 )
 
 const (
-	// joinPatience is how long a gateway that starts waits for the list of its peers: one
-	// that does not know them cannot have the tables from them. The list takes two calls,
+	// joinTimeout is how long a starting gateway waits for the list of its peers: without
+	// it, the gateway cannot fetch tables from them. The list takes two calls to the store,
 	// some 20 ms.
-	joinPatience = 500 * time.Millisecond
-	// startPatience is how long a gateway that starts leaves the store to others, ever
-	// less. A table of 3,000 servers passes over two links in about 0.5 s each.
-	startPatience = 3 * time.Second
-	// listsPerSecond bounds how often this gateway names the readers to its peers, in all.
-	// A list is as long as the rest of a state without load; at 100 states a second each
-	// second one has it, drawn at random so that no peer is passed over for long.
-	listsPerSecond = 50
+	joinTimeout = 500 * time.Millisecond
+	// startDeferral is how long a starting gateway leaves reading the store to the others.
+	// Its probability to read the store itself grows over that time. A table of 3,000
+	// servers takes about 0.5 s for each of the two links that it passes over.
+	startDeferral = 3 * time.Second
+	// readerListsPerSecond bounds how often this gateway sends the list of readers, over
+	// all peers. The list is as long as the rest of an idle gateway's state. At 100 states
+	// a second every second one includes it. Which ones is drawn at random, so that each
+	// peer gets it soon.
+	readerListsPerSecond = 50
 )
 
-// readerRole is whether this gateway reads the store for all. It is safe for concurrent
-// use; mu is a leaf, and what it needs of others is asked before.
+// readerRole decides whether this gateway is one of the few that read the store for all. It
+// is safe for concurrent use. No other lock is taken while mu is locked: values that need
+// one are computed before.
 type readerRole struct {
 	group  *group
 	joined atomic.Bool
-	// first says that this gateway reads the tables first when all start.
-	first atomic.Bool
-	// news says that the next state names the readers whatever is drawn.
-	news atomic.Bool
-	// told says that the peers know that this gateway reads.
-	told atomic.Bool
+	// isInitialReader says that this gateway is one of those that read the tables first
+	// when all gateways start at once.
+	isInitialReader atomic.Bool
+	// listPending says that the next state includes the list of readers in any case.
+	listPending atomic.Bool
+	// roleAnnounced says that the peers have been notified that this gateway reads the
+	// store.
+	roleAnnounced atomic.Bool
 
 	mu   sync.Mutex
 	role *readers.Role
@@ -50,94 +55,99 @@
 	return &readerRole{group: g, role: readers.NewRole(readers.Reader{Name: g.self.Name, FailureDomain: g.self.FailureDomain, LinkMbps: g.linkMbps})}
 }
 
-// now is the store's steady clock as the follower of a table knows it.
-func (r *readerRole) now() (time.Duration, bool) {
+// storeTime returns the store's steady clock as the follower of the configuration knows it,
+// and false before the first response.
+func (r *readerRole) storeTime() (time.Duration, bool) {
 	return r.group.followers[operator.Table].StoreTime()
 }
 
-// reads decides for a follower of a table; see readers.Role.Reads.
-func (r *readerRole) reads(now time.Duration, reached bool) bool {
-	look := readers.Look{Now: now, Reached: reached, Crowd: r.group.crowd(), Draw: rand.Float64()}
+// shouldRead decides whether a follower reads the store; see readers.Role.Reads.
+func (r *readerRole) shouldRead(now time.Duration, reached bool) bool {
+	inputs := readers.Look{Now: now, Reached: reached, Crowd: r.group.contendingGateways(), Draw: rand.Float64()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
-	reads := r.role.Reads(look)
-	r.changed(was, reads, look.Crowd)
+	before := r.role.Reading()
+	reads := r.role.Reads(inputs)
+	r.logRoleChange(before, reads, inputs.Crowd)
 	return reads
 }
 
-// turn decides for a follower that hears nothing, or has had no table for some time.
-func (r *readerRole) turn(now, without time.Duration) bool {
-	if without > 0 && without < joinPatience && !r.joined.Load() {
+// mayRead decides whether a follower may call the store although others read it: it
+// receives nothing from them, or has been without a table for the duration without (0 if it
+// has one).
+func (r *readerRole) mayRead(now, without time.Duration) bool {
+	if without > 0 && without < joinTimeout && !r.joined.Load() {
 		return false
 	}
-	look := readers.Look{Now: now, Reached: true, Crowd: r.group.crowd(), Draw: rand.Float64()}
+	inputs := readers.Look{Now: now, Reached: true, Crowd: r.group.contendingGateways(), Draw: rand.Float64()}
 	switch {
-	case without > 0 && r.first.Load():
-		look.Crowd = 1
+	case without > 0 && r.isInitialReader.Load():
+		inputs.Crowd = 1
 	case without > 0:
-		look.Crowd = float64(r.group.links.Known()) * max(0, 1-without.Seconds()/startPatience.Seconds())
+		inputs.Crowd = float64(r.group.links.Known()) * max(0, 1-without.Seconds()/startDeferral.Seconds())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.role.Reading()
-	turn := r.role.Turn(look)
-	r.changed(was, turn, look.Crowd)
-	return turn
+	before := r.role.Reading()
+	reads := r.role.Turn(inputs)
+	r.logRoleChange(before, reads, inputs.Crowd)
+	return reads
 }
 
-// startsFirst decides whether this gateway is one of those that read the tables first when
-// all start: the others have them from these as soon as they are linked. Of many that wait
-// for each other chance would choose VMs with thin links, or none for a while.
-func (r *readerRole) startsFirst(all []peers.Member) {
+// chooseInitialReaders decides whether this gateway is one of those that read the tables
+// first when all gateways start at once; the others fetch the tables from these as soon as
+// they are linked. A random choice would pick VMs with thin links, or none for a while.
+func (r *readerRole) chooseInitialReaders(all []peers.Member) {
 	var list []readers.Reader
 	for _, m := range all {
 		list = append(list, readers.Reader{Name: m.Name, FailureDomain: m.FailureDomain, LinkMbps: m.LinkMbps})
 	}
-	first := slices.ContainsFunc(readers.First(list, firstReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
-	r.first.Store(first)
+	isInitial := slices.ContainsFunc(readers.First(list, initialReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
+	r.isInitialReader.Store(isInitial)
 }
 
-// changed notes whether this gateway reads now.
-func (r *readerRole) changed(was, reads bool, crowd float64) {
-	if was == reads {
+// logRoleChange logs if this gateway begins or stops reading the store.
+func (r *readerRole) logRoleChange(before, reads bool, contending float64) {
+	if before == reads {
 		return
 	}
-	r.told.Store(false)
-	r.group.log.WithField("reads", reads).WithField("crowd", crowd).Info("reader of the store")
+	r.roleAnnounced.Store(false)
+	r.group.log.WithField("reads", reads).WithField("crowd", contending).Info("role as a reader of the store has changed")
 }
 
-// answered has the peers told at once that this gateway reads, with the first answers for both
-// tables since it began to: until they know, more of them try every 50 ms.
-func (r *readerRole) answered() {
-	now, known := r.now()
-	if !known || now-r.group.answered() >= readers.Lapse {
+// announceRole notifies the peers at once that this gateway reads the store, as soon as the
+// store has answered it for both tables since it began to read. Until the peers know, more
+// of them try to read the store every 50 ms.
+func (r *readerRole) announceRole() {
+	now, known := r.storeTime()
+	if !known || now-r.group.storeAnsweredAt() >= readers.Lapse {
 		return
 	}
 	r.mu.Lock()
 	reading := r.role.Reading()
 	r.mu.Unlock()
-	if reading && r.told.CompareAndSwap(false, true) {
-		r.spread()
+	if reading && r.roleAnnounced.CompareAndSwap(false, true) {
+		r.sendReaderList()
 	}
 }
 
-// spread has the peers told of the readers at once.
-func (r *readerRole) spread() {
-	r.news.Store(true)
+// sendReaderList sends the list of readers to the peers at once.
+func (r *readerRole) sendReaderList() {
+	r.listPending.Store(true)
 	r.group.links.Nudge()
 }
 
-// list is what is told of the readers, in some states.
-func (r *readerRole) list() (out []*peerv1.Reader) {
-	if !r.news.Swap(false) && rand.Float64() >= listsPerSecond/r.group.links.StatesPerSecond() {
+// readerMessages returns the list of readers for a state, or nil for a state without the
+// list.
+func (r *readerRole) readerMessages() (out []*peerv1.Reader) {
+	if !r.listPending.Swap(false) && rand.Float64() >= readerListsPerSecond/r.group.links.StatesPerSecond() {
 		return nil
 	}
-	now, known := r.now()
+	now, known := r.storeTime()
 	if !known {
 		return nil
 	}
-	answered := r.group.answered()
+	answered := r.group.storeAnsweredAt()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.role.Readers(now, answered) {
@@ -146,33 +156,33 @@
 	return out
 }
 
-// hear takes what a peer tells of the readers.
-func (r *readerRole) hear(list []*peerv1.Reader) {
-	now, known := r.now()
-	if len(list) == 0 || !known {
+// receive merges the list of readers that a peer has sent.
+func (r *readerRole) receive(received []*peerv1.Reader) {
+	now, known := r.storeTime()
+	if len(received) == 0 || !known {
 		return
 	}
-	var rs []readers.Reader
-	for _, o := range list {
-		rs = append(rs, readers.Reader{
+	var list []readers.Reader
+	for _, o := range received {
+		list = append(list, readers.Reader{
 			Name: o.GetName(), FailureDomain: o.GetFailureDomain(), LinkMbps: o.GetLinkMbps(),
 			Answered: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
 		})
 	}
 	r.mu.Lock()
 	before := len(r.role.Readers(now, 0))
-	r.role.Hear(rs, now)
+	r.role.Hear(list, now)
 	after := len(r.role.Readers(now, 0))
 	r.mu.Unlock()
 	if after > before {
-		// Those that hear none of the readers wait for it.
-		r.spread()
+		// Peers that receive nothing from a reader wait for this list.
+		r.sendReaderList()
 	}
 }
 
-// answered is when the store last answered this gateway for both of the tables whose age
-// matters to callers.
-func (g *group) answered() time.Duration {
+// storeAnsweredAt returns when the store last answered this gateway for both of the tables
+// whose age matters to callers, on the store's steady clock.
+func (g *group) storeAnsweredAt() time.Duration {
 	at := time.Duration(-1)
 	for _, table := range []string{operator.Table, directory.Table} {
 		if a := g.followers[table].Answered(); at < 0 || a < at {
@@ -182,37 +192,40 @@
 	return at
 }
 
-// crowd is how many gateways are in the same place as this one: those that it knows, by the
-// part of its links that it hears something on.
-func (g *group) crowd() float64 {
-	others := g.links.Known() - 1
-	if others == 0 {
+// contendingGateways estimates how many gateways are in the same situation as this one and
+// may call the store at the same time. It is the number of known gateways, scaled by the
+// fraction of its links on which this gateway receives states.
+func (g *group) contendingGateways() float64 {
+	peersKnown := g.links.Known() - 1
+	if peersKnown == 0 {
 		return 1
 	}
-	heard := float64(len(g.links.Live())) / float64(min(others, g.links.MostLinks))
-	return 1 + min(1, heard)*float64(others)
+	live := float64(len(g.links.Live())) / float64(min(peersKnown, g.links.MostLinks))
+	return 1 + min(1, live)*float64(peersKnown)
 }
 
-// seedClock has the followers know the store's steady clock.
-func (g *group) seedClock(stamp, begun time.Duration) {
+// setStoreClock sets the store's steady clock at all followers, from a response to a call
+// that was made at begun.
+func (g *group) setStoreClock(now, begun time.Duration) {
 	for _, f := range g.followers {
-		f.SetClock(stamp, begun)
+		f.SetClock(now, begun)
 	}
 }
 
 // Reads implements follow.Sharing.
-func (s sharing) Reads(reached bool) bool { return s.role.reads(s.storeTime(), reached) }
+func (s tableSharing) Reads(reached bool) bool { return s.role.shouldRead(s.storeTime(), reached) }
 
 // Turn implements follow.Sharing.
-func (s sharing) Turn(without time.Duration) bool { return s.role.turn(s.storeTime(), without) }
+func (s tableSharing) Turn(without time.Duration) bool { return s.role.mayRead(s.storeTime(), without) }
 
-// storeTime is the store's clock, or any steady one while it is not known: a gateway that
-// knows none has heard of no readers.
-func (s sharing) storeTime() time.Duration {
-	if now, known := s.role.now(); known {
+// storeTime returns the store's clock, or this VM's steady clock while the store's is not
+// known: such a gateway has received nothing about readers that the time would be compared
+// with.
+func (s tableSharing) storeTime() time.Duration {
+	if now, known := s.role.storeTime(); known {
 		return now
 	}
 	return clock.SinceBoot()
 }
 
-var _ follow.Sharing = sharing{}
+var _ follow.Sharing = tableSharing{}
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -15,88 +15,93 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// suspectPrefix begins the keys of rows on requests in the table of gateways; names of VMs
-// hold no slash. They share the table, so that following them costs no further call.
-const suspectPrefix = "quarantine/"
+// recordRowPrefix is the prefix of the keys of quarantine records in the table of gateways.
+// The names of VMs contain no slash. Both kinds of rows share a table, so that following
+// the records takes no further call to the store.
+const recordRowPrefix = "quarantine/"
 
-func suspectKey(id quarantine.ID) string { return suspectPrefix + id.String() }
+func recordRowKey(id quarantine.ID) string { return recordRowPrefix + id.String() }
 
-// suspectRow is a row of the store.
-type suspectRow struct {
+// storedRecord is the row of a request in the store.
+type storedRecord struct {
 	record   quarantine.Record
 	revision revision.Revision
 }
 
-// suspectData is what a row holds. Times are in ms on the store's steady clock.
-type suspectData struct {
-	Team       string    `json:"team"`
-	Content    uint64    `json:"content"`
-	Ends       []endData `json:"ends"`
-	AbsolvedMs int64     `json:"absolved_ms,omitempty"`
-	TrialsMs   []int64   `json:"trials_ms,omitempty"`
+// recordData is the JSON encoding of a quarantine record. Times are in ms on the store's
+// steady clock.
+type recordData struct {
+	Team      string      `json:"team"`
+	Content   uint64      `json:"content"`
+	Crashes   []crashData `json:"ends"`
+	ClearedMs int64       `json:"absolved_ms,omitempty"`
+	TrialsMs  []int64     `json:"trials_ms,omitempty"`
 }
 
-type endData struct {
+type crashData struct {
 	Server uint64 `json:"server"`
 	AtMs   int64  `json:"at_ms"`
 }
 
-func encodeSuspect(r quarantine.Record) ([]byte, error) {
-	d := suspectData{Team: r.Team, Content: r.Content, AbsolvedMs: r.ClearedAt.Milliseconds(), TrialsMs: millis(r.Trials)}
+func encodeRecord(r quarantine.Record) ([]byte, error) {
+	d := recordData{Team: r.Team, Content: r.Content, ClearedMs: r.ClearedAt.Milliseconds(), TrialsMs: toMillis(r.Trials)}
 	for _, e := range r.Crashes {
-		d.Ends = append(d.Ends, endData{e.Incarnation, e.At.Milliseconds()})
+		d.Crashes = append(d.Crashes, crashData{e.Incarnation, e.At.Milliseconds()})
 	}
 	return json.Marshal(d)
 }
 
-var errWrongKey = errors.New("row is not of the request that its key names")
+// errKeyMismatch rejects a row whose key names another request than its value.
+var errKeyMismatch = errors.New("the key of the row names another request than its value")
 
-// decodeSuspect reads a row. One under another request's key would be written anew for ever.
-func decodeSuspect(row follow.Row) (quarantine.Record, error) {
-	var d suspectData
+// decodeRecord decodes a row. It rejects one under another request's key, which would
+// otherwise be written again and again.
+func decodeRecord(row follow.Row) (quarantine.Record, error) {
+	var d recordData
 	if err := json.Unmarshal(row.Value, &d); err != nil {
 		return quarantine.Record{}, err
 	}
-	r := quarantine.Record{ID: quarantine.ID{Team: d.Team, Content: d.Content}, ClearedAt: time.Duration(d.AbsolvedMs) * time.Millisecond, Trials: fromMillis(d.TrialsMs)}
-	for _, e := range d.Ends {
+	r := quarantine.Record{ID: quarantine.ID{Team: d.Team, Content: d.Content}, ClearedAt: time.Duration(d.ClearedMs) * time.Millisecond, Trials: fromMillis(d.TrialsMs)}
+	for _, e := range d.Crashes {
 		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
 	}
-	if suspectKey(r.ID) != row.Key {
-		return r, errWrongKey
+	if recordRowKey(r.ID) != row.Key {
+		return r, errKeyMismatch
 	}
 	return r, nil
 }
 
-// splitRows tells the rows on requests from those of gateways.
-func splitRows(rows []follow.Row) (requests, gateways []follow.Row) {
+// splitRows separates the rows of quarantine records from the rows of gateways.
+func splitRows(rows []follow.Row) (records, gateways []follow.Row) {
 	for _, row := range rows {
-		if strings.HasPrefix(row.Key, suspectPrefix) {
-			requests = append(requests, row)
+		if strings.HasPrefix(row.Key, recordRowPrefix) {
+			records = append(records, row)
 		} else {
 			gateways = append(gateways, row)
 		}
 	}
-	return requests, gateways
+	return records, gateways
 }
 
-// read takes rows of the store; whole says that there are no others.
-func (s *suspects) read(rows []follow.Row, whole bool) {
+// applyRows merges rows of the store. whole says that the store has no other rows of
+// requests.
+func (s *sharedQuarantine) applyRows(rows []follow.Row, whole bool) {
 	if len(rows) == 0 && !whole {
 		return
 	}
-	known := make(map[quarantine.ID]suspectRow)
+	known := make(map[quarantine.ID]storedRecord)
 	var records []quarantine.Record
 	for _, row := range rows {
 		if row.Deleted {
-			s.dropRow(row)
+			s.deleteRow(row)
 			continue
 		}
-		r, err := decodeSuspect(row)
+		r, err := decodeRecord(row)
 		if err != nil {
-			s.log.WithError(err).WithField("row", row.Key).Warn("row of a request is unreadable, it is passed over")
+			s.log.WithError(err).WithField("row", row.Key).Warn("skipped the unreadable row of a quarantine record")
 			continue
 		}
-		known[r.ID] = suspectRow{r, row.Revision}
+		known[r.ID] = storedRecord{r, row.Revision}
 		records = append(records, r)
 	}
 	s.mu.Lock()
@@ -105,118 +110,121 @@
 	}
 	maps.Copy(s.rows, known)
 	s.mu.Unlock()
-	s.learn("row of the store", s.turn(), func(b *quarantine.Tracker) quarantine.Change { return b.Merge(records) })
+	s.update("row of the store", s.saveDelay(), func(b *quarantine.Tracker) quarantine.Change { return b.Merge(records) })
 	if whole {
-		s.scheduleMissing()
+		s.scheduleMissingRows()
 	}
 }
 
-func (s *suspects) dropRow(row follow.Row) {
+func (s *sharedQuarantine) deleteRow(row follow.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, known := range s.rows {
-		if suspectKey(id) == row.Key && known.revision.Before(row.Revision) {
+		if recordRowKey(id) == row.Key && known.revision.Before(row.Revision) {
 			delete(s.rows, id)
 		}
 	}
 }
 
-// scheduleMissing has the rows written that a whole table lacks: the store may have lost
-// them.
-func (s *suspects) scheduleMissing() {
-	after := s.turn()
+// scheduleMissingRows schedules the writes of rows that are missing or outdated in the
+// whole table: the store may have lost them.
+func (s *sharedQuarantine) scheduleMissingRows() {
+	delay := s.saveDelay()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.book.List(1) {
-		if s.lacks(r.ID) {
-			s.schedule(r.ID, after)
+	for _, r := range s.tracker.List(1) {
+		if s.isRowOutdated(r.ID) {
+			s.scheduleSave(r.ID, delay)
 		}
 	}
 }
 
-// schedule has the row of a request looked at after some time; mu is held.
-func (s *suspects) schedule(id quarantine.ID, after time.Duration) {
-	at := time.Now().Add(after)
-	if due, ok := s.due[id]; !ok || at.Before(due) {
-		s.due[id] = at
+// scheduleSave schedules the write of a request's row after delay, or keeps an earlier
+// time. The caller holds mu.
+func (s *sharedQuarantine) scheduleSave(id quarantine.ID, delay time.Duration) {
+	at := time.Now().Add(delay)
+	if due, ok := s.saveAt[id]; !ok || at.Before(due) {
+		s.saveAt[id] = at
 	}
 }
 
-// lacks reports whether the store's row of a request does not say its verdict, or its
-// trials and what ended under them: gateways that start would try it again and again. mu is
-// held.
-func (s *suspects) lacks(id quarantine.ID) bool {
+// isRowOutdated reports whether the store's row of a request lacks the quarantine decision,
+// or a trial, or a crash under a trial. Without the trials, gateways that start would try
+// the request again and again. The caller holds mu.
+func (s *sharedQuarantine) isRowOutdated(id quarantine.ID) bool {
 	row, exists := s.rows[id]
-	r := s.book.Record(id)
+	r := s.tracker.Record(id)
 	switch {
-	case !s.book.Convicts(r):
+	case !s.tracker.Convicts(r):
 		return exists && r.ClearedAt > row.record.ClearedAt
-	case !exists || !s.book.Convicts(row.record):
+	case !exists || !s.tracker.Convicts(row.record):
 		return true
 	}
 	return len(r.Trials) > 0 && (len(r.Trials) > len(row.record.Trials) || len(r.Crashes) > len(row.record.Crashes))
 }
 
-// saveDue writes the rows that are due, as far as they are still lacking.
-func (s *suspects) saveDue(ctx context.Context) {
+// saveDueRows writes the rows that are due and still outdated in the store. It stops at the
+// first error.
+func (s *sharedQuarantine) saveDueRows(ctx context.Context) {
 	for {
 		r, found := s.nextDue(time.Now())
 		if !found {
 			return
 		}
-		if err := s.save(ctx, r); err != nil {
-			s.log.WithError(err).WithField("content", r.String()).Warn("verdict on a request is not in the store yet")
+		if err := s.saveRow(ctx, r); err != nil {
+			s.log.WithError(err).WithField("content", r.String()).Warn("cannot write the quarantine record of a request to the store, will retry")
 			return
 		}
 	}
 }
 
-func (s *suspects) nextDue(now time.Time) (quarantine.Record, bool) {
+// nextDue returns a record whose row is due at now and still outdated in the store.
+func (s *sharedQuarantine) nextDue(now time.Time) (quarantine.Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, at := range s.due {
+	for id, at := range s.saveAt {
 		if at.After(now) {
 			continue
 		}
-		delete(s.due, id)
-		if s.lacks(id) {
-			return s.book.Record(id), true
+		delete(s.saveAt, id)
+		if s.isRowOutdated(id) {
+			return s.tracker.Record(id), true
 		}
 	}
 	return quarantine.Record{}, false
 }
 
-// save writes the row of a request; one that fails is tried again later.
-func (s *suspects) save(ctx context.Context, r quarantine.Record) error {
-	data, err := encodeSuspect(r)
+// saveRow writes the row of a request, and schedules a retry if that fails.
+func (s *sharedQuarantine) saveRow(ctx context.Context, r quarantine.Record) error {
+	data, err := encodeRecord(r)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
-	err = s.group.store.Put(ctx, membersTable, suspectKey(r.ID), data)
+	err = s.group.store.Put(ctx, membersTable, recordRowKey(r.ID), data)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.schedule(r.ID, joinBackoff.After(s.tries, rand.Float64()))
-		s.tries++
+		s.scheduleSave(r.ID, joinBackoff.After(s.failedSaves, rand.Float64()))
+		s.failedSaves++
 		return err
 	}
-	s.tries = 0
+	s.failedSaves = 0
 	if _, exists := s.rows[r.ID]; !exists {
-		// Its revision is known once the table brings it.
-		s.rows[r.ID] = suspectRow{record: r}
+		// Its revision is known once the follower of the table receives the row.
+		s.rows[r.ID] = storedRecord{record: r}
 	}
-	s.log.WithField("content", r.String()).Info("verdict on a request is in the store")
+	s.log.WithField("content", r.String()).Info("wrote the quarantine record of a request to the store")
 	return nil
 }
 
-// expiredRows lists the rows that do not count any more.
-func (s *suspects) expiredRows(now time.Duration) (out []suspectRow) {
+// expiredRows lists the rows in the store whose records have expired.
+func (s *sharedQuarantine) expiredRows(now time.Duration) (out []storedRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, row := range s.rows {
-		if !row.revision.IsZero() && s.book.Expired(row.record, now) {
+		if !row.revision.IsZero() && s.tracker.Expired(row.record, now) {
 			out = append(out, row)
 		}
 	}
--- a/internal/gateway/suspectrows_test.go
+++ b/internal/gateway/suspectrows_test.go
@@ -12,7 +12,7 @@
 )
 
 // dueNow lists the requests whose rows are to be written.
-func (s *suspects) dueNow() (out []quarantine.ID) {
+func (s *sharedQuarantine) dueNow() (out []quarantine.ID) {
 	for {
 		r, found := s.nextDue(time.Now().Add(time.Hour))
 		if !found {
@@ -23,10 +23,10 @@
 }
 
 // stored has the table bring the row of a request as it is known here.
-func (s *suspects) stored(t *testing.T, id quarantine.ID, version uint64) {
-	data, err := encodeSuspect(s.book.Record(id))
+func (s *sharedQuarantine) stored(t *testing.T, id quarantine.ID, version uint64) {
+	data, err := encodeRecord(s.tracker.Record(id))
 	require.NoError(t, err)
-	s.read([]follow.Row{{Key: suspectKey(id), Value: data, Revision: revision.At(0, version)}}, false)
+	s.applyRows([]follow.Row{{Key: recordRowKey(id), Value: data, Revision: revision.At(0, version)}}, false)
 }
 
 // A request that is held in doubt is tried, and servers end under its trials. All gateways
@@ -34,10 +34,10 @@
 // request as often again. The row must be written with each trial, and with what ended
 // under it.
 func TestTrialsAreInTheStore(t *testing.T) {
-	s := quietGroup(memberRows(nil)).suspects
+	s := quietGroup(memberRows(nil)).quarantine
 	x, y := quarantine.Of("team", "POST", "h", "/x", nil), quarantine.Of("team", "POST", "h", "/y", nil)
 	end := func(server uint64, at time.Duration, ran ...quarantine.ID) {
-		s.learn("test", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Ended(server, at, ran) })
+		s.update("test", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Ended(server, at, ran) })
 	}
 	for server := range uint64(3) {
 		end(server, time.Duration(1+server)*time.Second, x, y)
@@ -47,7 +47,7 @@
 	s.stored(t, y, 2)
 	require.Empty(t, s.dueNow(), "the store has them")
 	tried := false
-	s.learn("test", 0, func(b *quarantine.Tracker) (c quarantine.Change) {
+	s.update("test", 0, func(b *quarantine.Tracker) (c quarantine.Change) {
 		c, tried = b.Try(x, 10*time.Second)
 		return c
 	})
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -16,31 +16,32 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// errNoTable says that a table has not been read here.
-var errNoTable = errors.New("the table is not known here")
-
-// partRows is how many rows stand in a part of an answer: some 5 KB behind deflate, as a
-// part of the configuration.
-const partRows = 100
-
-// tableAnswers encodes the rows of a table for peers. Most of those that ask at the same
-// time lack the same, so the last answer is kept: for 3,000 servers it takes 0.2 s of a VM
-// with a seventh of a core. It is safe for concurrent use; mu comes before the followers'
-// locks.
-type tableAnswers struct {
+// errTableUnknown says that this gateway has not read the table.
+var errTableUnknown = errors.New("this gateway has not read the table")
+
+// rowsPerPart is the number of rows in a part of a response: some 5 KB after compression
+// with deflate, like a part of the configuration.
+const rowsPerPart = 100
+
+// changeEncoder encodes the rows of a table for peers. The last result is kept, since most
+// peers that fetch at the same time lack the same rows: encoding 3,000 servers takes 0.2 s
+// on a VM with a seventh of a core. It is safe for concurrent use; mu is locked before the
+// followers' locks.
+type changeEncoder struct {
 	mu             sync.Mutex
 	since, changed revision.Revision
 	whole          bool
 	parts          [][]byte
 }
 
-// answer gives what has changed in a follower's table after a revision.
-func (t *tableAnswers) answer(f *follow.Follower, since revision.Revision) (*peerv1.Change, [][]byte, error) {
+// changesSince returns the changes of a follower's table after a revision, as the head and
+// the parts of a response.
+func (t *changeEncoder) changesSince(f *follow.Follower, since revision.Revision) (*peerv1.Change, [][]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	page, ok := f.Since(since)
 	if !ok {
-		return nil, nil, errNoTable
+		return nil, nil, errTableUnknown
 	}
 	if page.Whole {
 		since = revision.Revision{}
@@ -59,9 +60,9 @@
 }
 
 func encodeRows(rows []follow.Row) ([][]byte, error) {
-	parts := make([][]byte, 0, len(rows)/partRows+1)
-	for chunk := range slices.Chunk(rows, partRows) {
-		part, err := changewire.EncodeRows(rowsOf(chunk))
+	parts := make([][]byte, 0, len(rows)/rowsPerPart+1)
+	for chunk := range slices.Chunk(rows, rowsPerPart) {
+		part, err := changewire.EncodeRows(rowMessages(chunk))
 		if err != nil {
 			return nil, err
 		}
@@ -71,7 +72,7 @@
 	return parts, nil
 }
 
-func rowsOf(rows []follow.Row) []*peerv1.Row {
+func rowMessages(rows []follow.Row) []*peerv1.Row {
 	out := make([]*peerv1.Row, 0, len(rows))
 	for _, r := range rows {
 		out = append(out, &peerv1.Row{Key: r.Key, Value: r.Value, Revision: r.Revision.Wire(), Deleted: r.Deleted})
@@ -79,7 +80,7 @@
 	return out
 }
 
-func rowsFrom(rows []*peerv1.Row) []follow.Row {
+func rowsFromMessages(rows []*peerv1.Row) []follow.Row {
 	out := make([]follow.Row, 0, len(rows))
 	for _, r := range rows {
 		out = append(out, follow.Row{Key: r.GetKey(), Value: r.GetValue(), Revision: revision.FromWire(r.GetRevision()), Deleted: r.GetDeleted()})
@@ -87,11 +88,11 @@
 	return out
 }
 
-// rowsTaker collects the rows of an answer. It implements peers.Taker.
-type rowsTaker struct{ page follow.Page }
+// rowsReader collects the rows of a response. It implements peers.Taker.
+type rowsReader struct{ page follow.Page }
 
 // Head implements peers.Taker.
-func (t *rowsTaker) Head(head *peerv1.Change) error {
+func (t *rowsReader) Head(head *peerv1.Change) error {
 	t.page = follow.Page{
 		Revision: revision.FromWire(head.GetRevision()), Changed: revision.FromWire(head.GetChanged()), Whole: head.GetBase() == 0,
 		Clock: time.Duration(head.GetClockMs()) * time.Millisecond, Outage: time.Duration(head.GetOutageMs()) * time.Millisecond,
@@ -100,58 +101,60 @@
 }
 
 // Part implements peers.Taker.
-func (t *rowsTaker) Part(part []byte) error {
+func (t *rowsReader) Part(part []byte) error {
 	rows, err := changewire.DecodeRows(part)
 	if err != nil {
 		return err
 	}
-	t.page.Rows = append(t.page.Rows, rowsFrom(rows)...)
+	t.page.Rows = append(t.page.Rows, rowsFromMessages(rows)...)
 	return nil
 }
 
 // Fetch implements follow.Sharing.
-func (s sharing) Fetch(ctx context.Context, since revision.Revision) (follow.Page, error) {
+func (s tableSharing) Fetch(ctx context.Context, since revision.Revision) (follow.Page, error) {
 	err := follow.ErrNoPeer
-	for _, peer := range s.ahead(s.table, since.IsZero()) {
-		taker := &rowsTaker{}
-		err = s.links.Fetch(ctx, peer, &peerv1.Fetch{Table: s.table, Since: since.Wire(), LinkMbps: s.linkMbps}, taker)
-		if err == nil && !since.Before(taker.page.Revision) {
-			err = errNotFurther
+	for _, peer := range s.peersAhead(s.table, since.IsZero()) {
+		reader := &rowsReader{}
+		err = s.links.Fetch(ctx, peer, &peerv1.Fetch{Table: s.table, Since: since.Wire(), LinkMbps: s.linkMbps}, reader)
+		if err == nil && !since.Before(reader.page.Revision) {
+			err = errPeerNotAhead
 		}
 		if err == nil {
-			return taker.page, nil
+			return reader.page, nil
 		}
-		s.log.WithError(err).WithField("peer", peer).WithField("table", s.table).Info("rows are not fetched from a peer")
+		s.log.WithError(err).WithField("peer", peer).WithField("table", s.table).Info("cannot fetch rows from a peer")
 	}
 	return follow.Page{}, err
 }
 
-// ahead lists some peers that have changes of a table that are not known here, in any
-// order. starts says that nothing is known here: then any peer may do that can be asked,
-// as those that this gateway has linked to may not tell it anything yet.
-func (g *group) ahead(table string, starts bool) (out []string) {
+// peersAhead lists up to maxAskedPeers peers, in random order, that have changes of a table
+// that this gateway lacks. isEmpty says that this gateway has nothing of the table yet. If
+// no peer is known to be ahead then, any linked peer is listed: those that this gateway has
+// linked to may not send it their states yet.
+func (g *group) peersAhead(table string, isEmpty bool) (out []string) {
 	f := g.followers[table]
 	for _, s := range g.links.Live() {
 		for _, p := range s.GetPositions() {
-			if p.GetTable() == table && f.Lacks(positionOf(p)) {
+			if p.GetTable() == table && f.Lacks(positionFromMessage(p)) {
 				out = append(out, s.GetFrom().GetName())
 			}
 		}
 	}
-	if len(out) == 0 && starts {
+	if len(out) == 0 && isEmpty {
 		out = g.links.Linked()
 	}
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(len(out), askedPeers)]
+	return out[:min(len(out), maxAskedPeers)]
 }
 
-func positionOf(p *peerv1.Position) follow.Position {
+func positionFromMessage(p *peerv1.Position) follow.Position {
 	return follow.Position{Changed: revision.FromWire(p.GetChanged()), Revision: revision.FromWire(p.GetRevision()), Clock: time.Duration(p.GetClockMs()) * time.Millisecond}
 }
 
-// positions are how far this gateway's tables are. A version of the configuration that
-// could not be read is none: others would take their own for the newest.
-func (g *group) positions() (out []*peerv1.Position) {
+// positionMessages returns the positions of this gateway's tables for its state. The
+// configuration's is left out if its newest version is unreadable: peers would take their
+// own version for the newest.
+func (g *group) positionMessages() (out []*peerv1.Position) {
 	for table, f := range g.followers {
 		p, ok := f.Position()
 		if !ok || table == g.config.table() && g.config.sink.Unreadable() {
@@ -162,34 +165,35 @@
 	return out
 }
 
-// positionsHeard takes how far a peer's tables are.
-func (g *group) positionsHeard(list []*peerv1.Position) {
-	for _, p := range list {
+// applyPositions handles the positions of a peer's tables.
+func (g *group) applyPositions(positions []*peerv1.Position) {
+	for _, p := range positions {
 		if f := g.followers[p.GetTable()]; f != nil {
-			f.Heard(positionOf(p))
+			f.Heard(positionFromMessage(p))
 		}
 	}
 }
 
-// answerFunc answers what a peer asks for: a head, and the parts that follow it.
-type answerFunc func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error)
+// fetchHandlerFunc answers a peer's fetch with a head and the parts that follow it.
+type fetchHandlerFunc func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error)
 
-// answer implements peers.Deps.Answer.
-func (g *group) answer(ask *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
-	return (*g.answering.Load())(ask)
+// handleFetch passes a fetch to the current handler. See peers.Deps.Answer.
+func (g *group) handleFetch(req *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
+	return (*g.fetchHandler.Load())(req)
 }
 
-// answerBy has peers answered by a function.
-func (g *group) answerBy(answer answerFunc) { g.answering.Store(&answer) }
+// setFetchHandler replaces the handler of fetches.
+func (g *group) setFetchHandler(handler fetchHandlerFunc) { g.fetchHandler.Store(&handler) }
 
-// newest answers by what is known here.
-func (g *group) newest(ask *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
-	if ask.GetTable() == "" {
-		return g.config.answer(ask)
+// serveFetch answers a fetch from this gateway's copies of the tables. A fetch without a
+// table is for the configuration.
+func (g *group) serveFetch(req *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
+	if req.GetTable() == "" {
+		return g.config.serveFetch(req)
 	}
-	f := g.followers[ask.GetTable()]
+	f := g.followers[req.GetTable()]
 	if f == nil {
-		return nil, nil, errNoTable
+		return nil, nil, errTableUnknown
 	}
-	return g.answers[ask.GetTable()].answer(f, revision.FromWire(ask.GetSince()))
+	return g.encoders[req.GetTable()].changesSince(f, revision.FromWire(req.GetSince()))
 }
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -185,16 +185,16 @@
 		return &peerv1.Change{Base: ask.GetVersion(), Version: ask.GetVersion(), Revision: 1}, nil, nil
 	}
 	for _, n := range append(old, further) {
-		n.group.answerBy(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errUnreadable })
+		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errConfigUnreadable })
 	}
 	last.door.SetFault(fleet.Reset)
 	s.fleet.Configure(fleet.Key, "/extra/")
-	known := func() bool { return slices.Contains(last.group.ahead(operator.Table, false), "vm-c") }
+	known := func() bool { return slices.Contains(last.group.peersAhead(operator.Table, false), "vm-c") }
 	last.eventually(known, "vm-c says that it is further")
 	for _, n := range old {
-		n.group.answerBy(nothing)
-		last.group.config.announced(n.group.self.Name)
+		n.group.setFetchHandler(nothing)
+		last.group.config.recordAnnouncer(n.group.self.Name)
 	}
-	further.group.answerBy(further.group.newest)
+	further.group.setFetchHandler(further.group.serveFetch)
 	last.eventually(func() bool { return last.do(plain("/extra/a")).status == http.StatusOK }, "in force")
 }
