--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -81,11 +81,11 @@
 	}
 	f.heard = make([][]int, gateways)
 	for i, self := range all {
-		r := New(self.FailureDomain, func(string) Traits { return Traits{MemoryTokens: engineMemory} }, func(Server, LeaveReason) {})
-		r.Reset(f.servers, 0, 0)
+		r := New(self.FailureDomain, func(string) ServiceTraits { return ServiceTraits{MemoryTokens: engineMemory} }, func(Server, LeaveReason) {})
+		r.ReplaceAll(f.servers, 0, 0)
 		others := append(append([]subset.Item{}, all[:i]...), all[i+1:]...)
 		links, place := linked(self, others)
-		r.SetPlace(place)
+		r.SetCell(place)
 		for _, l := range links {
 			f.heard[i] = append(f.heard[i], index[l.Name])
 		}
@@ -108,7 +108,7 @@
 		f.start()
 	}
 	for _, r := range f.regs {
-		r.Reset(f.servers, 0, now)
+		r.ReplaceAll(f.servers, 0, now)
 	}
 }
 
@@ -124,7 +124,7 @@
 	loads := f.regs[i].Loads()
 	f.at(now+heardAfter, func() {
 		for _, j := range f.heard[i] {
-			f.regs[j].SetRemote(fmt.Sprint(i), loads)
+			f.regs[j].SetRemoteLoads(fmt.Sprint(i), loads)
 		}
 	})
 }
@@ -141,8 +141,8 @@
 // place has the gateway choose an engine; one that gets none tries again in a while.
 func (f *fleet) place(g *generation, now time.Duration) {
 	g.lease = f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Prompt: promptTokens, PromptSpeed: promptSpeed, MostUsed: 0.97,
-		MostPrompt: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
+		Service: svc, ExpectedTokens: g.memory, PromptTokens: promptTokens, PromptSpeed: promptSpeed, MaxMemoryUse: 0.97,
+		MaxPromptPending: int(promptSpeed * promptWait.Seconds()), Spill: now-g.sent >= 150*time.Millisecond, Draw: f.rng.Uint64(),
 	}, now)
 	if g.lease == nil {
 		f.at(now+5*tick, func() { f.place(g, now+5*tick) })
@@ -161,8 +161,8 @@
 // free by what is known.
 func (f *fleet) cover(g *generation, now time.Duration) {
 	l := f.regs[g.gateway].Acquire(Query{
-		Service: svc, Tokens: g.memory, Tried: []string{g.lease.Server.ID}, Copy: true, CopySpeed: 18_000,
-		MostUsed: 0.5, MostOfAll: 0.5, Near: g.lease.Server.FailureDomain, Within: true, Draw: f.rng.Uint64(),
+		Service: svc, ExpectedTokens: g.memory, Tried: []string{g.lease.Server.ID}, ForCopy: true, CopySpeed: 18_000,
+		MaxMemoryUse: 0.5, MaxServiceMemoryUse: 0.5, PreferredDomain: g.lease.Server.FailureDomain, SameDomainOnly: true, Draw: f.rng.Uint64(),
 	}, now)
 	if l == nil {
 		return
@@ -170,9 +170,9 @@
 	f.tell(g.gateway, now)
 	e := f.engine(l.Server.ID)
 	e.used += g.memory
-	f.at(now+time.Second, l.Copied)
+	f.at(now+time.Second, l.FinishCopy)
 	f.at(now+g.lasts, func() {
-		l.Done(Unjudged, now+g.lasts)
+		l.Release(ResultInconclusive, now+g.lasts)
 		f.tell(g.gateway, now+g.lasts)
 		e.used -= g.memory
 		f.admit(e, now+g.lasts)
@@ -199,11 +199,11 @@
 		first := begins + time.Duration(promptTokens*int(time.Second)/promptSpeed)
 		e.idleAt = first
 		f.at(first, func() {
-			g.lease.Begun()
+			g.lease.FinishPrompt()
 			f.tell(g.gateway, first)
 		})
 		f.at(first+g.lasts, func() {
-			g.lease.Done(Good, first+g.lasts)
+			g.lease.Release(ResultOK, first+g.lasts)
 			f.tell(g.gateway, first+g.lasts)
 			e.used -= g.memory
 			f.admit(e, first+g.lasts)
@@ -239,7 +239,7 @@
 	})
 	inCells := divided.play()
 	partial := newFleet(func(self subset.Item, all []subset.Item) ([]subset.Item, cells.Place) {
-		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, Count: 1}
+		return subset.Pick(self.Name, self.FailureDomain, all, mostLinks+6), cells.Place{Self: self.Name, CellCount: 1}
 	})
 	drawn := partial.play()
 	t.Logf("late: %.3f in cells, %.3f with links drawn from all", inCells, drawn)
@@ -253,15 +253,15 @@
 	r, _ := newRegistry()
 	const count = 2
 	var all []Server
-	for i := range cells.LeastServers * count {
+	for i := range cells.MinServersPerCell * count {
 		s := entry(fmt.Sprint("i-", i))
-		s.Leaving = cells.Of(cells.Hash(s.ID), count) == 0
+		s.Leaving = cells.IndexOf(cells.Hash(s.ID), count) == 0
 		all = append(all, s)
 	}
-	r.Reset(all, 0, 0)
-	r.SetPlace(cells.Place{Own: 0, Count: count})
+	r.ReplaceAll(all, 0, 0)
+	r.SetCell(cells.Place{OwnCell: 0, CellCount: count})
 	require.Nil(t, r.Acquire(Query{Service: svc}, 0))
 	l := r.Acquire(Query{Service: svc, Spill: true}, 0)
 	require.NotNil(t, l)
-	require.Equal(t, 1, cells.Of(cells.Hash(l.Server.ID), count))
+	require.Equal(t, 1, cells.IndexOf(cells.Hash(l.Server.ID), count))
 }
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -36,11 +36,11 @@
 		all = append(all, subset.Item{Name: fmt.Sprint("vm-", i), FailureDomain: fmt.Sprint("z", i%2)})
 	}
 	for i, self := range all {
-		r := New(self.FailureDomain, func(string) Traits {
-			return Traits{ColdTime: coldTime, Cold: pacing.Limit{Rate: coldRate, Most: coldMost, Window: time.Second}}
+		r := New(self.FailureDomain, func(string) ServiceTraits {
+			return ServiceTraits{ColdTime: coldTime, ColdLimit: pacing.Limit{Rate: coldRate, MaxInWindow: coldMost, Window: time.Second}}
 		}, func(Server, LeaveReason) {})
 		_, place := cells.Links(self, slices.Delete(slices.Clone(all), i, i+1), 32)
-		r.SetPlace(place)
+		r.SetCell(place)
 		c.regs = append(c.regs, r)
 	}
 	return c
@@ -59,14 +59,14 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for now := from; now < to; now += 10 * time.Millisecond {
 		for _, r := range c.regs {
-			q := Query{Service: svc, Draw: rng.Uint64(), Clock: pacing.Clock{Now: now, Known: true}, Spill: true}
+			q := Query{Service: svc, Draw: rng.Uint64(), SharedTime: pacing.SharedTime{Now: now, Known: true}, Spill: true}
 			lease := r.Acquire(q, now)
 			if lease == nil {
 				continue
 			}
 			served++
 			c.got[lease.Server.ID] = append(c.got[lease.Server.ID], now)
-			lease.Done(Good, now)
+			lease.Release(ResultOK, now)
 		}
 	}
 	return served
@@ -137,7 +137,7 @@
 	c.ask(5*time.Second, 6*time.Second)
 	require.LessOrEqual(t, most(c.got["s-z0-0"], 5*time.Second, 6*time.Second), int(coldMost))
 	for _, r := range c.regs {
-		r.Advised(coldServer(0, "z0", 0), Signals{SaysCold: true, ColdFor: coldTime}, 0, 8*time.Second)
+		r.ApplySignals(coldServer(0, "z0", 0), Signals{HasColdFor: true, ColdFor: coldTime}, 0, 8*time.Second)
 	}
 	c.ask(8*time.Second, 9*time.Second)
 	require.LessOrEqual(t, most(c.got["s-z0-0"], 8*time.Second, 9*time.Second), int(coldMost), "by its own report")
@@ -172,8 +172,8 @@
 // Guards against requests leaving the regions of their route or team, also where servers
 // there are the only ones, or cordoned.
 func TestRequestsStayInTheirRegions(t *testing.T) {
-	r := New("z0", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
-	r.SetRegions(map[string]string{"z0": "north", "z1": "south"})
+	r := New("z0", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
+	r.SetDomainRegions(map[string]string{"z0": "north", "z1": "south"})
 	for _, s := range []Server{coldServer(0, "z0", 0), coldServer(1, "z1", 0), coldServer(2, "nowhere", 0)} {
 		r.Put(s, 0)
 	}
@@ -182,7 +182,7 @@
 		if lease == nil {
 			return ""
 		}
-		lease.Done(Unjudged, 0)
+		lease.Release(ResultInconclusive, 0)
 		return lease.Server.FailureDomain
 	}
 	for range 20 {
@@ -192,15 +192,15 @@
 	require.Empty(t, picked(routing.Regions{}))
 	require.Empty(t, picked(routing.Regions{"east"}))
 	require.NotEmpty(t, picked(nil))
-	ready, cordoned := r.Standing(svc, routing.Regions{"south"})
+	ready, cordoned := r.CountReadyWithin(svc, routing.Regions{"south"})
 	require.Equal(t, []int{1, 0}, []int{ready, cordoned})
 	r.SetCordoned([]string{"z1"}, 0)
 	require.Empty(t, picked(routing.Regions{"south"}))
-	ready, cordoned = r.Standing(svc, routing.Regions{"south"})
+	ready, cordoned = r.CountReadyWithin(svc, routing.Regions{"south"})
 	require.Equal(t, []int{0, 1}, []int{ready, cordoned})
-	require.True(t, r.Barred(coldServer(1, "z1", 0), nil))
-	require.True(t, r.Barred(coldServer(0, "z0", 0), routing.Regions{"south"}))
-	require.False(t, r.Barred(coldServer(0, "z0", 0), nil))
+	require.True(t, r.IsIneligible(coldServer(1, "z1", 0), nil))
+	require.True(t, r.IsIneligible(coldServer(0, "z0", 0), routing.Regions{"south"}))
+	require.False(t, r.IsIneligible(coldServer(0, "z0", 0), nil))
 }
 
 // BenchmarkAcquireCold: a choice among 40 cold servers takes 4.4 us, at 23 gateways and at
@@ -216,8 +216,8 @@
 				now := time.Duration(0)
 				for b.Loop() {
 					now += time.Millisecond
-					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), Clock: pacing.Clock{Now: now, Known: true}}, now); l != nil {
-						l.Done(Good, now)
+					if l := c.regs[0].Acquire(Query{Service: svc, Draw: uint64(now), SharedTime: pacing.SharedTime{Now: now, Known: true}}, now); l != nil {
+						l.Release(ResultOK, now)
 					}
 				}
 			})
--- a/backends/load_test.go
+++ b/backends/load_test.go
@@ -12,7 +12,7 @@
 // BenchmarkAcquireAmongTold: a choice among 43 servers with what 22 other processes tell of each took
 // 50 us, with their sums kept 11.
 func BenchmarkAcquireAmongTold(b *testing.B) {
-	r := New("z", func(string) Traits { return Traits{MemoryTokens: 21900} }, func(Server, LeaveReason) {})
+	r := New("z", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 21900} }, func(Server, LeaveReason) {})
 	for i := range 43 {
 		r.Put(Server{ID: fmt.Sprint("s-", i), Service: svc, FailureDomain: "z", Slots: 24}, 0)
 	}
@@ -20,13 +20,13 @@
 	for p := range 22 {
 		loads := make(map[string]Load)
 		for i := range 43 {
-			loads[fmt.Sprint("s-", i)] = Load{Running: 1, Tokens: rng.IntN(800), Prompt: rng.IntN(100)}
+			loads[fmt.Sprint("s-", i)] = Load{Running: 1, ExpectedTokens: rng.IntN(800), PromptTokens: rng.IntN(100)}
 		}
-		r.SetRemote(fmt.Sprint("vm-", p), loads)
+		r.SetRemoteLoads(fmt.Sprint("vm-", p), loads)
 	}
 	for b.Loop() {
-		if l := r.Acquire(Query{Service: svc, Tokens: 3000, Prompt: 2600, MostUsed: 0.97, MostPrompt: 3000, Draw: rng.Uint64()}, 0); l != nil {
-			l.Done(Unjudged, 0)
+		if l := r.Acquire(Query{Service: svc, ExpectedTokens: 3000, PromptTokens: 2600, MaxMemoryUse: 0.97, MaxPromptPending: 3000, Draw: rng.Uint64()}, 0); l != nil {
+			l.Release(ResultInconclusive, 0)
 		}
 	}
 }
@@ -35,23 +35,23 @@
 // server that it told of, in whatever order it came.
 func TestSumOfToldLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := New("z", func(string) Traits { return Traits{} }, func(Server, LeaveReason) {})
+		r := New("z", func(string) ServiceTraits { return ServiceTraits{} }, func(Server, LeaveReason) {})
 		processes, servers := []string{"vm-1", "vm-2", "vm-3"}, []string{"a", "b"}
 		last := make(map[string]map[string]Load)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			p := rapid.SampledFrom(processes).Draw(t, "process")
 			if rapid.IntRange(0, 3).Draw(t, "silent") == 0 {
-				r.SetRemote(p, nil)
+				r.SetRemoteLoads(p, nil)
 				delete(last, p)
 				continue
 			}
 			loads := make(map[string]Load)
 			for _, s := range servers {
 				if rapid.Bool().Draw(t, "some") {
-					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Tokens: 10, StartTime: rapid.Int64Range(0, 1).Draw(t, "born")}
+					loads[s] = Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), ExpectedTokens: 10, StartTime: rapid.Int64Range(0, 1).Draw(t, "born")}
 				}
 			}
-			r.SetRemote(p, loads)
+			r.SetRemoteLoads(p, loads)
 			last[p] = loads
 		}
 		for _, id := range servers {
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -17,13 +17,13 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// Traits are what is known of all servers of a service.
-type Traits struct {
+// ServiceTraits are what is known of all servers of a service.
+type ServiceTraits struct {
 	// MemoryTokens is the memory of a server, 0 where a service has no engines.
 	MemoryTokens int
 	// ColdTime is how long a server is cold after its start, Cold what it bears meanwhile.
-	ColdTime time.Duration
-	Cold     pacing.Limit
+	ColdTime  time.Duration
+	ColdLimit pacing.Limit
 }
 
 const (
@@ -56,7 +56,7 @@
 // Registry holds the servers. Times are of one steady clock, given by callers.
 type Registry struct {
 	domain string
-	traits func(service string) Traits
+	traits func(service string) ServiceTraits
 	policy placement.Policy
 	copies placement.Policy
 
@@ -70,7 +70,7 @@
 	// told are the sums of those, by the life of a server.
 	told map[life]Load
 	// losses are the lost requests that other processes have told of, likewise.
-	losses map[string]map[string]Loss
+	losses map[string]map[string]ServerStatus
 	// lists caches the servers of each service, scratch their descriptions.
 	lists   map[string][]*server
 	scratch []placement.Server
@@ -96,16 +96,16 @@
 	NoticeReported LeaveReason = "its own report"
 	// NoticeTold is told of a server whose report another process has seen.
 	NoticeTold LeaveReason = "its own report to a peer"
-	// NoticeRestarted is told of the life that has ended; its runs ended with it.
-	NoticeRestarted LeaveReason = "started again"
+	// LeaveRestarted is told of the life that has ended; its runs ended with it.
+	LeaveRestarted LeaveReason = "started again"
 )
 
 // New returns an empty registry of a process in domain. leaving is told once of
 // each server that begins to leave; it is called without the lock.
-func New(domain string, traits func(service string) Traits, leaving func(Server, LeaveReason)) *Registry {
+func New(domain string, traits func(service string) ServiceTraits, leaving func(Server, LeaveReason)) *Registry {
 	return &Registry{
 		domain: domain, traits: traits, leaving: leaving,
-		policy: placement.Direct(), copies: placement.Copies(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]Loss),
+		policy: placement.Direct(), copies: placement.CopyTarget(), servers: make(map[string]*server), endings: make(map[string]ending), remote: make(map[string]map[string]Load), told: make(map[life]Load), losses: make(map[string]map[string]ServerStatus),
 		lists: make(map[string][]*server),
 	}
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-// Reset replaces the directory. outage is how long it was silent before.
-func (r *Registry) Reset(list []Server, outage, now time.Duration) {
+// ReplaceAll replaces the directory. outage is how long it was silent before.
+func (r *Registry) ReplaceAll(list []Server, outage, now time.Duration) {
 	r.mu.Lock()
 	left := r.reset(list, outage, now)
 	r.mu.Unlock()
@@ -169,7 +169,7 @@
 		if s.StartTime < old.StartTime {
 			return left
 		}
-		left = append(left, leave{old.Server, NoticeRestarted})
+		left = append(left, leave{old.Server, LeaveRestarted})
 		old = nil
 	}
 	if old == nil {
@@ -244,8 +244,8 @@
 	r.tell(left)
 }
 
-// Replaced notes that another server answers at a server's address.
-func (r *Registry) Replaced(gone Server) {
+// MarkReplaced notes that another server answers at a server's address.
+func (r *Registry) MarkReplaced(gone Server) {
 	r.mu.Lock()
 	s := r.current(gone)
 	news := s != nil && !s.gone
@@ -259,9 +259,9 @@
 	r.tell(left)
 }
 
-// Reported notes that a server itself says that it is leaving, and reports whether that is
+// MarkLeaving notes that a server itself says that it is leaving, and reports whether that is
 // news.
-func (r *Registry) Reported(leaving Server) bool {
+func (r *Registry) MarkLeaving(leaving Server) bool {
 	r.mu.Lock()
 	var left []leave
 	if s := r.current(leaving); s != nil {
@@ -275,38 +275,38 @@
 // Query asks for a server.
 type Query struct {
 	Service string
-	// Tokens is the memory that the request is expected to need at its peak, Prompt
+	// ExpectedTokens is the memory that the request is expected to need at its peak, PromptTokens
 	// the prompt tokens that a server has to read before it answers.
-	Tokens, Prompt int
+	ExpectedTokens, PromptTokens int
 	// PromptSpeed is the prompt tokens a second that servers read.
 	PromptSpeed float64
-	// MostUsed bounds the part of its memory that the server may have in use, the
+	// MaxMemoryUse bounds the part of its memory that the server may have in use, the
 	// request included, MostPrompt the prompt tokens that it reads before; 0 is no
 	// bound.
-	MostUsed   float64
-	MostPrompt int
-	// MostOfAll bounds the part of the memory that all servers of the service have in
+	MaxMemoryUse     float64
+	MaxPromptPending int
+	// MaxServiceMemoryUse bounds the part of the memory that all servers of the service have in
 	// use together; 0 is no bound.
-	MostOfAll float64
+	MaxServiceMemoryUse float64
 	// Tried are the servers that are not to be asked again.
 	Tried []string
-	// Near is the failure domain to prefer, the process's own if empty; Within drops
+	// PreferredDomain is the failure domain to prefer, the process's own if empty; Within drops
 	// all others.
-	Near   string
-	Within bool
+	PreferredDomain string
+	SameDomainOnly  bool
 	// Regions are where the request may run.
 	Regions routing.Regions
-	// Clock is what cold servers are shared out by.
-	Clock pacing.Clock
+	// SharedTime is what cold servers are shared out by.
+	SharedTime pacing.SharedTime
 	// Turns bounds the choice to servers where it is this process's turn, nil for
 	// all.
 	Turns *flow.Turns
 	// Spill lets servers of other cells be taken where the own one has none with room.
 	// What is sent there by others is not known.
 	Spill bool
-	// Copy asks for a server to copy a run's memory to; CopySpeed is the tokens of
+	// ForCopy asks for a server to copy a run's memory to; CopySpeed is the tokens of
 	// memory a second that a server's link takes.
-	Copy      bool
+	ForCopy   bool
 	CopySpeed float64
 	// Draw is random.
 	Draw uint64
@@ -318,16 +318,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	views, list := r.views(q, now)
-	near := q.Near
+	near := q.PreferredDomain
 	if near == "" {
 		near = r.domain
 	}
-	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.Tokens, PromptSpeed: q.PromptSpeed, MostUsed: q.MostUsed, MostPrompt: q.MostPrompt, Within: q.Within, Regions: q.Regions, CopySpeed: q.CopySpeed}
-	divided := cells.Divided(len(views), r.count)
+	req := &placement.Request{FailureDomain: near, Tried: q.Tried, Tokens: q.ExpectedTokens, PromptSpeed: q.PromptSpeed, MaxMemoryUse: q.MaxMemoryUse, MaxPromptPending: q.MaxPromptPending, SameDomainOnly: q.SameDomainOnly, Regions: q.Regions, CopySpeed: q.CopySpeed}
+	divided := cells.IsDivided(len(views), r.count)
 	if divided {
-		req.Own = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
+		req.IsCandidate = func(k int) bool { return r.inOwnCell(list[k], len(list)) }
 	}
-	if q.MostOfAll > 0 && placement.UsedOfAll(req, views) > q.MostOfAll {
+	if q.MaxServiceMemoryUse > 0 && placement.MemoryUtilization(req, views) > q.MaxServiceMemoryUse {
 		return nil
 	}
 	draws := r.draws(len(views))
@@ -336,15 +336,15 @@
 	}
 	if q.Turns != nil {
 		// Nobody else takes these servers now.
-		req.Mine, req.Yield, draws = q.Turns.Mine, q.Turns.Yield, len(views)
+		req.IsOwnTurn, req.Reserved, draws = q.Turns.IsOwnTurn, q.Turns.Reserved, len(views)
 	}
 	policy := r.policy
-	if q.Copy {
+	if q.ForCopy {
 		policy = r.copies
 	}
 	i := policy.BestOf(draws, req, views, q.Draw)
 	if i < 0 && divided && q.Spill {
-		req.Own = nil
+		req.IsCandidate = nil
 		i = policy.BestOf(draws, req, views, q.Draw)
 	}
 	if i < 0 {
@@ -352,19 +352,19 @@
 	}
 	s := list[i]
 	if l := s.bound(r.traits(q.Service), now); l.Rate > 0 {
-		s.pacer.Sent(r.share(len(list)), l, q.Clock, now)
+		s.pacer.Sent(r.share(len(list)), l, q.SharedTime, now)
 	}
 	return r.lease(s, q, len(list))
 }
 
-// SetPlace says which of how many cells this process is in, and which others send to the same
+// SetCell says which of how many cells this process is in, and which others send to the same
 // servers. It reports whether the cell is news.
-func (r *Registry) SetPlace(p cells.Place) bool {
-	inCell, inAll := pacing.NewShare(p.Self, p.Cell), pacing.NewShare(p.Self, p.All)
+func (r *Registry) SetCell(p cells.Place) bool {
+	inCell, inAll := pacing.NewShare(p.Self, p.CellPeers), pacing.NewShare(p.Self, p.AllPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := r.cell != p.Own || r.count != p.Count
-	r.cell, r.count = p.Own, p.Count
+	news := r.cell != p.OwnCell || r.count != p.CellCount
+	r.cell, r.count = p.OwnCell, p.CellCount
 	r.inCell, r.inAll = inCell, inAll
 	return news
 }
@@ -388,12 +388,12 @@
 	for _, s := range list {
 		load := r.load(s)
 		// A copy of a run leads to requests that cannot wait for their turn.
-		paced := q.Copy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.Clock, now)
+		paced := q.ForCopy && s.limit.named || !r.bears(s, s.bound(traits, now), len(list), q.SharedTime, now)
 		r.scratch = append(r.scratch, placement.Server{
 			Name: s.ID, FailureDomain: s.FailureDomain, Region: r.regions[s.FailureDomain], Leaving: s.Leaving, Cordoned: r.cordoned[s.FailureDomain], Connected: true,
 			Running: load.Running, Slots: s.Slots,
-			MemoryForecast: uint64(max(0, load.Tokens)), PromptPending: max(0, load.Prompt), CopyPending: max(0, load.Copying), MemoryTotal: uint64(traits.MemoryTokens),
-			FailureRate: s.failureRate(now), Avoid: now < s.avoidUntil || s.suspectUntil > 0 || r.losing(s, now) || r.restsElsewhere(s), Resting: now < s.restUntil, Cold: now < s.coldUntil, Paced: paced, Ended: r.ended(s, now),
+			MemoryForecast: uint64(max(0, load.ExpectedTokens)), PromptPending: max(0, load.PromptTokens), CopyPending: max(0, load.CopyTokens), MemoryTotal: uint64(traits.MemoryTokens),
+			FailureRate: s.failureRate(now), Avoid: now < s.avoidUntil || s.suspectUntil > 0 || r.losing(s, now) || r.restsElsewhere(s), BackingOff: now < s.restUntil, Cold: now < s.coldUntil, Paced: paced, Down: r.ended(s, now),
 		})
 	}
 	return r.scratch, list
@@ -419,20 +419,20 @@
 // unlist drops the lists; the directory has changed. mu is held.
 func (r *Registry) unlist() { clear(r.lists) }
 
-// Ready counts the servers of a service that take requests.
-func (r *Registry) Ready(service string) int {
-	ready, _ := r.Standing(service, nil)
+// CountReady counts the servers of a service that take requests.
+func (r *Registry) CountReady(service string) int {
+	ready, _ := r.CountReadyWithin(service, nil)
 	return ready
 }
 
-// Standing counts the servers of a service that take requests which must stay in some
+// CountReadyWithin counts the servers of a service that take requests which must stay in some
 // regions, and those that would if they were not cordoned.
-func (r *Registry) Standing(service string, within routing.Regions) (ready, cordoned int) {
+func (r *Registry) CountReadyWithin(service string, within routing.Regions) (ready, cordoned int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
 		switch {
-		case s.Service != service || s.gone || s.withheld || s.Leaving || !within.Allow(r.regions[s.FailureDomain]):
+		case s.Service != service || s.gone || s.withheld || s.Leaving || !within.Allows(r.regions[s.FailureDomain]):
 		case r.cordoned[s.FailureDomain]:
 			cordoned++
 		default:
@@ -453,8 +453,8 @@
 	return !s.gone, s.Leaving || s.gone
 }
 
-// Ended reports whether a later life of the server is known.
-func (r *Registry) Ended(s Server) bool {
+// HasRestarted reports whether a later life of the server is known.
+func (r *Registry) HasRestarted(s Server) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.servers[s.ID] != nil && r.current(s) == nil
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -23,7 +23,7 @@
 func TestReplicaNeverReverts(t *testing.T) {
 	states := []*State{Empty()}
 	for v := uint64(1); v <= 20; v++ {
-		next, err := states[v-1].Next(delta(v))
+		next, err := states[v-1].WithDelta(delta(v))
 		require.NoError(t, err)
 		states = append(states, next)
 	}
@@ -42,7 +42,7 @@
 			if r.Version() > 0 {
 				require.EqualValues(t, r.Version(), r.State().Team("t").GetWeight())
 			}
-			if deltas, ok := r.Since(before); ok && len(deltas) > 0 {
+			if deltas, ok := r.DeltasSince(before); ok && len(deltas) > 0 {
 				require.Equal(t, before+1, deltas[0].GetVersion())
 				require.Equal(t, r.Version(), deltas[len(deltas)-1].GetVersion())
 			}
@@ -58,8 +58,8 @@
 		"adapter of no model":  {Row: &kingcupv1.Row_Adapter{Adapter: &kingcupv1.Adapter{Name: "a", Model: "none"}}},
 		"model of no kind":     {Row: &kingcupv1.Row_Model{Model: &kingcupv1.Model{Name: "m"}}},
 	} {
-		next, err := Empty().Next(&kingcupv1.Delta{Version: 1, Puts: []*kingcupv1.Row{row}})
+		next, err := Empty().WithDelta(&kingcupv1.Delta{Version: 1, Puts: []*kingcupv1.Row{row}})
 		require.NoError(t, err)
-		require.ErrorIs(t, next.Check(), ErrInvalid, name)
+		require.ErrorIs(t, next.Validate(), ErrInvalid, name)
 	}
 }
--- a/flow/queue.go
+++ b/flow/queue.go
@@ -54,8 +54,8 @@
 // Len is the number of waiters.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// First returns the rank of the next waiter and how many have it.
-func (q *Queue) First(now time.Duration) (rank, n int) {
+// HeadRank returns the rank of the next waiter and how many have it.
+func (q *Queue) HeadRank(now time.Duration) (rank, n int) {
 	next := q.Next(now)
 	if next == nil {
 		return 0, 0
@@ -112,8 +112,8 @@
 
 func (w *Waiter) late(now time.Duration) bool { return now > w.OnTimeDeadline }
 
-// Wait estimates how long a request would wait behind those that go before it.
-func (q *Queue) Wait(w *Waiter, now time.Duration) time.Duration {
+// EstimateWait estimates how long a request would wait behind those that go before it.
+func (q *Queue) EstimateWait(w *Waiter, now time.Duration) time.Duration {
 	ahead := 0
 	for _, o := range q.waiting {
 		if o != w && before(o, w, now) {
@@ -123,14 +123,14 @@
 	return time.Duration(float64(ahead) / q.rate.perSecond * float64(time.Second))
 }
 
-// Refuse reports whether a request is better told at once to come back later: its
+// ShouldReject reports whether a request is better told at once to come back later: its
 // caller will have left before its turn.
 //
 // One that cannot be on time any more waits on, behind all that can, and takes the room
 // that those leave. Sent away as long as others can be on time, more are refused for good,
 // and no more are on time.
-func (q *Queue) Refuse(w *Waiter, now time.Duration) bool {
-	return now+q.Wait(w, now) > w.DispatchDeadline
+func (q *Queue) ShouldReject(w *Waiter, now time.Duration) bool {
+	return now+q.EstimateWait(w, now) > w.DispatchDeadline
 }
 
 // rate measures the prompt tokens that go to engines in a second while requests
--- a/flow/turns.go
+++ b/flow/turns.go
@@ -11,24 +11,24 @@
 type Contender struct {
 	Name    string
 	Waiting int
-	// Rank is that of the most urgent of them, and First the number of those that
+	// Rank is that of the most urgent of them, and WaitingAtRank the number of those that
 	// have it.
-	Rank, First int
+	Rank, WaitingAtRank int
 }
 
-// TurnsFor shares servers out for a request of some rank that waits at self, among
+// NewTurns shares servers out for a request of some rank that waits at self, among
 // the others that have requests waiting too. It shares with those that are at least
 // as urgent only, and leaves a server to each request elsewhere that is more urgent:
 // otherwise those would get no more than their part of the servers that get room,
 // and wait as long as all others.
-func TurnsFor(self Contender, others []Contender, rank int, period int64) *Turns {
+func NewTurns(self Contender, others []Contender, rank int, period int64) *Turns {
 	t := &Turns{Self: self.Name, Period: period}
 	for _, c := range others {
 		if c.Rank <= rank {
 			t.Contenders = append(t.Contenders, c)
 		}
 		if c.Rank < rank {
-			t.Yield += c.First
+			t.Reserved += c.WaitingAtRank
 		}
 	}
 	if len(t.Contenders) == 0 {
@@ -54,13 +54,13 @@
 	// everywhere.
 	Period     int64
 	Contenders []Contender
-	// Yield is the number of servers with room that are left to others.
-	Yield int
+	// Reserved is the number of servers with room that are left to others.
+	Reserved int
 }
 
-// Mine reports whether it is this process's turn at a server. Without other
+// IsOwnTurn reports whether it is this process's turn at a server. Without other
 // contenders it always is.
-func (t *Turns) Mine(server string) bool {
+func (t *Turns) IsOwnTurn(server string) bool {
 	if t == nil || len(t.Contenders) < 2 {
 		return true
 	}
--- a/flow/turns_test.go
+++ b/flow/turns_test.go
@@ -18,7 +18,7 @@
 		owners := 0
 		for _, c := range contenders {
 			turns := &Turns{Self: c.Name, Period: period, Contenders: contenders}
-			if turns.Mine("s") {
+			if turns.IsOwnTurn("s") {
 				owners++
 				won[c.Name]++
 			}
@@ -38,23 +38,23 @@
 	now := seconds(2)
 	self := Contender{Name: "self", Waiting: 1}
 	others := []Contender{
-		{Name: "a", Waiting: 3, First: 2, Rank: urgent.Rank(now)},
-		{Name: "b", Waiting: 1, First: 1, Rank: long.Rank(now)},
-		{Name: "c", Waiting: 1, First: 1, Rank: late.Rank(now)},
+		{Name: "a", Waiting: 3, WaitingAtRank: 2, Rank: urgent.Rank(now)},
+		{Name: "b", Waiting: 1, WaitingAtRank: 1, Rank: long.Rank(now)},
+		{Name: "c", Waiting: 1, WaitingAtRank: 1, Rank: late.Rank(now)},
 	}
-	t1 := TurnsFor(self, others, urgent.Rank(now), 1)
+	t1 := NewTurns(self, others, urgent.Rank(now), 1)
 	require.Len(t, t1.Contenders, 2)
-	require.Zero(t, t1.Yield)
-	t2 := TurnsFor(self, others, long.Rank(now), 1)
+	require.Zero(t, t1.Reserved)
+	t2 := NewTurns(self, others, long.Rank(now), 1)
 	require.Len(t, t2.Contenders, 3)
-	require.Equal(t, 2, t2.Yield)
-	require.Equal(t, 3, TurnsFor(self, others, late.Rank(now), 1).Yield)
-	require.Nil(t, TurnsFor(self, others[1:], urgent.Rank(now), 1))
+	require.Equal(t, 2, t2.Reserved)
+	require.Equal(t, 3, NewTurns(self, others, late.Rank(now), 1).Reserved)
+	require.Nil(t, NewTurns(self, others[1:], urgent.Rank(now), 1))
 }
 
 func TestTurnsWithoutOthersAreAlwaysMine(t *testing.T) {
-	require.True(t, (*Turns)(nil).Mine("s"))
-	require.True(t, (&Turns{Self: "a", Contenders: []Contender{{Name: "a", Waiting: 3}}}).Mine("s"))
+	require.True(t, (*Turns)(nil).IsOwnTurn("s"))
+	require.True(t, (&Turns{Self: "a", Contenders: []Contender{{Name: "a", Waiting: 3}}}).IsOwnTurn("s"))
 }
 
 // crowd plays processes that each have a queue in front of the same engines and
@@ -95,7 +95,7 @@
 			}
 			turns := &Turns{Self: contenders[p].Name, Period: int64(now / period), Contenders: contenders}
 			for e := range c.engines {
-				if c.turns && !turns.Mine("e"+strconv.Itoa(e)) {
+				if c.turns && !turns.IsOwnTurn("e"+strconv.Itoa(e)) {
 					continue
 				}
 				if known(p, e, now) < 1 {
--- a/forecast/outputs.go
+++ b/forecast/outputs.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Said is what a caller says of a generation's output.
-type Said struct {
-	// Hint is the caller's estimate in tokens, 0 if none.
-	Hint int
-	// Most is the largest output that the caller takes, 0 for no bound.
-	Most int
+// CallerHint is what a caller says of a generation's output.
+type CallerHint struct {
+	// EstimatedTokens is the caller's estimate in tokens, 0 if none.
+	EstimatedTokens int
+	// MaxTokens is the largest output that the caller takes, 0 for no bound.
+	MaxTokens int
 }
 
 const (
@@ -24,48 +24,48 @@
 	leastSpread = 0.1
 )
 
-// Outputs estimates how long a generation becomes from what its caller says, from
+// OutputEstimator estimates how long a generation becomes from what its caller says, from
 // how long those of its kind became, and from how long it is already. Lengths and
 // the errors of callers' estimates are taken to be lognormal; what it learns of
 // either decides how much each of them counts.
 //
 // A value is for one goroutine at a time.
-type Outputs struct {
+type OutputEstimator struct {
 	lengths, errors moments
 }
 
-// NewOutputs returns an estimator that has seen nothing.
-func NewOutputs() *Outputs {
-	return &Outputs{
+// NewOutputEstimator returns an estimator that has seen nothing.
+func NewOutputEstimator() *OutputEstimator {
+	return &OutputEstimator{
 		lengths: newMoments(startLog, startSpread),
 		errors:  newMoments(0, startHintSpread),
 	}
 }
 
 // Observe notes a generation that ended by itself.
-func (o *Outputs) Observe(tokens int, said Said) {
+func (o *OutputEstimator) Observe(tokens int, said CallerHint) {
 	if tokens <= 0 {
 		return
 	}
 	length := math.Log(float64(tokens))
 	o.lengths.add(length)
-	if said.Hint > 0 {
-		o.errors.add(math.Log(float64(said.Hint)) - length)
+	if said.EstimatedTokens > 0 {
+		o.errors.add(math.Log(float64(said.EstimatedTokens)) - length)
 	}
 }
 
-// Expect is the mean output, in tokens, of a generation that has made some tokens
+// ExpectedTokens is the mean output, in tokens, of a generation that has made some tokens
 // and goes on.
-func (o *Outputs) Expect(said Said, made int) int {
+func (o *OutputEstimator) ExpectedTokens(said CallerHint, made int) int {
 	mean, spread := o.lengths.mean, o.lengths.spread()
-	if said.Hint > 0 {
+	if said.EstimatedTokens > 0 {
 		// The two are weighed by their certainty.
 		wrong := o.errors.spread()
 		weight := spread * spread / (spread*spread + wrong*wrong)
-		mean += weight * (math.Log(float64(said.Hint)) - o.errors.mean - mean)
+		mean += weight * (math.Log(float64(said.EstimatedTokens)) - o.errors.mean - mean)
 		spread *= math.Sqrt(1 - weight)
 	}
-	return longerThan(mean, spread, made, said.Most)
+	return longerThan(mean, spread, made, said.MaxTokens)
 }
 
 // longerThan is the mean of a lognormal length that is longer than made, where
--- a/forecast/outputs_test.go
+++ b/forecast/outputs_test.go
@@ -12,7 +12,7 @@
 // generation is one of a load that a test plays: what its caller says, and what
 // becomes of it.
 type generation struct {
-	Said
+	CallerHint
 	tokens int
 }
 
@@ -24,7 +24,7 @@
 		const most = 1770
 		tokens := min(most, 1+int(450*math.Exp(0.85*rnd.NormFloat64())))
 		hint := min(most, 1+int(float64(tokens)*math.Exp(1.2*rnd.NormFloat64())))
-		out[i] = generation{Said{Hint: hint, Most: most}, tokens}
+		out[i] = generation{CallerHint{EstimatedTokens: hint, MaxTokens: most}, tokens}
 	}
 	return out
 }
@@ -35,15 +35,15 @@
 // a third less than the estimates, and lean to one side by less than a sixth.
 func TestOutputsAreBetterThanCallersEstimates(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	for _, g := range generations(100, rnd) {
-		o.Observe(g.tokens, g.Said)
+		o.Observe(g.tokens, g.CallerHint)
 	}
 	var byHint, byExpect, bias, sum float64
 	test := generations(5000, rnd)
 	for _, g := range test {
-		byHint += math.Abs(float64(g.Hint - g.tokens))
-		miss := float64(o.Expect(g.Said, 0) - g.tokens)
+		byHint += math.Abs(float64(g.EstimatedTokens - g.tokens))
+		miss := float64(o.ExpectedTokens(g.CallerHint, 0) - g.tokens)
 		byExpect += math.Abs(miss)
 		bias += miss
 		sum += float64(g.tokens)
@@ -57,37 +57,37 @@
 // engine. What is expected of it must grow with it.
 func TestOutputsFollowAGenerationBeyondItsEstimate(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	for _, g := range generations(300, rnd) {
-		o.Observe(g.tokens, g.Said)
+		o.Observe(g.tokens, g.CallerHint)
 	}
-	said := Said{Hint: 100, Most: 1770}
+	said := CallerHint{EstimatedTokens: 100, MaxTokens: 1770}
 	var sum, n float64
 	for _, g := range generations(200000, rnd) {
-		if g.Hint > 80 && g.Hint < 125 && g.tokens > 600 {
+		if g.EstimatedTokens > 80 && g.EstimatedTokens < 125 && g.tokens > 600 {
 			sum += float64(g.tokens)
 			n++
 		}
 	}
-	require.Less(t, o.Expect(said, 0), 600)
-	require.InEpsilon(t, sum/n, o.Expect(said, 600), 0.15)
-	require.Equal(t, 1770, o.Expect(said, 1770))
+	require.Less(t, o.ExpectedTokens(said, 0), 600)
+	require.InEpsilon(t, sum/n, o.ExpectedTokens(said, 600), 0.15)
+	require.Equal(t, 1770, o.ExpectedTokens(said, 1770))
 }
 
 // Whatever is said and seen, the expectation lies between what is made and what
 // the caller takes.
 func TestOutputsStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := NewOutputs()
+		o := NewOutputEstimator()
 		for range rapid.IntRange(0, 40).Draw(t, "seen") {
-			o.Observe(rapid.IntRange(0, 100000).Draw(t, "tokens"), Said{Hint: rapid.IntRange(0, 100000).Draw(t, "hint")})
+			o.Observe(rapid.IntRange(0, 100000).Draw(t, "tokens"), CallerHint{EstimatedTokens: rapid.IntRange(0, 100000).Draw(t, "hint")})
 		}
-		said := Said{Hint: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), Most: rapid.IntRange(0, 1<<20).Draw(t, "most")}
+		said := CallerHint{EstimatedTokens: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), MaxTokens: rapid.IntRange(0, 1<<20).Draw(t, "most")}
 		made := rapid.IntRange(0, 1<<20).Draw(t, "made")
-		got := o.Expect(said, made)
-		require.GreaterOrEqual(t, got, min(made, max(said.Most, made)))
-		if said.Most > made {
-			require.LessOrEqual(t, got, said.Most)
+		got := o.ExpectedTokens(said, made)
+		require.GreaterOrEqual(t, got, min(made, max(said.MaxTokens, made)))
+		if said.MaxTokens > made {
+			require.LessOrEqual(t, got, said.MaxTokens)
 		}
 	})
 }
@@ -96,9 +96,9 @@
 // allocation, for one estimate before a request is placed and one a second while
 // it runs.
 func BenchmarkOutputsExpect(b *testing.B) {
-	o := NewOutputs()
+	o := NewOutputEstimator()
 	b.ReportAllocs()
 	for i := range b.N {
-		o.Expect(Said{Hint: 100 + i%1000, Most: 2000}, i%500)
+		o.ExpectedTokens(CallerHint{EstimatedTokens: 100 + i%1000, MaxTokens: 2000}, i%500)
 	}
 }
--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -51,14 +51,14 @@
 		asked: start.GetAttempt(),
 	}
 	g.buf.Preload(start.GetPrefix())
-	g.buf.Begin(start.GetAttempt())
+	g.buf.BeginAttempt(start.GetAttempt())
 	g.job = &sched.Job{
 		ID: g.id, Team: r.GetTeam(), Model: r.GetModel(),
 		Weight: team.GetWeight(), Level: level,
-		PromptTokens: len(r.GetPrompt())/a.cfg.BytesPerToken + 1,
-		MaxTokens:    int(r.GetMaxTokens()),
-		Emitted:      len(start.GetPrefix()),
-		Urgent:       len(start.GetPrefix()) > 0,
+		PromptTokens:  len(r.GetPrompt())/a.cfg.BytesPerToken + 1,
+		MaxTokens:     int(r.GetMaxTokens()),
+		EmittedBefore: len(start.GetPrefix()),
+		Urgent:        len(start.GetPrefix()) > 0,
 	}
 	return g
 }
@@ -96,7 +96,7 @@
 	}
 	g := a.newGeneration(start)
 	decision := a.policy.Offer(a.now(), g.job)
-	if decision.Verdict == sched.Refuse {
+	if decision.Admission == sched.Refused {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, decision.RetryAfter, "queue of team %s is too long", g.job.Team)
 	}
 	a.enter(g)
@@ -121,12 +121,12 @@
 	a.acts = a.policy.Tick(a.now(), a.acts[:0])
 	for _, act := range a.acts {
 		g := a.jobs[act.Job]
-		switch act.Verb {
+		switch act.Kind {
 		case sched.Start:
 			a.startJob(g)
 		case sched.Pause:
 			a.pauseJob(g)
-		case sched.GiveUp:
+		case sched.Expire:
 			a.drop(g)
 			g.buf.Fail(failure.NotRun(kingcupv1.Reason_REASON_OVERLOADED, act.RetryAfter, "no room within the longest wait"))
 		}
@@ -211,10 +211,10 @@
 			g.idle, g.idleSince = true, now
 		}
 		closed := g.buf.Closed()
-		if closed && now-g.idleSince > a.cfg.Retain {
+		if closed && now-g.idleSince > a.cfg.RetentionPeriod {
 			delete(a.gens, id)
 		}
-		if !closed && now-g.idleSince > a.cfg.OrphanGrace {
+		if !closed && now-g.idleSince > a.cfg.OrphanGracePeriod {
 			orphans = append(orphans, g)
 		}
 	}
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -101,10 +101,10 @@
 	s.arrivals++
 	j := &sched.Job{
 		ID: t.Name + string(rune(s.arrivals)), Team: t.Name, Model: "m", Weight: t.Weight, Level: t.Level,
-		PromptTokens: a.Prompt, MaxTokens: MaxTokens, Emitted: a.Emitted, Urgent: a.Emitted > 0,
+		PromptTokens: a.Prompt, MaxTokens: MaxTokens, EmittedBefore: a.Emitted, Urgent: a.Emitted > 0,
 	}
 	s.out.class(t).Offered++
-	if d := s.policy.Offer(s.now, j); d.Verdict == sched.Refuse {
+	if d := s.policy.Offer(s.now, j); d.Admission == sched.Refused {
 		s.out.class(t).Refused++
 		return
 	}
@@ -115,13 +115,13 @@
 	s.acts = s.policy.Tick(s.now, s.acts[:0])
 	for _, act := range s.acts {
 		r := s.jobs[act.Job]
-		switch act.Verb {
+		switch act.Kind {
 		case sched.Start:
 			s.start(r)
 		case sched.Pause:
 			s.takeOff(r)
 			s.preempted(r)
-		case sched.GiveUp:
+		case sched.Expire:
 			s.out.class(r.team).Refused++
 			delete(s.jobs, act.Job)
 		}
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -28,7 +28,7 @@
 		// bounds the lines.
 		log.WithField("failures", f.failures).Info("store is still lost")
 	}
-	pause := backoff.After(f.failures, rand.Float64())
+	pause := backoff.Delay(f.failures, rand.Float64())
 	f.failures++
 	f.mu.Unlock()
 	wait.For(ctx, pause)
@@ -43,19 +43,19 @@
 	return nil
 }
 
-// Filled reports whether the table has been read. It may be out of date since.
-func (f *Follower) Filled() bool {
+// HasTable reports whether the table has been read. It may be out of date since.
+func (f *Follower) HasTable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.filled
 }
 
-// Away reports whether the table cannot be read, here or by others.
-func (f *Follower) Away() bool {
+// IsUnavailable reports whether the table cannot be read, here or by others.
+func (f *Follower) IsUnavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := f.now() - f.made
-	return f.synced && (age > f.cfg.Wait+silentSlack/2 || f.failures > 0 && age > silentSlack)
+	return f.synced && (age > f.cfg.PollTimeout+silentSlack/2 || f.failures > 0 && age > silentSlack)
 }
 
 // StoreTime is the store's steady clock now, as near as the answers so far tell: a
@@ -67,18 +67,18 @@
 	return f.now() - f.offset, f.offsetKnown
 }
 
-// Reached reports whether the store answered this process last.
-func (f *Follower) Reached() bool {
+// StoreReached reports whether the store answered this process last.
+func (f *Follower) StoreReached() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failures == 0
 }
 
-// Answered is the store's steady clock when it last answered this process: now, while a
+// LastAnswer is the store's steady clock when it last answered this process: now, while a
 // long answer comes in.
-func (f *Follower) Answered() time.Duration {
+func (f *Follower) LastAnswer() time.Duration {
 	now, known := f.StoreTime()
-	if known && f.Reading() {
+	if known && f.IsReading() {
 		return now
 	}
 	f.mu.Lock()
@@ -93,9 +93,9 @@
 	return f.position(), f.synced
 }
 
-// Last is how far the sink is, also while its table is read anew; false before the first. What
+// LastPosition is how far the sink is, also while its table is read anew; false before the first. What
 // it says of time stays true: the copy gets no newer meanwhile.
-func (f *Follower) Last() (Position, bool) {
+func (f *Follower) LastPosition() (Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.position(), f.filled
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -81,7 +81,9 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 3 && len(n.group.links.Live()) == 2 }, "listed")
+		n.eventually(func() bool {
+			return n.registry.CountReady(fleet.DeskService) == 3 && len(n.group.links.LiveStates()) == 2
+		}, "listed")
 	}
 	pressAll(nodes, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
@@ -104,13 +106,15 @@
 	srv := s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 1 && len(n.group.links.Live()) == 2 }, "listed")
+		n.eventually(func() bool {
+			return n.registry.CountReady(fleet.DeskService) == 1 && len(n.group.links.LiveStates()) == 2
+		}, "listed")
 	}
 	nodes[2].door.SetFault(fleet.Reset)
 	know := func(limited int) {
 		t.Helper()
 		for begun := time.Now(); time.Since(begun) < knownWithin; time.Sleep(5 * time.Millisecond) {
-			if nodes[1].registry.Limited() == limited && nodes[2].registry.Limited() == limited {
+			if nodes[1].registry.CountRateLimited() == limited && nodes[2].registry.CountRateLimited() == limited {
 				return
 			}
 		}
@@ -122,7 +126,7 @@
 	srv.SetBehaviour(fleet.Behaviour{})
 	nodes[0].eventually(func() bool {
 		nodes[0].do(plain(fleet.OncePath))
-		return nodes[0].registry.Limited() == 0
+		return nodes[0].registry.CountRateLimited() == 0
 	}, "no limit any more")
 	know(0)
 }
@@ -145,7 +149,9 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 && len(n.group.links.Live()) == 2 }, "listed")
+		n.eventually(func() bool {
+			return n.registry.CountReady(fleet.DeskService) == 2 && len(n.group.links.LiveStates()) == 2
+		}, "listed")
 	}
 	s.fleet.Store.SetFault(fleet.Reset)
 	leaves.Say(fleet.SaysLeaving())
@@ -174,7 +180,7 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.DeskService) == 2 }, "listed")
+		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 		c := plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", fmt.Sprint("of vm-", i+1))
 		before := len(tired.Arrived())
 		n.eventually(func() bool {
--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -20,8 +20,8 @@
 	configCheckTimeout = 500 * time.Millisecond
 )
 
-// Agreed implements relay.Others.
-func (g *group) Agreed() bool { return g.configChecked.Load() }
+// ConfigCurrent implements relay.Others.
+func (g *group) ConfigCurrent() bool { return g.configChecked.Load() }
 
 // checkConfig compares the configuration with the peers' before this gateway trusts API
 // keys. A store that was restored from an older copy shows a starting gateway keys that
@@ -30,7 +30,7 @@
 	begun := time.Now()
 	var loadedAt time.Time
 	for !g.configChecked.Load() && wait.For(ctx, configCheckPoll) {
-		if g.config.replica.Version() == 0 || !g.followers[membersTable].Filled() && time.Since(begun) < membersTimeout {
+		if g.config.replica.Version() == 0 || !g.followers[membersTable].HasTable() && time.Since(begun) < membersTimeout {
 			continue
 		}
 		if loadedAt.IsZero() {
@@ -39,11 +39,11 @@
 		switch newer, known := g.compareVersions(); {
 		case len(newer) > 0:
 			g.fetchConfigFromAny(ctx, newer)
-		case g.links.Known() == 1:
+		case g.links.KnownCount() == 1:
 			g.setConfigChecked("no peer is known")
 		case known:
 			g.setConfigChecked("peers name no newer version")
-		case g.fetchConfigFromAny(ctx, g.links.Linked()):
+		case g.fetchConfigFromAny(ctx, g.links.LinkedPeers()):
 			g.setConfigChecked("answered by a peer")
 		case time.Since(loadedAt) > configCheckTimeout:
 			g.setConfigChecked("no peer answers")
@@ -72,7 +72,7 @@
 // gateway's. known says whether any peer reports a version at all.
 func (g *group) compareVersions() (newer []string, known bool) {
 	own := g.config.replica.Version()
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		known = known || s.GetConfigVersion() > 0
 		if s.GetConfigVersion() > own {
 			newer = append(newer, s.GetFrom().GetName())
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -57,27 +57,27 @@
 // table returns the name of the table that holds the configuration.
 func (s *configSharing) table() string { return operator.Table }
 
-// Reads implements follow.Sharing.
-func (s *configSharing) Reads(reached bool) bool {
-	return tableSharing{s.group, operator.Table}.Reads(reached)
+// IsReader implements follow.Sharing.
+func (s *configSharing) IsReader(reached bool) bool {
+	return tableSharing{s.group, operator.Table}.IsReader(reached)
 }
 
-// Turn implements follow.Sharing.
-func (s *configSharing) Turn(without time.Duration) bool {
-	return tableSharing{s.group, operator.Table}.Turn(without)
+// MayCallStore implements follow.Sharing.
+func (s *configSharing) MayCallStore(without time.Duration) bool {
+	return tableSharing{s.group, operator.Table}.MayCallStore(without)
 }
 
 // Share implements follow.Sharing. For changes, only the new revision is announced.
-func (s *configSharing) Share(p follow.Shared) {
+func (s *configSharing) Share(p follow.SharedPage) {
 	if len(p.Rows) > 0 {
 		p.Since, p.Rows = p.Revision, nil
 	}
 	tableSharing{s.group, operator.Table}.Share(p)
 }
 
-// Reading implements follow.Sharing.
-func (s *configSharing) Reading() bool {
-	return slices.ContainsFunc(s.links.Live(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
+// IsPeerReading implements follow.Sharing.
+func (s *configSharing) IsPeerReading() bool {
+	return slices.ContainsFunc(s.links.LiveStates(), func(p *peerv1.State) bool { return p.GetReadingConfig() && !p.GetStopping() })
 }
 
 // recordAnnouncer puts a peer that announced a page at the front of announcers.
@@ -117,7 +117,7 @@
 	announcers := slices.Clone(s.announcers)
 	s.mu.Unlock()
 	live := make(map[string]bool)
-	for _, p := range s.links.Live() {
+	for _, p := range s.links.LiveStates() {
 		live[p.GetFrom().GetName()] = true
 	}
 	for _, name := range announcers {
@@ -204,7 +204,7 @@
 func (s *configSharing) serveFetch(req *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
 	// Take the position first: the version read after it is then complete up to that
 	// position.
-	position, ok := s.followers[operator.Table].Last()
+	position, ok := s.followers[operator.Table].LastPosition()
 	if !ok {
 		return nil, nil, errTableUnknown
 	}
@@ -233,7 +233,7 @@
 	if s.encoded.head != nil && s.encoded.base == version && s.encoded.version == newest {
 		return s.encoded, nil
 	}
-	ch := s.replica.Since(version)
+	ch := s.replica.ChangeSince(version)
 	if ch == nil {
 		return encodedChange{head: &peerv1.Change{Base: version, Version: version}}, nil
 	}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -77,7 +77,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			g.log.WithFields(g.stats.flush()).WithFields(logrus.Fields{"peers_known": g.links.Known() - 1, "peers_heard": len(g.links.Live())}).Info("control traffic")
+			g.log.WithFields(g.stats.flush()).WithFields(logrus.Fields{"peers_known": g.links.KnownCount() - 1, "peers_heard": len(g.links.LiveStates())}).Info("control traffic")
 		}
 	}
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -39,7 +39,7 @@
 func quietGroup(store tableStore) *group {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	registry := backends.New("z", func(string) backends.Traits { return backends.Traits{} }, func(backends.Server, backends.LeaveReason) {})
+	registry := backends.New("z", func(string) backends.ServiceTraits { return backends.ServiceTraits{} }, func(backends.Server, backends.LeaveReason) {})
 	g := newGroup(peers.Member{Name: "self", Address: "10.0.0.1:80", FailureDomain: "z"}, store, registry, routing.NewReplica(), 10, peers.DefaultLinks, newControlStats(nil), log)
 	for _, table := range []string{operator.Table, directory.Table} {
 		g.followers[table] = follow.New(follow.Config{Name: table}, nil, g.config.sink, g.config, clock.SinceBoot, log)
@@ -105,7 +105,7 @@
 // written as, or not at all.
 func FuzzSuspect(f *testing.F) {
 	corpus := fuzzseed.New(f)
-	valid := quarantine.Record{ID: quarantine.Of("team", "POST", "h", "/p", nil), Crashes: []quarantine.Crash{{Incarnation: 7, At: time.Second}}, ClearedAt: time.Millisecond}
+	valid := quarantine.Record{ID: quarantine.NewID("team", "POST", "h", "/p", nil), Crashes: []quarantine.Crash{{Incarnation: 7, At: time.Second}}, ClearedAt: time.Millisecond}
 	data, err := encodeRecord(valid)
 	require.NoError(f, err)
 	for _, seed := range []string{string(data), "", "null", "[]", "{}", `{"team":"t","content":-1}`, `{"ends":[{"at_ms":9e18}]}`} {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -98,7 +98,7 @@
 	var g *Gateway
 	err := c.Invoke(func(r *relay.Relay, reg *backends.Registry, up *upstream.Client, rep *routing.Replica, rec *gatewaymetrics.Recorder, st *store.Client, gr *group, l *lateDeps) error {
 		g = &Gateway{started: time.Now(), settings: &l.settings, log: log, opts: opts, store: st, relay: r, registry: reg, upstream: up, group: gr}
-		reg.SetRegions(set.Regions)
+		reg.SetDomainRegions(set.Regions)
 		return g.run(set, rep, rec)
 	})
 	return g, dig.RootCause(err)
@@ -125,7 +125,7 @@
 		func(l *lateDeps) *upstream.Client {
 			return upstream.New(func(s backends.Server, signals backends.Signals, begun time.Duration) {
 				if r := l.relay.Load(); r != nil {
-					r.Advised(s, signals, begun)
+					r.HandleSignals(s, signals, begun)
 				}
 			})
 		},
@@ -136,7 +136,7 @@
 			return backends.New(set.FailureDomain, traitsFunc(rep, l), func(s backends.Server, n backends.LeaveReason) {
 				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(n)}).Info("server is leaving")
 				if r := l.relay.Load(); r != nil {
-					r.Noticed(s, n)
+					r.HandleLeaving(s, n)
 				}
 			})
 		},
@@ -145,9 +145,9 @@
 			return newGroup(self, st, reg, rep, set.LinkMbps, opts.MaxPeerLinks, costs, log)
 		},
 		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *lateDeps) *relay.Relay {
-			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Others: gr, Suspects: gr.quarantine})
+			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Peers: gr, Quarantine: gr.quarantine})
 			l.relay.Store(r)
-			onQuarantined := r.Quarantined
+			onQuarantined := r.CancelQuarantined
 			gr.quarantine.onQuarantined.Store(&onQuarantined)
 			return r
 		},
@@ -156,7 +156,7 @@
 
 func relayConfig(set *settings.Settings) relay.Config {
 	return relay.Config{
-		RevokeBound: set.Bounds.Revoke, ApplyBound: set.Bounds.ApplyConfig,
+		RevokeTimeout: set.Bounds.Revoke, ApplyTimeout: set.Bounds.ApplyConfig,
 		RetryRatio: set.Bounds.RetryRatio, RetryExtra: set.Bounds.RetryExtra,
 	}
 }
@@ -173,8 +173,8 @@
 
 // traitsFunc returns a function that looks up the traits of a service in the current
 // configuration and settings. The traits are zero for an unknown service.
-func traitsFunc(rep *routing.Replica, l *lateDeps) func(service string) backends.Traits {
-	return func(service string) (t backends.Traits) {
+func traitsFunc(rep *routing.Replica, l *lateDeps) func(service string) backends.ServiceTraits {
+	return func(service string) (t backends.ServiceTraits) {
 		cfg, _ := rep.Current()
 		if cfg == nil {
 			return t
@@ -185,7 +185,7 @@
 		}
 		bounds := l.settings.Load().Bounds
 		t.ColdTime = s.ColdTime
-		t.Cold = pacing.Limit{Rate: s.ColdRate, Most: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
+		t.ColdLimit = pacing.Limit{Rate: s.ColdRate, MaxInWindow: max(1, bounds.ColdOverage)*s.ColdRate + bounds.ColdTolerance, Window: coldWindow}
 		if s.Engine != nil {
 			t.MemoryTokens = s.Engine.MemoryTokens
 		}
@@ -224,12 +224,12 @@
 		_, confirmed := rep.Current()
 		return (clock.SinceBoot() - confirmed).Seconds()
 	})
-	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.Known() - 1) })
-	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.Live())) })
+	rec.RegisterGauge("kingcup_gateway_peers_known", "Other gateways that this one knows.", func() float64 { return float64(g.group.links.KnownCount() - 1) })
+	rec.RegisterGauge("kingcup_gateway_peers_heard", "Other gateways whose states come in.", func() float64 { return float64(len(g.group.links.LiveStates())) })
 	rec.RegisterGauge("kingcup_gateway_requests_held", "Requests that are not sent to servers, because servers end under them.", func() float64 { return float64(g.group.quarantine.countQuarantined()) })
 	rec.RegisterGauge("kingcup_gateway_domains_cordoned", "Failure domains whose servers get nothing.", func() float64 { return float64(len(g.group.cordons.List())) })
-	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.Limited()) })
-	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.Resting(clock.SinceBoot())) })
+	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.CountRateLimited()) })
+	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.CountBackingOff(clock.SinceBoot())) })
 	rec.RegisterGauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLogLines()) })
 	if err := g.serveMetrics(set, rec); err != nil {
 		callers.Close()
@@ -250,7 +250,7 @@
 	g.wg.Go(func() { members.Run(ctx) })
 	g.wg.Go(func() { g.group.join(ctx) })
 	g.wg.Go(func() { g.group.checkConfig(ctx) })
-	g.wg.Go(func() { g.relay.Scout(ctx, g.directory.Away) })
+	g.wg.Go(func() { g.relay.RunProber(ctx, g.directory.IsUnavailable) })
 	g.wg.Go(func() { g.runMaintenance(ctx) })
 	g.wg.Go(func() { g.group.logControlStats(ctx) })
 	g.wg.Go(func() { g.group.quarantine.run(ctx) })
@@ -261,10 +261,10 @@
 // peers. wait bounds a call's wait for changes, gap is the minimum time between two calls.
 func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, sharing follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
-		Name: table, Wait: wait, Gap: gap,
-		Called:   func(r follow.Reason) { g.group.stats.countStoreCall(table, string(r)) },
-		Restored: func() { g.group.stats.countRestore(table) },
-		Keep:     g.group.encoders[table] != nil,
+		Name: table, PollTimeout: wait, MinCallInterval: gap,
+		OnCall:     func(r follow.Reason) { g.group.stats.countStoreCall(table, string(r)) },
+		OnRestored: func() { g.group.stats.countRestore(table) },
+		KeepRows:   g.group.encoders[table] != nil,
 	}
 	f := follow.New(cfg, g.store.Table(table), sink, sharing, clock.SinceBoot, g.log)
 	g.group.followers[table] = f
@@ -314,8 +314,8 @@
 // the gateway would send requests that crash servers. After membersTimeout it no longer
 // waits for that table.
 func (g *Gateway) Ready() bool {
-	return !g.stopping.Load() && g.relay.Ready() && g.directory.Filled() &&
-		(g.group.followers[membersTable].Filled() || time.Since(g.started) > membersTimeout)
+	return !g.stopping.Load() && g.relay.Ready() && g.directory.HasTable() &&
+		(g.group.followers[membersTable].HasTable() || time.Since(g.started) > membersTimeout)
 }
 
 // membersTimeout is how long after its start a gateway waits for the table of gateways. If
@@ -342,7 +342,7 @@
 	g.stopping.Store(true)
 	g.callers.Stop()
 	g.group.announceStop()
-	g.relay.EndAt(begun.Add(g.settings.Load().Bounds.Shutdown-killMargin), begun.Add(g.opts.ShutdownDelay-lastAcceptMargin))
+	g.relay.SetShutdown(begun.Add(g.settings.Load().Bounds.Shutdown-killMargin), begun.Add(g.opts.ShutdownDelay-lastAcceptMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
 	timeout := g.settings.Load().Bounds.Shutdown - killMargin
 	for time.Since(begun) < timeout {
@@ -367,7 +367,7 @@
 	if unchanged {
 		return
 	}
-	g.registry.SetRegions(set.Regions)
+	g.registry.SetDomainRegions(set.Regions)
 	g.store.SetAddress(set.Store)
 	g.store.SetLink(set.LinkMbps)
 	g.relay.Configure(relayConfig(set))
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -65,11 +65,11 @@
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		err := g.register(ctx)
 		if err == nil {
-			g.log.WithField("peers", g.links.Known()-1).Info("registered with the other gateways")
+			g.log.WithField("peers", g.links.KnownCount()-1).Info("registered with the other gateways")
 			return
 		}
 		g.log.WithError(err).WithField("try", attempt+1).Warn("cannot register with the other gateways, will retry")
-		wait.For(ctx, joinBackoff.After(attempt, rand.Float64()))
+		wait.For(ctx, joinBackoff.Delay(attempt, rand.Float64()))
 	}
 }
 
@@ -135,7 +135,7 @@
 func (m membersSink) Reset(rows []follow.Row, _ time.Duration) {
 	requests, gateways := splitRows(rows)
 	m.quarantine.applyRows(requests, true)
-	m.links.Learn(m.decodeMembers(gateways))
+	m.links.AddMembers(m.decodeMembers(gateways))
 	if m.role.joined.Load() && !slices.ContainsFunc(gateways, func(r follow.Row) bool { return r.Key == m.self.Name }) {
 		time.AfterFunc(time.Duration(rand.Float64()*float64(maxRewriteDelay)), m.rewriteRow)
 	}
@@ -181,10 +181,10 @@
 		written = append(written, row)
 	}
 	if len(deleted) > 0 {
-		m.links.Gone(deleted)
+		m.links.RemoveMembers(deleted)
 	}
 	if len(written) > 0 {
-		m.links.Learn(m.decodeMembers(written))
+		m.links.AddMembers(m.decodeMembers(written))
 	}
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -78,16 +78,16 @@
 	var d net.Dialer
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
-		State: g.ownState, Receiver: g, Answer: g.handleFetch, Log: log, Forgotten: g.removeRow,
-		Sent: stats.countPeerBytes, MostLinks: maxLinks, Placed: g.applyCell, Greet: g.quarantine.initialRecords,
+		State: g.ownState, Receiver: g, Answer: g.handleFetch, Log: log, OnForgotten: g.removeRow,
+		OnSent: stats.countPeerBytes, MaxLinks: maxLinks, OnPlaced: g.applyCell, InitialSuspects: g.quarantine.initialRecords,
 	})
 	return g
 }
 
 // applyCell updates the registry with the cell of this gateway.
 func (g *group) applyCell(place cells.Place) {
-	if g.registry.SetPlace(place) {
-		g.log.WithFields(logrus.Fields{"cell": place.Own, "cells": place.Count}).Info("the cell of this gateway has changed")
+	if g.registry.SetCell(place) {
+		g.log.WithFields(logrus.Fields{"cell": place.OwnCell, "cells": place.CellCount}).Info("the cell of this gateway has changed")
 	}
 }
 
@@ -96,22 +96,22 @@
 	s := &peerv1.State{
 		From:     &peerv1.Member{Name: g.self.Name, Address: g.self.Address, FailureDomain: g.self.FailureDomain},
 		Stopping: g.stopping.Load(), StoreReached: g.storeReached(),
-		ConfigVersion: g.checkedVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].Reading(),
+		ConfigVersion: g.checkedVersion(), LinkMbps: g.linkMbps, ReadingConfig: g.followers[operator.Table].IsReading(),
 		Positions: g.positionMessages(), Readers: g.role.readerMessages(),
 	}
 	for id, l := range g.registry.Loads() {
 		s.Loads = append(s.Loads, &peerv1.Load{
-			Server: id, Running: uint32(l.Running), Tokens: uint64(max(0, l.Tokens)),
-			Prompt: uint64(max(0, l.Prompt)), Copying: uint64(max(0, l.Copying)), Born: l.StartTime,
+			Server: id, Running: uint32(l.Running), Tokens: uint64(max(0, l.ExpectedTokens)),
+			Prompt: uint64(max(0, l.PromptTokens)), Copying: uint64(max(0, l.CopyTokens)), Born: l.StartTime,
 		})
 	}
-	for id, l := range g.registry.Losses(clock.SinceBoot()) {
-		s.Losses = append(s.Losses, statusMessage(id, l))
+	for id, st := range g.registry.Statuses(clock.SinceBoot()) {
+		s.Losses = append(s.Losses, statusMessage(id, st))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for service, q := range g.queues {
-		s.Queues = append(s.Queues, &peerv1.Queue{Service: service, Waiting: uint32(q.Waiting), Rank: uint32(q.Rank), First: uint32(q.First)})
+		s.Queues = append(s.Queues, &peerv1.Queue{Service: service, Waiting: uint32(q.Waiting), Rank: uint32(q.Rank), First: uint32(q.WaitingAtRank)})
 	}
 	for service, used := range g.teamUsage {
 		for _, u := range used.decayedAt(clock.SinceBoot()) {
@@ -121,28 +121,29 @@
 	return s
 }
 
-// forwardStatuses logs the rate limits among a peer's status changes, and sends the peers
-// this gateway's state if there are any changes.
-func (g *group) forwardStatuses(peer string, losses map[string]backends.Loss, news []backends.Told) {
-	for _, t := range news {
-		if !t.Limit {
+// forwardStatuses logs the changes of servers' rate limits that a peer has reported. If its
+// report changed any status, it sends this gateway's state to the peers at once, so that
+// they learn of the change too.
+func (g *group) forwardStatuses(peer string, statuses map[string]backends.ServerStatus, changes []backends.StatusChange) {
+	for _, ch := range changes {
+		if !ch.RateLimitChanged {
 			continue
 		}
-		l := losses[t.ID].Limit
+		limit := statuses[ch.ID].RateLimit
 		g.log.WithFields(logrus.Fields{
-			"server": t.ID, "born": t.StartTime, "service": t.Service, "peer": peer,
-			"named": l.Named, "per_second": l.PerSecond, "age_ms": l.Age.Milliseconds(),
+			"server": ch.ID, "born": ch.StartTime, "service": ch.Service, "peer": peer,
+			"named": limit.Limited, "per_second": limit.PerSecond, "age_ms": limit.Age.Milliseconds(),
 		}).Info("peer reported a server's rate limit")
 	}
-	if len(news) > 0 {
-		g.links.Nudge()
+	if len(changes) > 0 {
+		g.links.SendStateNow()
 	}
 }
 
-func statusMessage(server string, l backends.Loss) *peerv1.Loss {
-	out := &peerv1.Loss{Server: server, InARow: uint32(l.InARow), Ended: l.Ended, Leaving: l.Leaving, Resting: l.Resting, Born: l.StartTime}
-	if l.Limit.Known {
-		out.Limit = &peerv1.Limit{Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, AgeMs: l.Limit.Age.Milliseconds()}
+func statusMessage(server string, st backends.ServerStatus) *peerv1.Loss {
+	out := &peerv1.Loss{Server: server, InARow: uint32(st.ConsecutiveLosses), Ended: st.Down, Leaving: st.Leaving, Resting: st.BackingOff, Born: st.StartTime}
+	if st.RateLimit.Known {
+		out.Limit = &peerv1.Limit{Named: st.RateLimit.Limited, PerSecond: st.RateLimit.PerSecond, AgeMs: st.RateLimit.Age.Milliseconds()}
 	}
 	return out
 }
@@ -150,10 +151,10 @@
 // maxReportAge bounds the age of a rate limit in a peer's report.
 const maxReportAge = 24 * time.Hour
 
-func statusFromMessage(l *peerv1.Loss) backends.Loss {
-	out := backends.Loss{InARow: int(l.GetInARow()), Ended: l.GetEnded(), Leaving: l.GetLeaving(), Resting: l.GetResting(), StartTime: l.GetBorn()}
+func statusFromMessage(l *peerv1.Loss) backends.ServerStatus {
+	out := backends.ServerStatus{ConsecutiveLosses: int(l.GetInARow()), Down: l.GetEnded(), Leaving: l.GetLeaving(), BackingOff: l.GetResting(), StartTime: l.GetBorn()}
 	if t := l.GetLimit(); t != nil {
-		out.Limit = backends.ToldLimit{Known: true, Named: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), maxReportAge.Milliseconds())) * time.Millisecond}
+		out.RateLimit = backends.RateLimitReport{Known: true, Limited: t.GetNamed(), PerSecond: t.GetPerSecond(), Age: time.Duration(min(t.GetAgeMs(), maxReportAge.Milliseconds())) * time.Millisecond}
 	}
 	return out
 }
@@ -161,7 +162,7 @@
 // storeReached reports whether the last call of every follower to the store succeeded.
 func (g *group) storeReached() bool {
 	for _, f := range g.followers {
-		if !f.Reached() {
+		if !f.StoreReached() {
 			return false
 		}
 	}
@@ -171,22 +172,22 @@
 // State implements peers.Receiver.
 func (g *group) State(peer string, s *peerv1.State) {
 	if s == nil {
-		g.registry.SetRemote(peer, nil)
-		g.registry.SetLosses(peer, nil, clock.SinceBoot())
+		g.registry.SetRemoteLoads(peer, nil)
+		g.registry.SetRemoteStatuses(peer, nil, clock.SinceBoot())
 		return
 	}
-	losses := make(map[string]backends.Loss, len(s.GetLosses()))
+	statuses := make(map[string]backends.ServerStatus, len(s.GetLosses()))
 	for _, l := range s.GetLosses() {
-		losses[l.GetServer()] = statusFromMessage(l)
+		statuses[l.GetServer()] = statusFromMessage(l)
 	}
-	g.forwardStatuses(peer, losses, g.registry.SetLosses(peer, losses, clock.SinceBoot()))
+	g.forwardStatuses(peer, statuses, g.registry.SetRemoteStatuses(peer, statuses, clock.SinceBoot()))
 	loads := make(map[string]backends.Load, len(s.GetLoads()))
 	for _, l := range s.GetLoads() {
 		loads[l.GetServer()] = backends.Load{
-			Running: int(l.GetRunning()), Tokens: int(l.GetTokens()), Prompt: int(l.GetPrompt()), Copying: int(l.GetCopying()), StartTime: l.GetBorn(),
+			Running: int(l.GetRunning()), ExpectedTokens: int(l.GetTokens()), PromptTokens: int(l.GetPrompt()), CopyTokens: int(l.GetCopying()), StartTime: l.GetBorn(),
 		}
 	}
-	g.registry.SetRemote(peer, loads)
+	g.registry.SetRemoteLoads(peer, loads)
 	g.role.receive(s.GetReaders())
 	g.applyPositions(s.GetPositions())
 	g.noteConfigVersion(s)
@@ -211,24 +212,24 @@
 	if p.GetTable() == operator.Table {
 		g.config.recordAnnouncer(peer)
 	}
-	f.Offer(follow.Shared{Page: page, Since: revision.FromWire(p.GetSince())})
+	f.ReceivePage(follow.SharedPage{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
-// Known implements relay.Others.
-func (g *group) Known() int { return g.links.Known() }
+// Count implements relay.Others.
+func (g *group) Count() int { return g.links.KnownCount() }
 
-// Taking implements relay.Others.
-func (g *group) Taking() bool {
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return !s.GetStopping() })
+// AcceptingRequests implements relay.Others.
+func (g *group) AcceptingRequests() bool {
+	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return !s.GetStopping() })
 }
 
-// Nudge implements relay.Others.
-func (g *group) Nudge() { g.links.Nudge() }
+// Notify implements relay.Others.
+func (g *group) Notify() { g.links.SendStateNow() }
 
 // announceStop sends the peers a state which says that this gateway is stopping.
 func (g *group) announceStop() {
 	g.stopping.Store(true)
-	g.links.Nudge()
+	g.links.SendStateNow()
 }
 
 // tableSharing distributes a table between the gateways, so that only some of them read it
@@ -238,8 +239,8 @@
 	table string
 }
 
-// Reading implements follow.Sharing.
-func (s tableSharing) Reading() bool { return false }
+// IsPeerReading implements follow.Sharing.
+func (s tableSharing) IsPeerReading() bool { return false }
 
 // maxShareTime bounds the time that sending a page may occupy a VM's link. Callers' data
 // waits behind a page: 64 KB for 28 peers take 1.5 s of a link of 10 Mbit/s.
@@ -252,15 +253,15 @@
 // this VM's link, over which the page goes to every peer, or the link of any peer. A wide
 // link sends in an instant what a thin link receives in seconds. That exceeds the write
 // timeout of a frame, and the connection to that peer would be closed.
-func (g *group) exceedsLinks(page follow.Shared) bool {
+func (g *group) exceedsLinks(page follow.SharedPage) bool {
 	size := 0
 	for _, r := range page.Rows {
 		size += len(r.Value) + rowOverhead
 	}
-	if exceedsLink(size*g.links.Links(), g.linkMbps) {
+	if exceedsLink(size*g.links.LinkCount(), g.linkMbps) {
 		return true
 	}
-	return slices.ContainsFunc(g.links.Live(), func(s *peerv1.State) bool { return exceedsLink(size, s.GetLinkMbps()) })
+	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return exceedsLink(size, s.GetLinkMbps()) })
 }
 
 // exceedsLink reports whether sending size bytes over a link of mbps Mbit/s takes longer
@@ -271,7 +272,7 @@
 
 // Share implements follow.Sharing. If a page is too long for a link, only its revision is
 // sent; the peers notice the gap and get the rows by other means.
-func (s tableSharing) Share(p follow.Shared) {
+func (s tableSharing) Share(p follow.SharedPage) {
 	s.role.announceRole()
 	page := &peerv1.Page{
 		Table: s.table, Since: p.Since.Wire(), Revision: p.Revision.Wire(),
@@ -282,5 +283,5 @@
 		p.Rows = nil
 	}
 	page.Rows = rowMessages(p.Rows)
-	s.links.Spread(page)
+	s.links.BroadcastPage(page)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -78,41 +78,41 @@
 	}
 }
 
-var _ relay.Suspects = (*sharedQuarantine)(nil)
+var _ relay.Quarantine = (*sharedQuarantine)(nil)
 
-// Any implements relay.Suspects.
-func (s *sharedQuarantine) Any() bool { return s.hasRecords.Load() }
+// HasRecords implements relay.Suspects.
+func (s *sharedQuarantine) HasRecords() bool { return s.hasRecords.Load() }
 
-// Held implements relay.Suspects.
-func (s *sharedQuarantine) Held(id quarantine.ID) (time.Duration, bool) {
+// Quarantined implements relay.Suspects.
+func (s *sharedQuarantine) Quarantined(id quarantine.ID) (time.Duration, bool) {
 	now, known := s.group.role.storeTime()
 	if !known {
 		return 0, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Held(id, now)
+	return s.tracker.Quarantined(id, now)
 }
 
-// Due implements relay.Suspects.
-func (s *sharedQuarantine) Due(id quarantine.ID) bool {
+// TrialDue implements relay.Suspects.
+func (s *sharedQuarantine) TrialDue(id quarantine.ID) bool {
 	now, known := s.group.role.storeTime()
 	if !known {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Due(id, now)
+	return s.tracker.TrialDue(id, now)
 }
 
-// Try implements relay.Suspects.
-func (s *sharedQuarantine) Try(id quarantine.ID) (tried bool) {
+// StartTrial implements relay.Suspects.
+func (s *sharedQuarantine) StartTrial(id quarantine.ID) (tried bool) {
 	now, known := s.group.role.storeTime()
 	if !known {
 		return false
 	}
-	s.update("tried", 0, func(b *quarantine.Tracker) (c quarantine.Change) {
-		c, tried = b.Try(id, now)
+	s.update("tried", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
+		c, tried = b.StartTrial(id, now)
 		return c
 	})
 	if tried {
@@ -125,24 +125,24 @@
 func (s *sharedQuarantine) countQuarantined() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Holds()
+	return s.tracker.QuarantinedCount()
 }
 
-// Near implements relay.Suspects.
-func (s *sharedQuarantine) Near(id quarantine.ID) bool {
+// NearThreshold implements relay.Suspects.
+func (s *sharedQuarantine) NearThreshold(id quarantine.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Near(id)
+	return s.tracker.NearThreshold(id)
 }
 
-// Ended implements relay.Suspects.
-func (s *sharedQuarantine) Ended(server backends.Server, ran []quarantine.ID) {
+// Crashed implements relay.Suspects.
+func (s *sharedQuarantine) Crashed(server backends.Server, ran []quarantine.ID) {
 	now, known := s.group.role.storeTime()
 	if !known {
 		s.log.WithField("server", server.ID).Warn("crash of a server is not recorded, because the store's clock is not known yet")
 		return
 	}
-	s.update("seen here", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Ended(incarnationHash(server), now, ran) })
+	s.update("seen here", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(incarnationHash(server), now, ran) })
 }
 
 // incarnationHash identifies an incarnation of a server. It is the same at all gateways.
@@ -157,7 +157,7 @@
 // an operator has released it.
 func (s *sharedQuarantine) clearRequest(id quarantine.ID, reason string) {
 	if now, known := s.group.role.storeTime(); known {
-		s.update(reason, 0, func(b *quarantine.Tracker) quarantine.Change { return b.Absolve(id, now) })
+		s.update(reason, 0, func(b *quarantine.Tracker) quarantine.Update { return b.Clear(id, now) })
 	}
 }
 
@@ -167,43 +167,43 @@
 	for _, p := range suspects {
 		records = append(records, recordFromMessage(p))
 	}
-	s.update("told by "+peer, s.saveDelay(), func(b *quarantine.Tracker) quarantine.Change { return b.Merge(records) })
+	s.update("told by "+peer, s.saveDelay(), func(b *quarantine.Tracker) quarantine.Update { return b.Merge(records) })
 }
 
 // saveDelay returns a random delay before writing a row that other gateways may write as
 // well.
 func (s *sharedQuarantine) saveDelay() time.Duration {
-	return minSaveDelay + time.Duration(rand.Float64()*float64(s.group.Known())*float64(saveDelayPerGateway))
+	return minSaveDelay + time.Duration(rand.Float64()*float64(s.group.Count())*float64(saveDelayPerGateway))
 }
 
 // update changes the tracker, sends new records to the peers, notifies the relay of newly
 // quarantined requests, and schedules the writes to the store after delay. The reason is
 // logged.
-func (s *sharedQuarantine) update(reason string, delay time.Duration, change func(*quarantine.Tracker) quarantine.Change) {
+func (s *sharedQuarantine) update(reason string, delay time.Duration, change func(*quarantine.Tracker) quarantine.Update) {
 	s.mu.Lock()
 	c := change(s.tracker)
 	s.hasRecords.Store(s.tracker.Len() > 0)
-	for _, id := range slices.Concat(c.Held, c.Freed) {
+	for _, id := range slices.Concat(c.Quarantined, c.Released) {
 		s.scheduleSave(id, delay)
 	}
-	for _, r := range c.News {
+	for _, r := range c.Changed {
 		if len(r.Trials) > 0 {
 			s.scheduleSave(r.ID, delay)
 		}
 	}
-	quarantined := make([]quarantine.Record, 0, len(c.Held))
-	for _, id := range c.Held {
+	quarantined := make([]quarantine.Record, 0, len(c.Quarantined))
+	for _, id := range c.Quarantined {
 		quarantined = append(quarantined, s.tracker.Record(id))
 	}
 	s.mu.Unlock()
-	s.send(c.News)
+	s.send(c.Changed)
 	for _, r := range quarantined {
 		s.log.WithFields(logrus.Fields{"content": r.String(), "team": r.Team, "why": reason, "ends": describeCrashes(r)}).Warn("request is quarantined: servers crash under it")
 		if notify := s.onQuarantined.Load(); notify != nil {
 			(*notify)(r.ID)
 		}
 	}
-	for _, id := range c.Freed {
+	for _, id := range c.Released {
 		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team, "why": reason}).Warn("request is no longer quarantined")
 	}
 }
@@ -230,7 +230,7 @@
 		out.Suspects = append(out.Suspects, recordMessage(r))
 	}
 	if len(out.Suspects) > 0 {
-		s.group.links.Tell(out)
+		s.group.links.BroadcastSuspects(out)
 	}
 }
 
@@ -306,9 +306,9 @@
 	if !known {
 		return
 	}
-	s.update("expired", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Expire(now) })
+	s.update("expired", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Expire(now) })
 	for _, row := range s.expiredRows(now) {
-		if rand.IntN(max(1, s.group.Known())) > 0 {
+		if rand.IntN(max(1, s.group.Count())) > 0 {
 			continue
 		}
 		if err := s.group.store.Remove(ctx, membersTable, recordRowKey(row.record.ID), row.revision); err != nil {
@@ -329,7 +329,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range q.tracker.List(1) {
-		if left, held := q.tracker.Held(r.ID, now); held {
+		if left, held := q.tracker.Quarantined(r.ID, now); held {
 			out = append(out, admin.Held{Content: r.String(), Team: r.Team, Ends: describeCrashes(r), LeftSeconds: int(left.Seconds())})
 		}
 	}
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -22,8 +22,8 @@
 	s.server(fleet.ModelService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0))
-	a.group.Queued(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, First: 3})
-	b.group.Queued(fleet.ModelService, flow.Contender{Waiting: 1, Rank: 1, First: 1})
+	a.group.ReportQueue(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, WaitingAtRank: 3})
+	b.group.ReportQueue(fleet.ModelService, flow.Contender{Waiting: 1, Rank: 1, WaitingAtRank: 1})
 	sees := func(n *node, other string) func() bool {
 		return func() bool {
 			list := n.group.contenders(fleet.ModelService)
@@ -39,12 +39,12 @@
 	}, "the same period at both")
 	for i := range 500 {
 		server := fmt.Sprint("engine-", i)
-		require.NotEqual(t, turnA.Mine(server), turnB.Mine(server))
+		require.NotEqual(t, turnA.IsOwnTurn(server), turnB.IsOwnTurn(server))
 	}
-	require.Equal(t, 3, b.group.Turns(fleet.ModelService, 2).Yield)
+	require.Equal(t, 3, b.group.Turns(fleet.ModelService, 2).Reserved)
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0), "what is more urgent needs no turn")
-	a.group.Queued(fleet.ModelService, flow.Contender{})
-	b.group.Queued(fleet.ModelService, flow.Contender{})
+	a.group.ReportQueue(fleet.ModelService, flow.Contender{})
+	b.group.ReportQueue(fleet.ModelService, flow.Contender{})
 	a.eventually(func() bool { return a.group.Turns(fleet.ModelService, 1) == nil }, "nobody waits")
 }
 
@@ -54,7 +54,7 @@
 	s := newSystem(t)
 	s.server(fleet.ModelService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
-	a.group.Used(fleet.ModelService, []flow.Usage{{Team: "large", Amount: 5000}})
+	a.group.ReportUsage(fleet.ModelService, []flow.Usage{{Team: "large", Amount: 5000}})
 	b.eventually(func() bool {
 		told := b.group.Usage(fleet.ModelService)
 		return len(told) == 1 && told[0].Team == "large" && told[0].Amount > 4000
@@ -73,7 +73,9 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.Live()) == 2 && n.registry.Ready(fleet.DeskService) == 2 }, "linked")
+		n.eventually(func() bool {
+			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.DeskService) == 2
+		}, "linked")
 	}
 	bad := nodes[0].registry.Acquire(backends.Query{Service: fleet.DeskService}, clock.SinceBoot()).Server.ID
 	third := nodes[2]
@@ -84,7 +86,7 @@
 		time.Sleep(20 * time.Millisecond)
 		for draw := range uint64(20) {
 			l := third.registry.Acquire(backends.Query{Service: fleet.DeskService, Draw: draw}, clock.SinceBoot())
-			l.Done(backends.Unjudged, clock.SinceBoot())
+			l.Release(backends.ResultInconclusive, clock.SinceBoot())
 			if l.Server.ID == bad {
 				return false
 			}
@@ -95,9 +97,9 @@
 
 // lose has the gateway lose a request at a server.
 func (n *node) lose(server string) {
-	l := n.registry.Rejoin(backends.Server{ID: server}, 0)
-	l.Done(backends.Lost, clock.SinceBoot())
-	n.group.Nudge()
+	l := n.registry.ReserveAt(backends.Server{ID: server}, 0)
+	l.Release(backends.ResultLost, clock.SinceBoot())
+	n.group.Notify()
 }
 
 // Guards against every gateway meeting an ended server by requests of its own: the first one
@@ -108,9 +110,11 @@
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.Live()) == 2 && n.registry.Ready(fleet.DeskService) == 2 }, "linked")
+		n.eventually(func() bool {
+			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.DeskService) == 2
+		}, "linked")
 	}
-	told := func(n *node) bool { return n.registry.KnowsEnded(ended.ID, clock.SinceBoot()) }
+	told := func(n *node) bool { return n.registry.IsDown(ended.ID, clock.SinceBoot()) }
 	ended.Kill()
 	nodes[0].eventually(func() bool {
 		require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.SafePath)).status)
@@ -130,17 +134,19 @@
 	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
 	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.Live()) == 2 && n.registry.Ready(fleet.ModelService) == 1 }, "linked")
+		n.eventually(func() bool {
+			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.ModelService) == 1
+		}, "linked")
 	}
 	c := nodes[0].dial()
 	c.send(generation(fleet.PlanPath))
 	nodes[0].eventually(func() bool { return engine.Running() == 1 }, "running")
 	s.fleet.Store.SetFault(fleet.Busy)
-	nodes[0].eventually(nodes[0].directory.Away, "the store is away")
+	nodes[0].eventually(nodes[0].directory.IsUnavailable, "the store is away")
 	left := time.Now()
 	engine.Drain(true)
 	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.Ready(fleet.ModelService) == 0 }, "told")
+		n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 0 }, "told")
 	}
 	require.Less(t, time.Since(left), time.Second)
 }
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -63,12 +63,12 @@
 
 // shouldRead decides whether a follower reads the store; see readers.Role.Reads.
 func (r *readerRole) shouldRead(now time.Duration, reached bool) bool {
-	inputs := readers.Look{Now: now, Reached: reached, Crowd: r.group.contendingGateways(), Draw: rand.Float64()}
+	inputs := readers.Inputs{Now: now, StoreReached: reached, ProcessCount: r.group.contendingGateways(), Random: rand.Float64()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.role.Reading()
-	reads := r.role.Reads(inputs)
-	r.logRoleChange(before, reads, inputs.Crowd)
+	before := r.role.IsReading()
+	reads := r.role.ShouldRead(inputs)
+	r.logRoleChange(before, reads, inputs.ProcessCount)
 	return reads
 }
 
@@ -79,18 +79,18 @@
 	if without > 0 && without < joinTimeout && !r.joined.Load() {
 		return false
 	}
-	inputs := readers.Look{Now: now, Reached: true, Crowd: r.group.contendingGateways(), Draw: rand.Float64()}
+	inputs := readers.Inputs{Now: now, StoreReached: true, ProcessCount: r.group.contendingGateways(), Random: rand.Float64()}
 	switch {
 	case without > 0 && r.isInitialReader.Load():
-		inputs.Crowd = 1
+		inputs.ProcessCount = 1
 	case without > 0:
-		inputs.Crowd = float64(r.group.links.Known()) * max(0, 1-without.Seconds()/startDeferral.Seconds())
+		inputs.ProcessCount = float64(r.group.links.KnownCount()) * max(0, 1-without.Seconds()/startDeferral.Seconds())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.role.Reading()
-	reads := r.role.Turn(inputs)
-	r.logRoleChange(before, reads, inputs.Crowd)
+	before := r.role.IsReading()
+	reads := r.role.MayTryStore(inputs)
+	r.logRoleChange(before, reads, inputs.ProcessCount)
 	return reads
 }
 
@@ -102,7 +102,7 @@
 	for _, m := range all {
 		list = append(list, readers.Reader{Name: m.Name, FailureDomain: m.FailureDomain, LinkMbps: m.LinkMbps})
 	}
-	isInitial := slices.ContainsFunc(readers.First(list, initialReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
+	isInitial := slices.ContainsFunc(readers.InitialReaders(list, initialReaders), func(f readers.Reader) bool { return f.Name == r.group.self.Name })
 	r.isInitialReader.Store(isInitial)
 }
 
@@ -120,11 +120,11 @@
 // of them try to read the store every 50 ms.
 func (r *readerRole) announceRole() {
 	now, known := r.storeTime()
-	if !known || now-r.group.storeAnsweredAt() >= readers.Lapse {
+	if !known || now-r.group.storeAnsweredAt() >= readers.AnswerTimeout {
 		return
 	}
 	r.mu.Lock()
-	reading := r.role.Reading()
+	reading := r.role.IsReading()
 	r.mu.Unlock()
 	if reading && r.roleAnnounced.CompareAndSwap(false, true) {
 		r.sendReaderList()
@@ -134,7 +134,7 @@
 // sendReaderList sends the list of readers to the peers at once.
 func (r *readerRole) sendReaderList() {
 	r.listPending.Store(true)
-	r.group.links.Nudge()
+	r.group.links.SendStateNow()
 }
 
 // readerMessages returns the list of readers for a state, or nil for a state without the
@@ -151,7 +151,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.role.Readers(now, answered) {
-		out = append(out, &peerv1.Reader{Name: o.Name, FailureDomain: o.FailureDomain, LinkMbps: o.LinkMbps, AnsweredMs: o.Answered.Milliseconds()})
+		out = append(out, &peerv1.Reader{Name: o.Name, FailureDomain: o.FailureDomain, LinkMbps: o.LinkMbps, AnsweredMs: o.AnsweredAt.Milliseconds()})
 	}
 	return out
 }
@@ -166,12 +166,12 @@
 	for _, o := range received {
 		list = append(list, readers.Reader{
 			Name: o.GetName(), FailureDomain: o.GetFailureDomain(), LinkMbps: o.GetLinkMbps(),
-			Answered: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
+			AnsweredAt: time.Duration(o.GetAnsweredMs()) * time.Millisecond,
 		})
 	}
 	r.mu.Lock()
 	before := len(r.role.Readers(now, 0))
-	r.role.Hear(list, now)
+	r.role.AddReports(list, now)
 	after := len(r.role.Readers(now, 0))
 	r.mu.Unlock()
 	if after > before {
@@ -185,7 +185,7 @@
 func (g *group) storeAnsweredAt() time.Duration {
 	at := time.Duration(-1)
 	for _, table := range []string{operator.Table, directory.Table} {
-		if a := g.followers[table].Answered(); at < 0 || a < at {
+		if a := g.followers[table].LastAnswer(); at < 0 || a < at {
 			at = a
 		}
 	}
@@ -196,11 +196,11 @@
 // may call the store at the same time. It is the number of known gateways, scaled by the
 // fraction of its links on which this gateway receives states.
 func (g *group) contendingGateways() float64 {
-	peersKnown := g.links.Known() - 1
+	peersKnown := g.links.KnownCount() - 1
 	if peersKnown == 0 {
 		return 1
 	}
-	live := float64(len(g.links.Live())) / float64(min(peersKnown, g.links.MostLinks))
+	live := float64(len(g.links.LiveStates())) / float64(min(peersKnown, g.links.MaxLinks))
 	return 1 + min(1, live)*float64(peersKnown)
 }
 
@@ -212,11 +212,13 @@
 	}
 }
 
-// Reads implements follow.Sharing.
-func (s tableSharing) Reads(reached bool) bool { return s.role.shouldRead(s.storeTime(), reached) }
+// IsReader implements follow.Sharing.
+func (s tableSharing) IsReader(reached bool) bool { return s.role.shouldRead(s.storeTime(), reached) }
 
-// Turn implements follow.Sharing.
-func (s tableSharing) Turn(without time.Duration) bool { return s.role.mayRead(s.storeTime(), without) }
+// MayCallStore implements follow.Sharing.
+func (s tableSharing) MayCallStore(without time.Duration) bool {
+	return s.role.mayRead(s.storeTime(), without)
+}
 
 // storeTime returns the store's clock, or this VM's steady clock while the store's is not
 // known: such a gateway has received nothing about readers that the time would be compared
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -110,7 +110,7 @@
 	}
 	maps.Copy(s.rows, known)
 	s.mu.Unlock()
-	s.update("row of the store", s.saveDelay(), func(b *quarantine.Tracker) quarantine.Change { return b.Merge(records) })
+	s.update("row of the store", s.saveDelay(), func(b *quarantine.Tracker) quarantine.Update { return b.Merge(records) })
 	if whole {
 		s.scheduleMissingRows()
 	}
@@ -155,9 +155,9 @@
 	row, exists := s.rows[id]
 	r := s.tracker.Record(id)
 	switch {
-	case !s.tracker.Convicts(r):
+	case !s.tracker.ReachesThreshold(r):
 		return exists && r.ClearedAt > row.record.ClearedAt
-	case !exists || !s.tracker.Convicts(row.record):
+	case !exists || !s.tracker.ReachesThreshold(row.record):
 		return true
 	}
 	return len(r.Trials) > 0 && (len(r.Trials) > len(row.record.Trials) || len(r.Crashes) > len(row.record.Crashes))
@@ -206,7 +206,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.scheduleSave(r.ID, joinBackoff.After(s.failedSaves, rand.Float64()))
+		s.scheduleSave(r.ID, joinBackoff.Delay(s.failedSaves, rand.Float64()))
 		s.failedSaves++
 		return err
 	}
--- a/internal/gateway/suspectrows_test.go
+++ b/internal/gateway/suspectrows_test.go
@@ -35,9 +35,9 @@
 // under it.
 func TestTrialsAreInTheStore(t *testing.T) {
 	s := quietGroup(memberRows(nil)).quarantine
-	x, y := quarantine.Of("team", "POST", "h", "/x", nil), quarantine.Of("team", "POST", "h", "/y", nil)
+	x, y := quarantine.NewID("team", "POST", "h", "/x", nil), quarantine.NewID("team", "POST", "h", "/y", nil)
 	end := func(server uint64, at time.Duration, ran ...quarantine.ID) {
-		s.update("test", 0, func(b *quarantine.Tracker) quarantine.Change { return b.Ended(server, at, ran) })
+		s.update("test", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(server, at, ran) })
 	}
 	for server := range uint64(3) {
 		end(server, time.Duration(1+server)*time.Second, x, y)
@@ -47,8 +47,8 @@
 	s.stored(t, y, 2)
 	require.Empty(t, s.dueNow(), "the store has them")
 	tried := false
-	s.update("test", 0, func(b *quarantine.Tracker) (c quarantine.Change) {
-		c, tried = b.Try(x, 10*time.Second)
+	s.update("test", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
+		c, tried = b.StartTrial(x, 10*time.Second)
 		return c
 	})
 	require.True(t, tried)
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -39,7 +39,7 @@
 func (t *changeEncoder) changesSince(f *follow.Follower, since revision.Revision) (*peerv1.Change, [][]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	page, ok := f.Since(since)
+	page, ok := f.ChangesSince(since)
 	if !ok {
 		return nil, nil, errTableUnknown
 	}
@@ -133,15 +133,15 @@
 // linked to may not send it their states yet.
 func (g *group) peersAhead(table string, isEmpty bool) (out []string) {
 	f := g.followers[table]
-	for _, s := range g.links.Live() {
+	for _, s := range g.links.LiveStates() {
 		for _, p := range s.GetPositions() {
-			if p.GetTable() == table && f.Lacks(positionFromMessage(p)) {
+			if p.GetTable() == table && f.IsBehind(positionFromMessage(p)) {
 				out = append(out, s.GetFrom().GetName())
 			}
 		}
 	}
 	if len(out) == 0 && isEmpty {
-		out = g.links.Linked()
+		out = g.links.LinkedPeers()
 	}
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out[:min(len(out), maxAskedPeers)]
@@ -169,7 +169,7 @@
 func (g *group) applyPositions(positions []*peerv1.Position) {
 	for _, p := range positions {
 		if f := g.followers[p.GetTable()]; f != nil {
-			f.Heard(positionFromMessage(p))
+			f.ReceivePosition(positionFromMessage(p))
 		}
 	}
 }
--- a/internal/gatewaymetrics/metrics.go
+++ b/internal/gatewaymetrics/metrics.go
@@ -129,17 +129,17 @@
 	r.countObjective(team, burn.FirstToken, d <= firstByteTarget)
 }
 
-// Ended implements relay.Observer.
-func (r *Recorder) Ended(service string) { r.crashes.WithLabelValues(service).Inc() }
+// ServerCrashed implements relay.Observer.
+func (r *Recorder) ServerCrashed(service string) { r.crashes.WithLabelValues(service).Inc() }
 
-// Pause implements relay.Observer.
-func (r *Recorder) Pause(team string, d time.Duration) {
+// EventPause implements relay.Observer.
+func (r *Recorder) EventPause(team string, d time.Duration) {
 	r.eventPause.Observe(d.Seconds())
 	r.countObjective(team, burn.StallTime, d <= stallThreshold)
 }
 
-// Attempt implements relay.Observer.
-func (r *Recorder) Attempt(service, result string) {
+// AttemptFailed implements relay.Observer.
+func (r *Recorder) AttemptFailed(service, result string) {
 	r.failedAttempts.WithLabelValues(service, result).Inc()
 }
 
@@ -167,8 +167,8 @@
 	r.peerBytes.WithLabelValues(cause).Add(float64(bytes))
 }
 
-// Moved implements relay.Observer.
-func (r *Recorder) Moved(result string) { r.migrations.WithLabelValues(result).Inc() }
+// Migrated implements relay.Observer.
+func (r *Recorder) Migrated(result string) { r.migrations.WithLabelValues(result).Inc() }
 
 func (r *Recorder) countObjective(team string, objective burn.Objective, good bool) {
 	r.mu.Lock()
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -27,7 +27,7 @@
 // reply is what came of an attempt.
 type reply struct {
 	*attempt
-	answer *Answer
+	answer *Response
 	err    error
 	at     time.Duration
 }
@@ -43,15 +43,15 @@
 
 // startAttempt counts an attempt that is about to be sent. Errors: *Refused.
 func (r *Relay) startAttempt(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*attempt, error) {
-	a.Look = func() error { return r.look(j, lease, a) }
-	if err := a.Look(); err != nil {
+	a.Recheck = func() error { return r.look(j, lease, a) }
+	if err := a.Recheck(); err != nil {
 		return nil, err
 	}
-	if a.From != nil && !r.Registry.TakeTurn(lease, r.Others.SharedClock(), r.Now()) {
-		return nil, &Refused{Why: RefusedBarred, Detail: "limit of " + lease.Server.ID}
+	if a.ResumeFrom != nil && !r.Registry.TryUseRate(lease, r.Peers.SharedClock(), r.Now()) {
+		return nil, &NotRunError{Reason: NotRunIneligible, Detail: "limit of " + lease.Server.ID}
 	}
 	a.Request, a.Server, a.Team = j.Request, lease.Server, j.team
-	a.Begun, a.Left = r.Now(), j.left()
+	a.SentAt, a.Timeout = r.Now(), j.left()
 	a.Priority = -1
 	if j.Generation != nil {
 		a.Priority = j.priority
@@ -68,14 +68,14 @@
 // look is the last look before a request goes to a server: what was known when it was chosen, or
 // when the copy was made that the run goes on from, may be so no more.
 func (r *Relay) look(j *job, lease *backends.Reservation, a *Attempt) error {
-	if r.Registry.Barred(lease.Server, j.regions) {
-		return &Refused{Why: RefusedBarred, Detail: lease.Server.FailureDomain}
+	if r.Registry.IsIneligible(lease.Server, j.regions) {
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.FailureDomain}
 	}
-	if _, leaving := r.Registry.State(lease.Server); leaving && a.From == nil {
-		return &Refused{Why: RefusedBarred, Detail: lease.Server.ID + " is leaving"}
+	if _, leaving := r.Registry.State(lease.Server); leaving && a.ResumeFrom == nil {
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " is leaving"}
 	}
-	if r.Registry.Rests(lease.Server, r.Now()) {
-		return &Refused{Why: RefusedBarred, Detail: lease.Server.ID + " rests"}
+	if r.Registry.IsBackingOff(lease.Server, r.Now()) {
+		return &NotRunError{Reason: NotRunIneligible, Detail: lease.Server.ID + " rests"}
 	}
 	return nil
 }
@@ -88,17 +88,17 @@
 }
 
 func isBarred(err error) bool {
-	var refused *Refused
-	return errors.As(err, &refused) && refused.Why == RefusedBarred
+	var refused *NotRunError
+	return errors.As(err, &refused) && refused.Reason == NotRunIneligible
 }
 
 // finishAttempt counts what came of an attempt.
 func (r *Relay) finishAttempt(j *job, p reply) (*offer, error) {
 	lease := p.lease
 	entry := j.log.WithFields(logrus.Fields{
-		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.Tokens,
-		"prompt": lease.Prompt, "of": lease.Of,
-		"waited_ms": (p.Begun - j.arrived).Milliseconds(), "answer_ms": (p.at - p.Begun).Milliseconds(),
+		"server": lease.Server.ID, "try": p.try, "running": lease.Running, "tokens": lease.ExpectedTokens,
+		"prompt": lease.PromptTokens, "of": lease.ServerCount,
+		"waited_ms": (p.SentAt - j.arrived).Milliseconds(), "answer_ms": (p.at - p.SentAt).Milliseconds(),
 	})
 	if p.err != nil {
 		p.cut()
@@ -111,9 +111,9 @@
 	}
 	j.ran++
 	j.answering.Store(true)
-	lease.Begun()
-	if p.From == nil {
-		r.prompted(lease.Prompt+j.prompt(), p.at-p.Begun)
+	lease.FinishPrompt()
+	if p.ResumeFrom == nil {
+		r.prompted(lease.PromptTokens+j.prompt(), p.at-p.SentAt)
 	}
 	entry.WithField("status", p.answer.Status).Info("sent")
 	return &offer{lease: lease, answer: p.answer, cut: p.cut}, nil
--- a/internal/relay/cover.go
+++ b/internal/relay/cover.go
@@ -35,17 +35,17 @@
 // 30 ms.
 func (r *Relay) cover(j *job, s backends.Server) *backends.Reservation {
 	e := j.engine
-	if e == nil || !e.Backups || j.Generation == nil || j.route.Resumable {
+	if e == nil || !e.SupportsStandby || j.Generation == nil || j.route.Resumable {
 		return nil
 	}
 	if time.Duration(j.events(0))*r.usualPause() < coverFrom || r.lane(j.service).crowdedSince(r.Now()-coverAfter) {
 		return nil
 	}
 	q := r.query(j)
-	q.Tokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
-	q.MostUsed, q.MostOfAll = coverRoom, coverOfAll
-	q.Copy, q.CopySpeed = true, e.CopySpeed()
-	q.Near, q.Within = s.FailureDomain, true
+	q.ExpectedTokens, q.Tried = j.memory(0), append([]string{s.ID}, j.tried...)
+	q.MaxMemoryUse, q.MaxServiceMemoryUse = coverRoom, coverOfAll
+	q.ForCopy, q.CopySpeed = true, e.CopySpeed()
+	q.PreferredDomain, q.SameDomainOnly = s.FailureDomain, true
 	return r.Registry.Acquire(q, r.Now())
 }
 
@@ -53,18 +53,18 @@
 func (r *Relay) sendCovered(ctx context.Context, j *job, lease *backends.Reservation, a *Attempt) (*offer, error) {
 	cover := r.cover(j, lease.Server)
 	if cover != nil {
-		a.Backup = cover.Server.Address
+		a.StandbyAddress = cover.Server.Address
 	}
 	o, err := r.send(ctx, j, lease, a)
 	if err != nil {
 		if cover != nil {
-			cover.Done(backends.Unjudged, r.Now())
+			cover.Release(backends.ResultInconclusive, r.Now())
 		}
 		return nil, err
 	}
 	if cover != nil {
 		// The prompt's memory is on its way by the time that the answer begins.
-		cover.Copied()
+		cover.FinishCopy()
 		o.cover = cover
 	}
 	return o, nil
@@ -77,13 +77,13 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.cover = &copied{Copy: Copy{Source: o.cover.Server.Address, Handle: u.job.ID}, lease: o.cover}
+	u.cover = &copied{KVCopy: KVCopy{Source: o.cover.Server.Address, Handle: u.job.ID}, lease: o.cover}
 }
 
 // uncover gives the room of the standing copy back.
 func (o *offer) uncover(now time.Duration) {
 	if o.cover != nil {
-		o.cover.Done(backends.Unjudged, now)
+		o.cover.Release(backends.ResultInconclusive, now)
 		o.cover = nil
 	}
 }
@@ -91,9 +91,9 @@
 // missed is what an attempt to go on from a copy says of its server. A refusal says
 // that the server has no such copy, as where it had no room for one; that is no failure.
 func missed(err error) backends.Result {
-	var refused *Refused
+	var refused *NotRunError
 	if errors.As(err, &refused) {
-		return backends.Unjudged
+		return backends.ResultInconclusive
 	}
-	return backends.Failed
+	return backends.ResultFailed
 }
--- a/internal/relay/crash_play_test.go
+++ b/internal/relay/crash_play_test.go
@@ -43,11 +43,11 @@
 func (p *crashPlay) told(i int) {
 	time.Sleep(playTold)
 	w := p.worlds[i]
-	loads, losses := w.registry.Loads(), w.registry.Losses(w.now())
+	loads, losses := w.registry.Loads(), w.registry.Statuses(w.now())
 	for k, o := range p.worlds {
 		if k != i {
-			o.registry.SetRemote(fmt.Sprint("vm-", i), loads)
-			o.registry.SetLosses(fmt.Sprint("vm-", i), losses, o.now())
+			o.registry.SetRemoteLoads(fmt.Sprint("vm-", i), loads)
+			o.registry.SetRemoteStatuses(fmt.Sprint("vm-", i), losses, o.now())
 		}
 	}
 }
@@ -58,15 +58,15 @@
 	told func()
 }
 
-func (n *nudger) Nudge() { go n.told() }
+func (n *nudger) Notify() { go n.told() }
 
 func newCrashPlay(t *testing.T) *crashPlay {
 	p := &crashPlay{t: t, ended: make(map[string]bool), refusedAt: make(map[int]int)}
 	for i := range playGateways {
 		w := newWorld(t, Config{RetryRatio: 0.2, RetryExtra: 86})
 		w.others.known = playGateways
-		w.relay.Others = &nudger{w.others, func() { p.told(i) }}
-		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) { return p.send(ctx, i, a) }
+		w.relay.Peers = &nudger{w.others, func() { p.told(i) }}
+		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) { return p.send(ctx, i, a) }
 		for k := range playEngines {
 			s := w.entry(fmt.Sprint("e-", k), modelService)
 			s.Slots, s.FailureDomain = 24, fmt.Sprint("zone-", k%4)
@@ -77,7 +77,7 @@
 	return p
 }
 
-func (p *crashPlay) send(ctx context.Context, i int, a *Attempt) (*Answer, error) {
+func (p *crashPlay) send(ctx context.Context, i int, a *Attempt) (*Response, error) {
 	p.mu.Lock()
 	ended := p.ended[a.Server.ID]
 	if ended {
@@ -86,7 +86,7 @@
 	}
 	p.mu.Unlock()
 	if ended {
-		return nil, &Refused{Why: RefusedEnded, Detail: "connection refused"}
+		return nil, &NotRunError{Reason: NotRunDown, Detail: "connection refused"}
 	}
 	select {
 	case <-time.After(playReadTime):
--- a/internal/relay/ended_test.go
+++ b/internal/relay/ended_test.go
@@ -32,7 +32,7 @@
 // what happens to is up to the test.
 func (w *world) breaking(happens func()) {
 	body := newSource()
-	w.up.send = func(context.Context, *Attempt) (*Answer, error) { return body.answer(), nil }
+	w.up.send = func(context.Context, *Attempt) (*Response, error) { return body.answer(), nil }
 	go func() {
 		body.write(events(1, 3))
 		happens()
@@ -89,7 +89,7 @@
 		w.server("e1", modelService)
 		for _, ends := range []bool{false, true} {
 			body := newSource()
-			w.up.send = func(context.Context, *Attempt) (*Answer, error) { return body.answer(), nil }
+			w.up.send = func(context.Context, *Attempt) (*Response, error) { return body.answer(), nil }
 			go func() {
 				body.write(event(1))
 				if ends {
@@ -121,7 +121,7 @@
 
 // noMove refuses every copy.
 func noMove(context.Context, backends.Server, string, string, bool) (string, error) {
-	return "", ErrNoRoom
+	return "", ErrNoCapacity
 }
 
 // ledger is what is known of suspects by one process alone. It implements Suspects.
@@ -133,58 +133,58 @@
 	looked int
 }
 
-func (l *ledger) Any() bool {
+func (l *ledger) HasRecords() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.book.Len() > 0
 }
 
-func (l *ledger) Held(id quarantine.ID) (time.Duration, bool) {
+func (l *ledger) Quarantined(id quarantine.ID) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.looked++
-	return l.book.Held(id, l.now())
+	return l.book.Quarantined(id, l.now())
 }
 
-func (l *ledger) Due(id quarantine.ID) bool {
+func (l *ledger) TrialDue(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.Due(id, l.now())
+	return l.book.TrialDue(id, l.now())
 }
 
-func (l *ledger) Try(id quarantine.ID) bool {
+func (l *ledger) StartTrial(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, tried := l.book.Try(id, l.now())
+	_, tried := l.book.StartTrial(id, l.now())
 	return tried
 }
 
-func (l *ledger) Near(id quarantine.ID) bool {
+func (l *ledger) NearThreshold(id quarantine.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.Near(id)
+	return l.book.NearThreshold(id)
 }
 
-func (l *ledger) Ended(s backends.Server, ran []quarantine.ID) {
+func (l *ledger) Crashed(s backends.Server, ran []quarantine.ID) {
 	l.mu.Lock()
-	c := l.book.Ended(cells.Hash(s.ID), l.now(), ran)
+	c := l.book.Crashed(cells.Hash(s.ID), l.now(), ran)
 	l.mu.Unlock()
-	for _, id := range c.Held {
-		l.relay.Quarantined(id)
+	for _, id := range c.Quarantined {
+		l.relay.CancelQuarantined(id)
 	}
 }
 
 func (l *ledger) Answered(id quarantine.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.Absolve(id, l.now())
+	l.book.Clear(id, l.now())
 }
 
 // known counts the ends that are held against a request.
 func (l *ledger) known(r *Request) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	id := quarantine.Of("team-1", r.Method, r.Host, r.Target, r.Body)
+	id := quarantine.NewID("team-1", r.Method, r.Host, r.Target, r.Body)
 	n := 0
 	for slices.ContainsFunc(l.book.List(n+1), func(known quarantine.Record) bool { return known.ID == id }) {
 		n++
@@ -195,16 +195,16 @@
 // suspicious has a world remember suspects.
 func (w *world) suspicious() *ledger {
 	l := &ledger{now: w.now, relay: w.relay, book: quarantine.NewTracker(quarantine.Default())}
-	w.relay.Suspects = l
+	w.relay.Quarantine = l
 	return l
 }
 
 // harmful has each server end under requests of a path, 50 ms after the first event; all
 // others are answered.
 func (w *world) harmful(path string) {
-	w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
-		if w.up.Gone(ctx, a.Server) {
-			return nil, &Refused{Why: RefusedUnreachable}
+	w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
+		if w.up.IsDown(ctx, a.Server) {
+			return nil, &NotRunError{Reason: NotRunUnreachable}
 		}
 		body := newSource()
 		go func() {
@@ -260,7 +260,7 @@
 		c := w.serve(request("/plan/a"))
 		require.NotNil(t, c.refusal)
 		require.Equal(t, ReasonHarmful, c.refusal.Reason)
-		require.False(t, c.refusal.Run)
+		require.False(t, c.refusal.MayHaveRun)
 		require.Greater(t, c.refusal.RetryAfter, quarantine.Default().Term-10*time.Second)
 		require.Zero(t, time.Since(begun))
 		require.Len(t, w.up.servers(), sent)
@@ -277,9 +277,9 @@
 		l := w.suspicious()
 		w.harmful("/plan/harmful")
 		r := request("/plan/a")
-		popular := quarantine.Of("team-1", r.Method, r.Host, r.Target, nil)
+		popular := quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)
 		for _, id := range []string{"x1", "x2", "x3"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{popular, quarantine.Of("team-1", r.Method, r.Host, "/plan/harmful", nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{popular, quarantine.NewID("team-1", r.Method, r.Host, "/plan/harmful", nil)})
 		}
 		time.Sleep(quarantine.Default().TrialAfter)
 		c := w.serve(request("/plan/a"))
@@ -294,7 +294,7 @@
 			c = w.serve(request("/plan/a"))
 		}
 		c.whole(t, events(1, 2))
-		require.Equal(t, 1, l.book.Holds(), "the harmful one")
+		require.Equal(t, 1, l.book.QuarantinedCount(), "the harmful one")
 	})
 }
 
@@ -307,7 +307,7 @@
 		l := w.suspicious()
 		w.server("e1", modelService)
 		reads, answers := make(chan struct{}), newSource()
-		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 			if a.Request.ID == "reads" {
 				close(reads)
 				<-ctx.Done()
@@ -325,12 +325,12 @@
 		answers.write(event(1))
 		begun := time.Now()
 		for _, id := range []string{"x1", "x2", "x3"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.Of("team-1", first.Method, first.Host, first.Target, nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", first.Method, first.Host, first.Target, nil)})
 		}
 		synctest.Wait()
 		require.NotNil(t, got[0])
 		require.Equal(t, ReasonHarmful, got[0].refusal.Reason)
-		require.True(t, got[0].refusal.Run, "the server had it")
+		require.True(t, got[0].refusal.MayHaveRun, "the server had it")
 		require.Zero(t, time.Since(begun))
 		answers.write(event(2))
 		answers.w.Close()
@@ -351,10 +351,10 @@
 		w.harmful("/plan/a")
 		r := request("/plan/a")
 		for _, id := range []string{"x1", "x2"} {
-			l.Ended(w.entry(id, modelService), []quarantine.ID{quarantine.Of("team-1", r.Method, r.Host, r.Target, nil)})
+			l.Crashed(w.entry(id, modelService), []quarantine.ID{quarantine.NewID("team-1", r.Method, r.Host, r.Target, nil)})
 		}
 		c := w.serve(r)
-		require.NotEmpty(t, w.up.sent[0].Backup, "there is a copy")
+		require.NotEmpty(t, w.up.sent[0].StandbyAddress, "there is a copy")
 		require.True(t, c.aborted)
 		require.Len(t, w.up.servers(), 1)
 		time.Sleep(2 * lateLook)
@@ -369,10 +369,10 @@
 		l := w.suspicious()
 		w.server("e1", modelService)
 		w.server("e2", modelService)
-		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 			body := newSource()
 			go func() {
-				if a.After != "" {
+				if a.LastEventID != "" {
 					// The end of the first server is known by then.
 					time.Sleep(2 * endLook)
 					body.write(event(2))
@@ -389,7 +389,7 @@
 		w.serve(r).whole(t, events(1, 2))
 		time.Sleep(2 * lateLook)
 		require.Equal(t, 1, l.known(r))
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			body := newSource()
 			go func() {
 				body.write(events(1, 2))
@@ -408,7 +408,7 @@
 		w := newWorld(t, Config{})
 		l := w.suspicious()
 		w.server("d1", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/safe/a")).whole(t, "ok")
 		require.Zero(t, l.looked)
 	})
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -70,7 +70,7 @@
 func (l *lane) enter(w *flow.Waiter, now time.Duration) (wake chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.queue.Refuse(w, now) {
+	if l.queue.ShouldReject(w, now) {
 		return nil
 	}
 	wake = make(chan struct{}, 1)
@@ -83,7 +83,7 @@
 func (l *lane) refuses(w *flow.Waiter, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.queue.Refuse(w, now)
+	return l.queue.ShouldReject(w, now)
 }
 
 // leave takes a request out and wakes the next.
@@ -129,8 +129,8 @@
 	defer l.mu.Unlock()
 	l.unplaced += change
 	l.crowded = r.Now()
-	rank, first := l.queue.First(r.Now())
-	r.Others.Queued(service, flow.Contender{Waiting: l.unplaced, Rank: rank, First: first})
+	rank, first := l.queue.HeadRank(r.Now())
+	r.Peers.ReportQueue(service, flow.Contender{Waiting: l.unplaced, Rank: rank, WaitingAtRank: first})
 }
 
 // toldTeams is how many teams' usage is told to others. The surges that matter are of
@@ -147,12 +147,12 @@
 	l.shares.Charge(j.team, amount, now)
 	top := l.shares.Top(toldTeams, now)
 	l.mu.Unlock()
-	r.Others.Used(j.service, top)
+	r.Peers.ReportUsage(j.service, top)
 }
 
 // level is how far a request's team is above an equal share.
 func (r *Relay) level(j *job, l *lane) int {
-	elsewhere := r.Others.Usage(j.service)
+	elsewhere := r.Peers.Usage(j.service)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shares.Level(j.team, elsewhere, r.Now())
@@ -163,12 +163,12 @@
 	read := r.readTime(j)
 	run := read + time.Duration(longer*float64(j.events(0))*float64(r.usualPause()))
 	lastBy := j.arrived + j.left() - run
-	if s := j.route.Silence; s > 0 {
+	if s := j.route.EventTimeout; s > 0 {
 		lastBy = min(lastBy, j.arrived+time.Duration(silenceShare*float64(s))-read)
 	}
 	return &flow.Waiter{
 		Priority: j.priority, Level: r.level(j, l), PromptTokens: j.prompt(), Arrived: j.arrived,
-		OnTimeDeadline:   j.arrived + j.route.Target - read,
+		OnTimeDeadline:   j.arrived + j.route.TargetLatency - read,
 		DispatchDeadline: max(lastBy, j.arrived+j.patience()),
 	}
 }
@@ -209,7 +209,7 @@
 		if refusal := r.cordoned(j); refusal != nil {
 			return nil, refusal
 		}
-		if ready, _ := r.Registry.Standing(j.service, j.regions); ready == 0 && r.Now()-j.arrived > j.patience() {
+		if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 && r.Now()-j.arrived > j.patience() {
 			return nil, r.refuse(j, ReasonNoServer)
 		}
 		if l.refuses(w, r.Now()) {
@@ -227,10 +227,10 @@
 // resting refuses a request whose engines all rest for longer than it can wait, nil otherwise.
 func (r *Relay) resting(j *job, w *flow.Waiter) *Refusal {
 	p := r.paceOf(j)
-	if !p.Later() || p.Bounded || r.Now()+p.Rest <= w.DispatchDeadline {
+	if !p.MustWait() || p.HasRateLimited || r.Now()+p.BackoffWait <= w.DispatchDeadline {
 		return nil
 	}
-	return r.refuseInLine(j, p, p.Rest)
+	return r.refuseInLine(j, p, p.BackoffWait)
 }
 
 // spillAfter is how long a request waits for an engine of its own gateway's cell before it
@@ -249,7 +249,7 @@
 		return nil
 	}
 	r.charge(j, l)
-	r.Others.Nudge()
+	r.Peers.Notify()
 	return lease
 }
 
@@ -257,16 +257,16 @@
 func (r *Relay) engineQuery(j *job, rank int) backends.Query {
 	speed := r.readSpeed()
 	q := r.query(j)
-	q.Tokens, q.Prompt, q.PromptSpeed = j.memory(0), j.prompt(), speed
-	q.MostUsed, q.MostPrompt = mostUsed, int(speed*promptWait.Seconds())
-	q.Turns = r.Others.Turns(j.service, rank)
+	q.ExpectedTokens, q.PromptTokens, q.PromptSpeed = j.memory(0), j.prompt(), speed
+	q.MaxMemoryUse, q.MaxPromptPending = mostUsed, int(speed*promptWait.Seconds())
+	q.Turns = r.Peers.Turns(j.service, rank)
 	return q
 }
 
 // crowded refuses a request for too much load.
 func (r *Relay) crowded(j *job) *Refusal {
 	f := r.refuse(j, ReasonNoRoom)
-	if !f.Run {
+	if !f.MayHaveRun {
 		part := returnSoonest + (returnLatest-returnSoonest)*rand.Float64()
 		f.RetryAfter = max(f.RetryAfter, time.Duration(part*float64(j.left())/callersWait))
 	}
--- a/internal/relay/lane_test.go
+++ b/internal/relay/lane_test.go
@@ -21,7 +21,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		const speed = startSpeed / 4
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			time.Sleep(time.Duration(float64(a.Request.Generation.PromptTokens) / speed * float64(time.Second)))
 			s := newSource()
 			go func() {
@@ -34,7 +34,7 @@
 			w.serve(request("/plan/x")).whole(t, event(1))
 		}
 		require.InEpsilon(t, speed, w.relay.readSpeed(), 0.1)
-		require.InEpsilon(t, speed/2, w.relay.engineQuery(&job{Request: request("/plan/x"), route: &routing.Route{}, outputs: newOutputs()}, 0).MostPrompt, 0.1)
+		require.InEpsilon(t, speed/2, w.relay.engineQuery(&job{Request: request("/plan/x"), route: &routing.Route{}, outputs: newOutputs()}, 0).MaxPromptPending, 0.1)
 	})
 }
 
@@ -47,7 +47,7 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		run := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return run.answer(), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return run.answer(), nil }
 		done := make(chan *caller)
 		go func() {
 			r := request("/plan/x")
@@ -55,11 +55,11 @@
 			done <- w.serve(r)
 		}()
 		synctest.Wait()
-		before := w.registry.Loads()["a"].Tokens
+		before := w.registry.Loads()["a"].ExpectedTokens
 		require.Less(t, before, 3000+2*growthAhead)
 		run.write(events(1, 300))
 		synctest.Wait()
-		require.GreaterOrEqual(t, w.registry.Loads()["a"].Tokens, 3000+300*4)
+		require.GreaterOrEqual(t, w.registry.Loads()["a"].ExpectedTokens, 3000+300*4)
 		run.w.Close()
 		(<-done).whole(t, events(1, 300))
 		require.Empty(t, w.registry.Loads())
@@ -74,15 +74,15 @@
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
 		run := newSource()
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return run.answer(), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return run.answer(), nil }
 		turns := func(period int64) *flow.Turns {
 			return &flow.Turns{Self: "self", Period: period, Contenders: []flow.Contender{{Name: "self", Waiting: 1}, {Name: "other", Waiting: 1}}}
 		}
 		var mine, others int64
-		for !turns(mine).Mine("a") {
+		for !turns(mine).IsOwnTurn("a") {
 			mine++
 		}
-		for turns(others).Mine("a") {
+		for turns(others).IsOwnTurn("a") {
 			others++
 		}
 		w.others.set(turns(others))
@@ -111,11 +111,11 @@
 		w.apply(2, teamKey, "key-2")
 		w.server("a", modelService)
 		// The engine has no room until the load of another gateway ends.
-		full := map[string]backends.Load{"a": {Running: 9, Tokens: 30000}}
-		w.registry.SetRemote("vm-2", full)
+		full := map[string]backends.Load{"a": {Running: 9, ExpectedTokens: 30000}}
+		w.registry.SetRemoteLoads("vm-2", full)
 		w.others.usage = []flow.Usage{{Team: "team-1", Amount: 1e6}, {Team: "x", Amount: 1}, {Team: "y", Amount: 1}}
 		order := make(chan string, 2)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			order <- a.Team
 			s := newSource()
 			go func() {
@@ -126,13 +126,13 @@
 		}
 		ask := func(key string) {
 			r := request("/plan/x")
-			r.Key = key
+			r.APIKey = key
 			go w.serve(r)
 			time.Sleep(50 * time.Millisecond)
 		}
 		ask(teamKey)
 		ask("key-2")
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"a": {Running: 7, Tokens: 25000}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"a": {Running: 7, ExpectedTokens: 25000}})
 		require.Equal(t, "team-2", <-order)
 		require.Equal(t, "team-1", <-order)
 		synctest.Wait()
@@ -146,7 +146,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", modelService)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "a" {
 				time.Sleep(5 * time.Second)
 			}
@@ -161,7 +161,7 @@
 		go func() { first <- w.serve(request("/plan/x")) }()
 		time.Sleep(2 * time.Second)
 		w.server("b", modelService)
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"b": {Running: 5, Tokens: 20000}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"b": {Running: 5, ExpectedTokens: 20000}})
 		w.serve(request("/plan/x")).whole(t, event(1))
 		require.Equal(t, []string{"a", "b"}, w.up.servers())
 		(<-first).whole(t, event(1))
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -32,13 +32,13 @@
 // that may have run asks out of line, as it would hold up the others for the few servers that are
 // left to it. The line is of no use once a server takes any number.
 func (r *Relay) mayAsk(j *job, l *line, w *flow.Waiter) bool {
-	return j.ran > 0 || l.isNext(w, r.Now()) || r.paceOf(j).Open
+	return j.ran > 0 || l.isNext(w, r.Now()) || r.paceOf(j).HasUnlimited
 }
 
 // standInLine has a request wait for its turn where no server takes any number, and refuses it
 // if that comes too late. It returns nil otherwise.
-func (r *Relay) standInLine(j *job, l *line, w *flow.Waiter, p backends.Pace) *Refusal {
-	if !p.Later() {
+func (r *Relay) standInLine(j *job, l *line, w *flow.Waiter, p backends.Availability) *Refusal {
+	if !p.MustWait() {
 		return nil
 	}
 	if j.ran == 0 {
@@ -78,16 +78,16 @@
 }
 
 // wait estimates how long a request waits for its turn.
-func (l *line) wait(w *flow.Waiter, p backends.Pace, now time.Duration) time.Duration {
-	if !p.Bounded {
-		return p.Rest
+func (l *line) wait(w *flow.Waiter, p backends.Availability, now time.Duration) time.Duration {
+	if !p.HasRateLimited {
+		return p.BackoffWait
 	}
 	l.mu.Lock()
 	l.queue.SetRate(p.PerSecond)
-	turn := p.Next + l.queue.Wait(w, now)
+	turn := p.RateWait + l.queue.EstimateWait(w, now)
 	l.mu.Unlock()
-	if p.Resting {
-		turn = min(turn, p.Rest)
+	if p.HasBackingOff {
+		turn = min(turn, p.BackoffWait)
 	}
 	return turn
 }
@@ -103,12 +103,12 @@
 const latestReturn = 10 * time.Second
 
 // refuseInLine refuses a request that would have its turn too late.
-func (r *Relay) refuseInLine(j *job, p backends.Pace, turn time.Duration) *Refusal {
+func (r *Relay) refuseInLine(j *job, p backends.Availability, turn time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoRoom)
-	if p.Bounded {
+	if p.HasRateLimited {
 		turn = min(turn, latestReturn)
 	}
-	if !f.Run {
+	if !f.MayHaveRun {
 		f.RetryAfter = max(f.RetryAfter, turn+time.Duration(rand.Float64()*float64(returnSpread)))
 	}
 	return f
--- a/internal/relay/line_test.go
+++ b/internal/relay/line_test.go
@@ -23,15 +23,15 @@
 	w := newWorld(t, Config{})
 	split := []routing.Weighted{{Service: deskService, Weight: 1}}
 	route := func(name string, priority int) *routing.Route {
-		return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Once, Public: true, Priority: priority, Target: 150 * time.Millisecond, Servers: 2, Split: split}
+		return &routing.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.AtMostOnce, Public: true, Priority: priority, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: split}
 	}
 	w.replica.Put(routing.Content{Version: 2, Routes: []*routing.Route{route("urgent", 0), route("other", 5)}}, func() {})
 	w.replica.Confirm(w.now())
 	for i := range servers {
 		s := w.server(fmt.Sprint("s", i), deskService)
-		w.relay.Advised(s, backends.Signals{Limited: true, Limit: perSecond}, 0)
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: perSecond}, 0)
 	}
-	w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+	w.up.send = func(context.Context, *Attempt) (*Response, error) {
 		time.Sleep(20 * time.Millisecond)
 		return answer(200, "ok"), nil
 	}
@@ -106,7 +106,7 @@
 			begun := time.Now()
 			c := w.serve(request("/urgent/x"))
 			require.Equal(t, ReasonNoRoom, c.refusal.Reason)
-			require.False(t, c.refusal.Run)
+			require.False(t, c.refusal.MayHaveRun)
 			require.Zero(t, time.Since(begun))
 			require.Greater(t, c.refusal.RetryAfter, 5*time.Second, "the next look at the server")
 		}
@@ -123,7 +123,7 @@
 		for i := range 100 {
 			others = append(others, fmt.Sprint("vm-", i))
 		}
-		w.registry.SetPlace(cells.Place{Self: "self", Count: 1, All: others})
+		w.registry.SetCell(cells.Place{Self: "self", CellCount: 1, AllPeers: others})
 		c := w.serve(request("/urgent/x"))
 		require.Equal(t, ReasonNoRoom, c.refusal.Reason)
 		require.LessOrEqual(t, c.refusal.RetryAfter, latestReturn+returnSpread)
@@ -152,8 +152,8 @@
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
 		s := w.server("b", deskService)
-		w.relay.Advised(s, backends.Signals{Limited: true}, 0)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(500, "failed"), nil }
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true}, 0)
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(500, "failed"), nil }
 		for range 3 {
 			begun := time.Now()
 			require.Equal(t, 500, w.serve(request("/safe/x")).status)
@@ -168,10 +168,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.breakBesideACopy(func(sent *Attempt) {
-			copied := w.entry(strings.TrimSuffix(sent.Backup, ":1"), modelService)
-			w.relay.Advised(copied, backends.Signals{Limited: true}, 0)
+			copied := w.entry(strings.TrimSuffix(sent.StandbyAddress, ":1"), modelService)
+			w.relay.HandleSignals(copied, backends.Signals{HasRateLimit: true}, 0)
 			lease := w.registry.Acquire(backends.Query{Service: modelService, Tried: []string{sent.Server.ID}}, w.now())
-			lease.Done(backends.Unjudged, w.now())
+			lease.Release(backends.ResultInconclusive, w.now())
 		})
 	})
 }
@@ -182,10 +182,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		a, b := w.server("a", deskService), w.server("b", deskService)
-		w.relay.Advised(a, backends.Signals{Limited: true, Limit: 20}, 0)
-		w.relay.Advised(b, backends.Signals{Rest: 450 * time.Millisecond}, 0)
+		w.relay.HandleSignals(a, backends.Signals{HasRateLimit: true, RateLimit: 20}, 0)
+		w.relay.HandleSignals(b, backends.Signals{Backoff: 450 * time.Millisecond}, 0)
 		lost := false
-		w.up.send = func(_ context.Context, at *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, at *Attempt) (*Response, error) {
 			if at.Request.Path == "/safe/x" && !lost {
 				lost = true
 				return nil, io.ErrUnexpectedEOF
@@ -213,10 +213,10 @@
 		w := newWorld(t, Config{})
 		w.server("full", deskService)
 		s := w.server("limited", deskService)
-		w.relay.Advised(s, backends.Signals{Limited: true, Limit: 4}, 0)
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.relay.HandleSignals(s, backends.Signals{HasRateLimit: true, RateLimit: 4}, 0)
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "full" {
-				return nil, &Refused{Why: RefusedFull}
+				return nil, &NotRunError{Reason: NotRunFull}
 			}
 			return answer(200, "ok"), nil
 		}
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -10,36 +10,36 @@
 // concurrent use; its lock is a leaf.
 type outputs struct {
 	mu      sync.Mutex
-	byRoute map[string]*forecast.Outputs
+	byRoute map[string]*forecast.OutputEstimator
 }
 
-func newOutputs() *outputs { return &outputs{byRoute: make(map[string]*forecast.Outputs)} }
+func newOutputs() *outputs { return &outputs{byRoute: make(map[string]*forecast.OutputEstimator)} }
 
 // of returns the estimator of a route; mu is held.
-func (o *outputs) of(route string) *forecast.Outputs {
+func (o *outputs) of(route string) *forecast.OutputEstimator {
 	f := o.byRoute[route]
 	if f == nil {
-		f = forecast.NewOutputs()
+		f = forecast.NewOutputEstimator()
 		o.byRoute[route] = f
 	}
 	return f
 }
 
-func (o *outputs) expect(route string, said forecast.Said, made int) int {
+func (o *outputs) expect(route string, said forecast.CallerHint, made int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(route).Expect(said, made)
+	return o.of(route).ExpectedTokens(said, made)
 }
 
-func (o *outputs) observe(route string, tokens int, said forecast.Said) {
+func (o *outputs) observe(route string, tokens int, said forecast.CallerHint) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.of(route).Observe(tokens, said)
 }
 
 // said is what the caller says of its generation's output.
-func (j *job) said() forecast.Said {
-	return forecast.Said{Hint: j.Generation.Hint, Most: j.Generation.MaxOutput}
+func (j *job) said() forecast.CallerHint {
+	return forecast.CallerHint{EstimatedTokens: j.Generation.Hint, MaxTokens: j.Generation.MaxOutput}
 }
 
 // perEvent is the number of tokens in an event.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,11 +20,11 @@
 
 // Config tunes a Relay.
 type Config struct {
-	// RevokeBound is how long after its removal a key may still be served, 0 for
+	// RevokeTimeout is how long after its removal a key may still be served, 0 for
 	// no bound.
-	RevokeBound time.Duration
-	// ApplyBound is how long a new version may take to be in force.
-	ApplyBound time.Duration
+	RevokeTimeout time.Duration
+	// ApplyTimeout is how long a new version may take to be in force.
+	ApplyTimeout time.Duration
 	// RetryRatio is the repeats allowed for each request, RetryExtra those that
 	// all processes together have besides.
 	RetryRatio float64
@@ -35,71 +35,71 @@
 type Observer interface {
 	Finished(team, service string, kind routing.Kind, outcome string)
 	FirstByte(team, service string, kind routing.Kind, d time.Duration)
-	Pause(team string, d time.Duration)
-	Attempt(service, result string)
-	Moved(result string)
-	// Ended is told of a server that has ended under requests.
-	Ended(service string)
+	EventPause(team string, d time.Duration)
+	AttemptFailed(service, result string)
+	Migrated(result string)
+	// ServerCrashed is told of a server that has ended under requests.
+	ServerCrashed(service string)
 }
 
 // Deps are the parts a Relay works with.
 type Deps struct {
-	Replica  *routing.Replica
-	Registry *backends.Registry
-	Upstream Upstream
-	Now      clock.Source
-	Log      logrus.FieldLogger
-	Observer Observer
-	Others   Others
-	Suspects Suspects
+	Replica    *routing.Replica
+	Registry   *backends.Registry
+	Upstream   Upstream
+	Now        clock.Source
+	Log        logrus.FieldLogger
+	Observer   Observer
+	Peers      Peers
+	Quarantine Quarantine
 }
 
-// Suspects remembers under which requests servers have ended, here and at all other
+// Quarantine remembers under which requests servers have ended, here and at all other
 // processes.
-type Suspects interface {
-	// Any reports whether anything is known of any request.
-	Any() bool
-	// Held reports whether a request must not be sent to servers, and for how much longer.
-	Held(id quarantine.ID) (left time.Duration, held bool)
-	// Due reports whether a request that is held is to be tried.
-	Due(id quarantine.ID) bool
-	// Try reports whether a request that is held may be sent to one server all the same, to
+type Quarantine interface {
+	// HasRecords reports whether anything is known of any request.
+	HasRecords() bool
+	// Quarantined reports whether a request must not be sent to servers, and for how much longer.
+	Quarantined(id quarantine.ID) (left time.Duration, held bool)
+	// TrialDue reports whether a request that is held is to be tried.
+	TrialDue(id quarantine.ID) bool
+	// StartTrial reports whether a request that is held may be sent to one server all the same, to
 	// see whether it is harmful. It says so once.
-	Try(id quarantine.ID) bool
-	// Near reports whether a request would be held if one more server ended under it.
-	Near(id quarantine.ID) bool
-	// Ended is told of a server that has ended, and of the requests that ran there.
-	Ended(s backends.Server, ran []quarantine.ID)
+	StartTrial(id quarantine.ID) bool
+	// NearThreshold reports whether a request would be held if one more server ended under it.
+	NearThreshold(id quarantine.ID) bool
+	// Crashed is told of a server that has ended, and of the requests that ran there.
+	Crashed(s backends.Server, ran []quarantine.ID)
 	// Answered is told of a request that a server has answered whole.
 	Answered(id quarantine.ID)
 }
 
-// Others tells of the other processes that serve callers.
-type Others interface {
-	// Known counts the processes, this one included; 0 if not known.
-	Known() int
-	// Agreed reports whether they know no newer configuration than the one that this process
+// Peers tells of the other processes that serve callers.
+type Peers interface {
+	// Count counts the processes, this one included; 0 if not known.
+	Count() int
+	// ConfigCurrent reports whether they know no newer configuration than the one that this process
 	// started with.
-	Agreed() bool
-	// Taking reports whether another process takes requests.
-	Taking() bool
-	// Nudge has them told at once of what has changed here: a generation, or a copy of
+	ConfigCurrent() bool
+	// AcceptingRequests reports whether another process takes requests.
+	AcceptingRequests() bool
+	// Notify has them told at once of what has changed here: a generation, or a copy of
 	// one, was put on an engine, or a server fails.
-	Nudge()
-	// Queued tells them what waits here for a service; the name is left out.
-	Queued(service string, q flow.Contender)
-	// Used tells them what the teams that use a service most have used here, and
+	Notify()
+	// ReportQueue tells them what waits here for a service; the name is left out.
+	ReportQueue(service string, q flow.Contender)
+	// ReportUsage tells them what the teams that use a service most have used here, and
 	// Usage is what they tell.
-	Used(service string, top []flow.Usage)
+	ReportUsage(service string, top []flow.Usage)
 	Usage(service string) []flow.Usage
 	// Turns is whose turn it is at the servers of a service for a request of some
 	// rank, nil while no other process has one waiting that is as urgent.
 	Turns(service string, rank int) *flow.Turns
-	// MoveTurns is whose turn it is to copy runs off the servers that leave a failure
+	// MigrationTurns is whose turn it is to copy runs off the servers that leave a failure
 	// domain, nil while only this process has such runs.
-	MoveTurns(domain string) *flow.Turns
+	MigrationTurns(domain string) *flow.Turns
 	// SharedClock is a clock that all processes go by.
-	SharedClock() pacing.Clock
+	SharedClock() pacing.SharedTime
 }
 
 // Relay serves requests. It is safe for concurrent use; mu is taken before the lock
@@ -142,8 +142,8 @@
 		speed:    startSpeed,
 		outputs:  newOutputs(),
 	}
-	if r.Suspects == nil {
-		r.Suspects = noSuspects{}
+	if r.Quarantine == nil {
+		r.Quarantine = noSuspects{}
 	}
 	r.Configure(cfg)
 	return r
@@ -292,7 +292,7 @@
 	route := cfg.Match(req.Host, req.Path)
 	if route == nil {
 		// Behind its time this process may not know a route that others serve.
-		if r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
+		if r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
 			return nil, &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
 		return nil, &Refusal{Reason: ReasonNoRoute}
@@ -303,7 +303,7 @@
 			return nil, refusal
 		}
 	}
-	j.service = route.Pick(rand.Float64())
+	j.service = route.PickService(rand.Float64())
 	if s := cfg.Service(j.service); s != nil {
 		j.engine = s.Engine
 	}
@@ -313,7 +313,7 @@
 	if left, barred := r.barred(j); barred {
 		return nil, &Refusal{Reason: ReasonHarmful, RetryAfter: left, Content: j.id().String()}
 	}
-	j.deadline = time.Now().Add(allowed(req.Wait, route.Timeout))
+	j.deadline = time.Now().Add(allowed(req.Timeout, route.Timeout))
 	if r.outlasts(j) {
 		return nil, &Refusal{Reason: ReasonStopping, RetryAfter: r.moveOn()}
 	}
@@ -328,18 +328,18 @@
 func (r *Relay) authorize(j *job, cfg *routing.Config, age time.Duration) *Refusal {
 	// A key that was removed since the last confirmation would still be found, so
 	// beyond the bound no key is trusted; another VM may know better.
-	if r.KeysStale(age) || !r.Others.Agreed() {
+	if r.KeysStale(age) || !r.Peers.ConfigCurrent() {
 		return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 	}
-	team := cfg.Team(j.Key)
+	team := cfg.TeamByKey(j.APIKey)
 	if team == nil {
-		if j.Key != "" && r.cfg.Load().ApplyBound > 0 && age > r.cfg.Load().ApplyBound {
+		if j.APIKey != "" && r.cfg.Load().ApplyTimeout > 0 && age > r.cfg.Load().ApplyTimeout {
 			return &Refusal{Reason: ReasonStale, RetryAfter: staleRetry}
 		}
-		return &Refusal{Reason: ReasonKey}
+		return &Refusal{Reason: ReasonBadKey}
 	}
-	j.team, j.regions = team.Name, j.regions.Within(team.Regions)
-	if team.Ranked {
+	j.team, j.regions = team.Name, j.regions.Intersect(team.Regions)
+	if team.HasPriority {
 		j.priority = team.Priority
 	}
 	return nil
@@ -348,14 +348,14 @@
 // KeysStale reports whether a configuration confirmed age ago is too old to
 // trust keys.
 func (r *Relay) KeysStale(age time.Duration) bool {
-	bound := r.cfg.Load().RevokeBound
+	bound := r.cfg.Load().RevokeTimeout
 	return bound > 0 && age > time.Duration(revokeMargin*float64(bound))
 }
 
 // Ready reports whether requests with keys can be served.
 func (r *Relay) Ready() bool {
 	cfg, confirmed := r.Replica.Current()
-	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Others.Agreed()
+	return cfg != nil && !r.KeysStale(r.Now()-confirmed) && r.Peers.ConfigCurrent()
 }
 
 // defaultWait bounds requests for which neither caller nor route says how long
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -24,10 +24,10 @@
 		w.server("a", deskService)
 		w.server("b", deskService)
 		first := ""
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if first == "" {
 				first = a.Server.ID
-				return nil, &Refused{Why: RefusedFull}
+				return nil, &NotRunError{Reason: NotRunFull}
 			}
 			require.NotEqual(t, first, a.Server.ID)
 			return answer(200, "ok"), nil
@@ -44,10 +44,10 @@
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
 		w.server("b", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, errReset }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return nil, errReset }
 		c := w.serve(request("/once/x"))
 		require.Len(t, w.up.sent, 1)
-		require.True(t, c.refusal.Run)
+		require.True(t, c.refusal.MayHaveRun)
 		require.Zero(t, c.refusal.RetryAfter)
 	})
 }
@@ -60,15 +60,15 @@
 		w.server("a", deskService)
 		w.server("b", deskService)
 		tries := 0
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			tries++
 			if tries == 1 {
 				return nil, errReset
 			}
-			return nil, &Refused{Why: RefusedFull}
+			return nil, &NotRunError{Reason: NotRunFull}
 		}
 		c := w.serve(request("/safe/x"))
-		require.True(t, c.refusal.Run)
+		require.True(t, c.refusal.MayHaveRun)
 	})
 }
 
@@ -79,7 +79,7 @@
 		for _, id := range []string{"a", "b", "c"} {
 			w.server(id, deskService)
 		}
-		w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 			if len(w.up.sent) == 1 {
 				return answer(500, "oops"), nil
 			}
@@ -88,7 +88,7 @@
 		w.serve(request("/safe/x")).whole(t, "ok")
 
 		w.up.sent = nil
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(500, "oops"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(500, "oops"), nil }
 		c := w.serve(request("/safe/x"))
 		require.Equal(t, 500, c.status)
 		require.Equal(t, "oops", c.body.String())
@@ -102,13 +102,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) {
+		w.up.send = func(context.Context, *Attempt) (*Response, error) {
 			a := answer(200, "forged")
-			a.Sealed = false
+			a.Signed = false
 			return a, nil
 		}
 		c := w.serve(request("/once/x"))
-		require.True(t, c.refusal.Run)
+		require.True(t, c.refusal.MayHaveRun)
 		require.Empty(t, c.body.String())
 	})
 }
@@ -122,11 +122,11 @@
 		for _, id := range []string{"a", "b", "c", "d"} {
 			w.server(id, deskService)
 		}
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &Refused{Why: RefusedFull} }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return nil, &NotRunError{Reason: NotRunFull} }
 		const requests = 100
 		for range requests {
 			c := w.serve(request("/once/x"))
-			require.False(t, c.refusal.Run)
+			require.False(t, c.refusal.MayHaveRun)
 			require.Positive(t, c.refusal.RetryAfter)
 		}
 		require.LessOrEqual(t, len(w.up.sent)-requests, requests/5+5)
@@ -138,23 +138,23 @@
 // configuration in force still has it.
 func TestKeysAreNotTrustedWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{RevokeBound: 5 * time.Second})
+		w := newWorld(t, Config{RevokeTimeout: 5 * time.Second})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
 		require.True(t, w.relay.Ready())
 
 		time.Sleep(4500 * time.Millisecond)
 		c := w.serve(request("/once/x"))
 		require.Equal(t, ReasonStale, c.refusal.Reason)
-		require.False(t, c.refusal.Run)
+		require.False(t, c.refusal.MayHaveRun)
 		require.False(t, w.relay.Ready())
 		open := request("/open/x")
-		open.Key = ""
+		open.APIKey = ""
 		w.serve(open).whole(t, "ok")
 
 		w.apply(2, "other-key")
-		require.Equal(t, ReasonKey, w.serve(request("/once/x")).refusal.Reason)
+		require.Equal(t, ReasonBadKey, w.serve(request("/once/x")).refusal.Reason)
 	})
 }
 
@@ -163,16 +163,16 @@
 // serve the key, nor be ready, before its view has been confirmed again.
 func TestSuspendedVMTrustsNoKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{RevokeBound: 5 * time.Second, ApplyBound: 2 * time.Second})
+		w := newWorld(t, Config{RevokeTimeout: 5 * time.Second, ApplyTimeout: 2 * time.Second})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return answer(200, "ok"), nil }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return answer(200, "ok"), nil }
 		w.serve(request("/once/x")).whole(t, "ok")
 		w.suspend(10 * time.Second)
 		require.Equal(t, ReasonStale, w.serve(request("/once/x")).refusal.Reason)
 		require.Equal(t, ReasonStale, w.serve(request("/new/x")).refusal.Reason)
 		require.False(t, w.relay.Ready())
 		w.apply(2, "other-key")
-		require.Equal(t, ReasonKey, w.serve(request("/once/x")).refusal.Reason)
+		require.Equal(t, ReasonBadKey, w.serve(request("/once/x")).refusal.Reason)
 		require.True(t, w.relay.Ready())
 	})
 }
@@ -181,7 +181,7 @@
 // final for the caller; another VM knows the route, so the caller is sent back.
 func TestUnknownRouteIsNotFinalWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Config{ApplyBound: 2 * time.Second})
+		w := newWorld(t, Config{ApplyTimeout: 2 * time.Second})
 		require.Equal(t, ReasonNoRoute, w.serve(request("/new/x")).refusal.Reason)
 		time.Sleep(3 * time.Second)
 		c := w.serve(request("/new/x"))
@@ -196,7 +196,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(ctx context.Context, _ *Attempt) (*Answer, error) {
+		w.up.send = func(ctx context.Context, _ *Attempt) (*Response, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -204,7 +204,7 @@
 		c := w.serve(request("/once/x"))
 		require.Equal(t, time.Second, time.Since(begun))
 		require.Equal(t, ReasonDeadline, c.refusal.Reason)
-		require.True(t, c.refusal.Run)
+		require.True(t, c.refusal.MayHaveRun)
 	})
 }
 
@@ -216,7 +216,7 @@
 		begun := time.Now()
 		c := w.serve(request("/once/x"))
 		require.Equal(t, ReasonNoServer, c.refusal.Reason)
-		require.False(t, c.refusal.Run)
+		require.False(t, c.refusal.MayHaveRun)
 		require.Positive(t, c.refusal.RetryAfter)
 		require.Less(t, time.Since(begun), 150*time.Millisecond)
 	})
@@ -228,7 +228,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(context.Context, *Attempt) (*Answer, error) { return nil, &Refused{Why: RefusedReplaced} }
+		w.up.send = func(context.Context, *Attempt) (*Response, error) { return nil, &NotRunError{Reason: NotRunReplaced} }
 		w.serve(request("/once/x"))
 		listed, _ := w.registry.State(backends.Server{ID: "a"})
 		require.False(t, listed)
@@ -243,7 +243,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, Config{})
 		w.server("a", deskService)
-		w.up.send = func(ctx context.Context, a *Attempt) (*Answer, error) {
+		w.up.send = func(ctx context.Context, a *Attempt) (*Response, error) {
 			if a.Server.ID == "a" {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -254,25 +254,25 @@
 		go func() { first <- w.serve(request("/once/x")) }()
 		time.Sleep(600 * time.Millisecond)
 		w.server("b", deskService)
-		w.registry.SetRemote("vm-2", map[string]backends.Load{"b": {Running: 3}})
+		w.registry.SetRemoteLoads("vm-2", map[string]backends.Load{"b": {Running: 3}})
 		require.Equal(t, http.StatusOK, w.serve(request("/once/x")).status)
 		require.Equal(t, []string{"a", "b"}, w.up.servers())
-		require.True(t, (<-first).refusal.Run)
+		require.True(t, (<-first).refusal.MayHaveRun)
 	})
 }
 
 // Guards against callers being refused for repeats that never arrived anywhere.
 func TestRefusedConnectionsUseNoRepeats(t *testing.T) {
-	for _, why := range []RefusedWhy{RefusedEnded, RefusedUnreachable} {
+	for _, why := range []NotRunReason{NotRunDown, NotRunUnreachable} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(t, Config{RetryExtra: 1})
 			for i := range 8 {
 				w.server(fmt.Sprint("gone-", i), deskService)
 			}
 			w.server("sound", deskService)
-			w.up.send = func(_ context.Context, a *Attempt) (*Answer, error) {
+			w.up.send = func(_ context.Context, a *Attempt) (*Response, error) {
 				if a.Server.ID != "sound" {
-					return nil, &Refused{Why: why}
+					return nil, &NotRunError{Reason: why}
 				}
 				return answer(200, "ok"), nil
 			}
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -17,10 +17,10 @@
 	lifeSilence = 300 * time.Millisecond
 )
 
-// Noticed is told of a server that begins to leave, or that has started again. It
+// HandleLeaving is told of a server that begins to leave, or that has started again. It
 // returns at once.
-func (r *Relay) Noticed(s backends.Server, n backends.LeaveReason) {
-	if n == backends.NoticeRestarted {
+func (r *Relay) HandleLeaving(s backends.Server, n backends.LeaveReason) {
+	if n == backends.LeaveRestarted {
 		r.Ended(s)
 		return
 	}
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -18,9 +18,9 @@
 type Limit struct {
 	// Rate is the requests a second that it takes for long, 0 for no bound.
 	Rate float64
-	// Most is the most requests in any span of Window.
-	Most   float64
-	Window time.Duration
+	// MaxInWindow is the most requests in any span of Window.
+	MaxInWindow float64
+	Window      time.Duration
 	// Lasting keeps what is sent for long to Rate, where Most would allow more.
 	Lasting bool
 }
@@ -40,7 +40,7 @@
 func Named(perSecond float64) Limit {
 	return Limit{
 		Rate: max(perSecond, leastNamed), Lasting: true,
-		Most: namedOverage*perSecond*namedWindow.Seconds() + namedTolerance, Window: namedWindow,
+		MaxInWindow: namedOverage*perSecond*namedWindow.Seconds() + namedTolerance, Window: namedWindow,
 	}
 }
 
@@ -54,12 +54,12 @@
 	}
 	return Limit{
 		Rate: min(l.Rate, o.Rate), Lasting: l.Lasting || o.Lasting,
-		Most: min(l.Most, o.Most), Window: max(l.Window, o.Window),
+		MaxInWindow: min(l.MaxInWindow, o.MaxInWindow), Window: max(l.Window, o.Window),
 	}
 }
 
-// Clock is a steady clock that all processes share, as one of them knows it.
-type Clock struct {
+// SharedTime is a steady clock that all processes share, as one of them knows it.
+type SharedTime struct {
 	Now   time.Duration
 	Known bool
 }
@@ -109,12 +109,12 @@
 // too many for that.
 func (s *Share) equalPart(l Limit) (part, bool) {
 	n, window := float64(s.count()), l.Window.Seconds()
-	together := (usable*l.Most - n) / window
+	together := (usable*l.MaxInWindow - n) / window
 	least := leastPart
 	burst := 1.0
 	if l.Lasting {
 		together, least = min(together, l.Rate), leastLasting
-		burst = max(1, min(together*burstTime.Seconds(), usable*l.Most-window*together)/n)
+		burst = max(1, min(together*burstTime.Seconds(), usable*l.MaxInWindow-window*together)/n)
 	}
 	return part{burst, together / n}, together >= least*l.Rate
 }
@@ -163,7 +163,7 @@
 // May reports whether a request may be sent to a server, by the hash of its name, now. A
 // process that does not know the clock that tickets go by sends nothing where there are
 // tickets: its part is another's.
-func (p *Pacer) May(s *Share, l Limit, server uint64, shared Clock, now time.Duration) bool {
+func (p *Pacer) May(s *Share, l Limit, server uint64, shared SharedTime, now time.Duration) bool {
 	if l.Rate <= 0 {
 		return true
 	}
@@ -178,7 +178,7 @@
 const lookAhead = 64
 
 // Next is how long it is until a request may be sent, at the least.
-func (p *Pacer) Next(s *Share, l Limit, server uint64, shared Clock, now time.Duration) time.Duration {
+func (p *Pacer) Next(s *Share, l Limit, server uint64, shared SharedTime, now time.Duration) time.Duration {
 	if l.Rate <= 0 {
 		return 0
 	}
@@ -204,7 +204,7 @@
 }
 
 // Sent notes that a request was sent.
-func (p *Pacer) Sent(s *Share, l Limit, shared Clock, now time.Duration) {
+func (p *Pacer) Sent(s *Share, l Limit, shared SharedTime, now time.Duration) {
 	if part, ok := s.equalPart(l); ok {
 		p.spent, p.at = p.left(part, now)+1, now
 		return
@@ -230,9 +230,9 @@
 }
 
 // ticket is the one that is valid now; a process that is alone needs no shared clock.
-func (s *Share) ticket(l Limit, shared Clock, now time.Duration) (ticket, bool) {
+func (s *Share) ticket(l Limit, shared SharedTime, now time.Duration) (ticket, bool) {
 	if s.count() == 1 {
-		shared = Clock{Now: now, Known: true}
+		shared = SharedTime{Now: now, Known: true}
 	}
 	span := time.Duration(float64(time.Second) / l.Rate)
 	n := int64(shared.Now / span)
--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -20,7 +20,9 @@
 )
 
 // limit is what a server bears, and the platform's bound for one second.
-func limit(rate float64) Limit { return Limit{Rate: rate, Most: 1.5*rate + 5, Window: time.Second} }
+func limit(rate float64) Limit {
+	return Limit{Rate: rate, MaxInWindow: 1.5*rate + 5, Window: time.Second}
+}
 
 var server = xxhash.Sum64String("server")
 
@@ -58,7 +60,7 @@
 }
 
 func (p *paced) may(shared, now time.Duration) bool {
-	clock := Clock{Now: shared, Known: true}
+	clock := SharedTime{Now: shared, Known: true}
 	if !p.May(p.share, p.limit, server, clock, now) {
 		return false
 	}
@@ -70,7 +72,7 @@
 type tickets struct{ paced }
 
 func (k *tickets) may(shared, now time.Duration) bool {
-	t, _ := k.share.ticket(k.limit, Clock{Now: shared, Known: true}, now)
+	t, _ := k.share.ticket(k.limit, SharedTime{Now: shared, Known: true}, now)
 	if k.hasUsed(t) || !k.share.mine(server, t.number) {
 		return false
 	}
@@ -152,7 +154,7 @@
 		for _, n := range []int{1, 4, 23, 31, 103, 330} {
 			for seed := range uint64(5) {
 				r := play(load{gateways: n, seed: seed}, newPaced(limit(rate)))
-				require.LessOrEqual(t, float64(r.most), limit(rate).Most, "%d gateways, %v a second", n, rate)
+				require.LessOrEqual(t, float64(r.most), limit(rate).MaxInWindow, "%d gateways, %v a second", n, rate)
 				require.Greater(t, r.mean, 0.45*rate, "%d gateways, %v a second: requests wait although the server takes more", n, rate)
 			}
 		}
@@ -177,9 +179,9 @@
 	parts := func(_ int, names []string) way {
 		return &bucket{perSecond: 32 / float64(len(names)), tokens: 1}
 	}
-	require.Greater(t, float64(play(load{gateways: 330, seed: 1}, parts).most), limit(32).Most)
+	require.Greater(t, float64(play(load{gateways: 330, seed: 1}, parts).most), limit(32).MaxInWindow)
 	none := func(int, []string) way { return unbounded{} }
-	require.Greater(t, float64(play(load{gateways: 23, seed: 1}, none).most), limit(32).Most)
+	require.Greater(t, float64(play(load{gateways: 23, seed: 1}, none).most), limit(32).MaxInWindow)
 }
 
 // Guards against all tickets changing hands, or being nobody's, when one gateway comes or
@@ -209,9 +211,9 @@
 	for i := range 100 {
 		names = append(names, fmt.Sprint("vm-", i))
 	}
-	require.False(t, p.May(NewShare("self", names), limit(2), server, Clock{}, 0))
-	require.True(t, p.May(nil, limit(2), server, Clock{}, 0), "alone")
-	require.True(t, p.May(NewShare("self", names), Limit{}, server, Clock{}, 0), "no bound")
+	require.False(t, p.May(NewShare("self", names), limit(2), server, SharedTime{}, 0))
+	require.True(t, p.May(nil, limit(2), server, SharedTime{}, 0), "alone")
+	require.True(t, p.May(NewShare("self", names), Limit{}, server, SharedTime{}, 0), "no bound")
 }
 
 // Guards against tickets that are not given out for hours because the rate fell, or the shared
@@ -225,8 +227,8 @@
 	sent := func(p *Pacer, rate float64, from time.Duration) (n int) {
 		l := Named(rate)
 		for now := from; now < from+100*time.Second; now += wait {
-			if p.May(share, l, server, Clock{Now: now, Known: true}, now) {
-				p.Sent(share, l, Clock{Now: now, Known: true}, now)
+			if p.May(share, l, server, SharedTime{Now: now, Known: true}, now) {
+				p.Sent(share, l, SharedTime{Now: now, Known: true}, now)
 				n++
 			}
 		}
@@ -250,7 +252,7 @@
 			s := NewShare("self", names)
 			var p Pacer
 			for now := time.Duration(0); b.Loop(); now += time.Millisecond {
-				p.May(s, limit(32), server, Clock{Now: now, Known: true}, now)
+				p.May(s, limit(32), server, SharedTime{Now: now, Known: true}, now)
 			}
 		})
 	}
--- a/placement/direct_test.go
+++ b/placement/direct_test.go
@@ -15,9 +15,9 @@
 	}
 	r := &Request{FailureDomain: "z1", Tokens: 10}
 	require.Equal(t, 0, Direct().BestOf(2, r, servers, 1))
-	require.Equal(t, 1, Copies().BestOf(2, r, servers, 1))
+	require.Equal(t, 1, CopyTarget().BestOf(2, r, servers, 1))
 	servers[1].MemoryForecast = 95
-	require.Equal(t, 0, Copies().BestOf(2, r, servers, 1))
+	require.Equal(t, 0, CopyTarget().BestOf(2, r, servers, 1))
 }
 
 // Every request must not go to the first of equal servers: each entry starts
@@ -48,11 +48,11 @@
 // with room to them, and takes one only where it is its turn.
 func TestServersAreLeftToOthers(t *testing.T) {
 	servers := []Server{{Name: "a", MemoryTotal: 100}, {Name: "b", MemoryTotal: 100}, {Name: "full", MemoryTotal: 100, MemoryForecast: 95, Running: 3}}
-	r := &Request{Tokens: 10, MostUsed: 1, Mine: func(server string) bool { return server == "b" }}
+	r := &Request{Tokens: 10, MaxMemoryUse: 1, IsOwnTurn: func(server string) bool { return server == "b" }}
 	require.Equal(t, 1, Direct().BestOf(3, r, servers, 1))
-	r.Yield = 1
+	r.Reserved = 1
 	require.Equal(t, 1, Direct().BestOf(3, r, servers, 1))
-	r.Yield = 2
+	r.Reserved = 2
 	require.Equal(t, -1, Direct().BestOf(3, r, servers, 1))
 }
 
@@ -65,6 +65,6 @@
 		{Name: "fuller", FailureDomain: "z2", MemoryTotal: 20000, MemoryForecast: 15000},
 	}
 	r := &Request{FailureDomain: "z1", Tokens: 3000, CopySpeed: 18000}
-	require.Equal(t, 1, Copies().BestOf(2, r, servers, 1))
+	require.Equal(t, 1, CopyTarget().BestOf(2, r, servers, 1))
 	require.Equal(t, 0, Direct().BestOf(2, r, servers, 1))
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -30,8 +30,8 @@
 	// Running, Queued and the memory figures are as last reported.
 	Running, Queued             int
 	MemoryForecast, MemoryTotal uint64
-	// Sent is the number of requests this entry has sent since that report.
-	Sent int
+	// SentSinceReport is the number of requests this entry has sent since that report.
+	SentSinceReport int
 	// PromptPending is the prompt tokens that are read before a new request's.
 	PromptPending int
 	// CopyPending is the tokens of memory that are being copied to the server.
@@ -42,9 +42,9 @@
 	FailureRate float64
 	// Avoid marks a server that refused or could not be reached a moment ago.
 	Avoid bool
-	// Ended marks a server that does not listen, Resting one that wants nothing of this process
+	// Down marks a server that does not listen, BackingOff one that wants nothing of this process
 	// for now.
-	Ended, Resting bool
+	Down, BackingOff bool
 	// Cold marks a server that is still slow after its start, Paced one that takes no
 	// more of this process for now.
 	Cold, Paced bool
@@ -64,20 +64,20 @@
 	Tokens int
 	// PromptSpeed is the prompt tokens a second that servers read.
 	PromptSpeed float64
-	// MostUsed bounds the part of memory in use with the request, MostPrompt the
+	// MaxMemoryUse bounds the part of memory in use with the request, MostPrompt the
 	// prompt tokens to be read before it; 0 is no bound.
-	MostUsed   float64
-	MostPrompt int
+	MaxMemoryUse     float64
+	MaxPromptPending int
 	// CopySpeed is the tokens of memory a second that a server's link takes.
 	CopySpeed float64
-	// Within drops servers of other failure domains.
-	Within bool
-	// Own bounds the choice to some servers, by their index; nil for all.
-	Own func(i int) bool
-	// Mine tells whose turn it is at a server, nil where there are no turns. Yield is
+	// SameDomainOnly drops servers of other failure domains.
+	SameDomainOnly bool
+	// IsCandidate bounds the choice to some servers, by their index; nil for all.
+	IsCandidate func(i int) bool
+	// IsOwnTurn tells whose turn it is at a server, nil where there are no turns. Yield is
 	// the number of servers that are left to others.
-	Mine  func(server string) bool
-	Yield int
+	IsOwnTurn func(server string) bool
+	Reserved  int
 }
 
 // Filter reports whether a server can take a request.
@@ -123,12 +123,12 @@
 	}
 }
 
-// Copies is the policy for the target of a copy of a run's memory. A copy across
+// CopyTarget is the policy for the target of a copy of a run's memory. A copy across
 // failure domains takes twice as long, and a server that leaves gives little
-// time: another domain is taken only where the own one has no room. Copies to one
+// time: another domain is taken only where the own one has no room. CopyTarget to one
 // server go one after the other, so one that others copy to already loses against a
 // fuller one.
-func Copies() Policy {
+func CopyTarget() Policy {
 	p := Direct()
 	p.Scorers = append(p.Scorers, Scorer{Weight: 0.6, Score: SameDomain}, Scorer{Weight: 1.5, Score: CopyWait})
 	return p
@@ -141,7 +141,7 @@
 func (p Policy) BestOf(draws int, r *Request, servers []Server, random uint64) int {
 	var buf [onStack]int
 	able, mine := p.able(r, servers, buf[:0])
-	if able <= r.Yield || len(mine) == 0 {
+	if able <= r.Reserved || len(mine) == 0 {
 		return -1
 	}
 	rng := rand.New(rand.NewPCG(random, random))
@@ -170,7 +170,7 @@
 func (p Policy) able(r *Request, servers []Server, mine []int) (int, []int) {
 	n := 0
 	for i := range servers {
-		if r.Own != nil && !r.Own(i) || !p.passes(r, &servers[i]) {
+		if r.IsCandidate != nil && !r.IsCandidate(i) || !p.passes(r, &servers[i]) {
 			continue
 		}
 		n++
@@ -181,7 +181,7 @@
 	return n, mine
 }
 
-func inTurn(r *Request, s *Server) bool { return r.Mine == nil || r.Mine(s.Name) }
+func inTurn(r *Request, s *Server) bool { return r.IsOwnTurn == nil || r.IsOwnTurn(s.Name) }
 
 // Pick returns the index in servers of the one to ask, or -1. Of two servers
 // drawn by random it takes the better one: with a view that lags, always taking
--- a/placement/scorers.go
+++ b/placement/scorers.go
@@ -14,7 +14,7 @@
 		return 0.5
 	}
 	used := float64(s.MemoryForecast) / float64(s.MemoryTotal)
-	free := 1 - used - sentCost*float64(s.Sent) - queueCost*float64(s.Queued)
+	free := 1 - used - sentCost*float64(s.SentSinceReport) - queueCost*float64(s.Queued)
 	return max(0, min(1, free))
 }
 
@@ -76,13 +76,13 @@
 	return -float64(s.CopyPending) / r.CopySpeed
 }
 
-// UsedOfAll is the part of their memory that the servers which stay have in use
+// MemoryUtilization is the part of their memory that the servers which stay have in use
 // together, 0 where none has a known memory. Of servers that are not the request's own what
 // is known is too little to count.
-func UsedOfAll(r *Request, servers []Server) float64 {
+func MemoryUtilization(r *Request, servers []Server) float64 {
 	used, total := 0.0, 0.0
 	for i := range servers {
-		if s := &servers[i]; !s.Leaving && !s.Cordoned && (r.Own == nil || r.Own(i)) {
+		if s := &servers[i]; !s.Leaving && !s.Cordoned && (r.IsCandidate == nil || r.IsCandidate(i)) {
 			used += float64(s.MemoryForecast)
 			total += float64(s.MemoryTotal)
 		}
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -60,19 +60,19 @@
 // Len counts the requests that are remembered.
 func (b *Tracker) Len() int { return len(b.records) }
 
-// Holds counts the requests that are refused.
-func (b *Tracker) Holds() int { return len(b.held) }
+// QuarantinedCount counts the requests that are refused.
+func (b *Tracker) QuarantinedCount() int { return len(b.held) }
 
-// Change is what a Book has learnt.
-type Change struct {
-	// News are the records that have changed, as they are now.
-	News []Record
-	// Held are the requests that are refused from now on, Freed those that no longer are.
-	Held, Freed []ID
+// Update is what a Book has learnt.
+type Update struct {
+	// Changed are the records that have changed, as they are now.
+	Changed []Record
+	// Quarantined are the requests that are refused from now on, Released those that no longer are.
+	Quarantined, Released []ID
 }
 
-// Ended notes that a life of a server has ended while requests ran there.
-func (b *Tracker) Ended(server uint64, at time.Duration, ran []ID) Change {
+// Crashed notes that a life of a server has ended while requests ran there.
+func (b *Tracker) Crashed(server uint64, at time.Duration, ran []ID) Update {
 	list := make([]Record, 0, len(ran))
 	for _, id := range ran {
 		list = append(list, Record{ID: id, Crashes: []Crash{{Incarnation: server, At: at}}})
@@ -80,17 +80,17 @@
 	return b.Merge(list)
 }
 
-// Absolve notes that a server has answered a request, or that an operator lifts its
+// Clear notes that a server has answered a request, or that an operator lifts its
 // verdict. It is no news where nothing is held against the request.
-func (b *Tracker) Absolve(id ID, at time.Duration) Change {
+func (b *Tracker) Clear(id ID, at time.Duration) Update {
 	if r := b.records[id]; r == nil || len(r.together(b.policy.Window)) == 0 {
-		return Change{}
+		return Update{}
 	}
 	return b.Merge([]Record{{ID: id, ClearedAt: at}})
 }
 
 // Merge takes records of this process or of others.
-func (b *Tracker) Merge(list []Record) Change {
+func (b *Tracker) Merge(list []Record) Update {
 	var news []*Record
 	for _, o := range list {
 		if r := b.take(o); r != nil {
@@ -98,16 +98,16 @@
 		}
 	}
 	if len(news) == 0 {
-		return Change{}
+		return Update{}
 	}
 	b.bound()
-	var c Change
+	var c Update
 	for _, r := range news {
 		if b.records[r.ID] == r {
-			c.News = append(c.News, r.clone())
+			c.Changed = append(c.Changed, r.clone())
 		}
 	}
-	c.Held, c.Freed = b.judge()
+	c.Quarantined, c.Released = b.judge()
 	return c
 }
 
@@ -124,9 +124,9 @@
 	return r
 }
 
-// Held reports whether a request is refused, and when to come back: after its term, or after
+// Quarantined reports whether a request is refused, and when to come back: after its term, or after
 // its next trial where it is held in doubt.
-func (b *Tracker) Held(id ID, now time.Duration) (left time.Duration, held bool) {
+func (b *Tracker) Quarantined(id ID, now time.Duration) (left time.Duration, held bool) {
 	v, held := b.held[id]
 	if !held {
 		return 0, false
@@ -141,9 +141,9 @@
 	return left, true
 }
 
-// Near reports whether a request would be refused, or already is, if one more server ended
+// NearThreshold reports whether a request would be refused, or already is, if one more server ended
 // under it.
-func (b *Tracker) Near(id ID) bool {
+func (b *Tracker) NearThreshold(id ID) bool {
 	r := b.records[id]
 	return r != nil && len(r.together(b.policy.Window)) >= b.policy.Ends-1
 }
@@ -156,8 +156,10 @@
 	return Record{ID: id}
 }
 
-// Convicts reports whether a record by itself has a request refused.
-func (b *Tracker) Convicts(r Record) bool { return len(r.together(b.policy.Window)) >= b.policy.Ends }
+// ReachesThreshold reports whether a record by itself has a request refused.
+func (b *Tracker) ReachesThreshold(r Record) bool {
+	return len(r.together(b.policy.Window)) >= b.policy.Ends
+}
 
 // Expired reports whether a record does not count any more.
 func (b *Tracker) Expired(r Record, now time.Duration) bool {
@@ -179,10 +181,10 @@
 
 // Expire forgets what does not count any more. What seems to lie far ahead is of a clock
 // that has begun anew.
-func (b *Tracker) Expire(now time.Duration) Change {
+func (b *Tracker) Expire(now time.Duration) Update {
 	maps.DeleteFunc(b.records, func(_ ID, r *Record) bool { return b.Expired(*r, now) })
-	var c Change
-	c.Held, c.Freed = b.judge()
+	var c Update
+	c.Quarantined, c.Released = b.judge()
 	return c
 }
 
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -11,25 +11,25 @@
 	"pgregory.net/rapid"
 )
 
-func request(name string) ID { return Of("team-"+name, "POST", "h", "/p", []byte(name)) }
+func request(name string) ID { return NewID("team-"+name, "POST", "h", "/p", []byte(name)) }
 
 // A request under which three servers have ended within the window is refused from the
 // third end on, for the term, and is tried again after it.
 func TestThirdEndConvicts(t *testing.T) {
 	p := Default()
 	b, id := NewTracker(p), request("a")
-	require.Empty(t, b.Ended(1, time.Second, []ID{id}).Held)
-	require.False(t, b.Near(id))
-	require.Empty(t, b.Ended(1, 2*time.Second, []ID{id}).Held, "the same life counts once")
-	require.Empty(t, b.Ended(2, 3*time.Second, []ID{id}).Held)
-	require.True(t, b.Near(id))
-	require.Equal(t, []ID{id}, b.Ended(3, 4*time.Second, []ID{id}).Held)
-	left, held := b.Held(id, 5*time.Second)
+	require.Empty(t, b.Crashed(1, time.Second, []ID{id}).Quarantined)
+	require.False(t, b.NearThreshold(id))
+	require.Empty(t, b.Crashed(1, 2*time.Second, []ID{id}).Quarantined, "the same life counts once")
+	require.Empty(t, b.Crashed(2, 3*time.Second, []ID{id}).Quarantined)
+	require.True(t, b.NearThreshold(id))
+	require.Equal(t, []ID{id}, b.Crashed(3, 4*time.Second, []ID{id}).Quarantined)
+	left, held := b.Quarantined(id, 5*time.Second)
 	require.True(t, held)
 	require.Equal(t, p.Term-time.Second, left)
-	_, held = b.Held(request("b"), 5*time.Second)
+	_, held = b.Quarantined(request("b"), 5*time.Second)
 	require.False(t, held, "another request")
-	_, held = b.Held(id, 4*time.Second+p.Term)
+	_, held = b.Quarantined(id, 4*time.Second+p.Term)
 	require.False(t, held, "the term is over")
 }
 
@@ -39,7 +39,7 @@
 	b, id := NewTracker(p), request("a")
 	for i := range 6 {
 		at := time.Duration(i) * (p.Window/2 + time.Minute)
-		require.Empty(t, b.Ended(uint64(i), at, []ID{id}).Held)
+		require.Empty(t, b.Crashed(uint64(i), at, []ID{id}).Quarantined)
 	}
 }
 
@@ -47,15 +47,15 @@
 // seen before it does not count any more, also when a process tells of it later.
 func TestAnsweredRequestIsAbsolved(t *testing.T) {
 	b, id := NewTracker(Default()), request("a")
-	b.Ended(1, 1*time.Second, []ID{id})
+	b.Crashed(1, 1*time.Second, []ID{id})
 	old := b.Record(id)
-	b.Ended(2, 2*time.Second, []ID{id})
-	b.Ended(3, 3*time.Second, []ID{id})
-	require.Equal(t, []ID{id}, b.Absolve(id, 4*time.Second).Freed)
-	require.Empty(t, b.Merge([]Record{old}).News, "older than the answer")
-	b.Ended(4, 5*time.Second, []ID{id})
-	require.Empty(t, b.Ended(5, 6*time.Second, []ID{id}).Held)
-	require.Equal(t, []ID{id}, b.Ended(6, 7*time.Second, []ID{id}).Held)
+	b.Crashed(2, 2*time.Second, []ID{id})
+	b.Crashed(3, 3*time.Second, []ID{id})
+	require.Equal(t, []ID{id}, b.Clear(id, 4*time.Second).Released)
+	require.Empty(t, b.Merge([]Record{old}).Changed, "older than the answer")
+	b.Crashed(4, 5*time.Second, []ID{id})
+	require.Empty(t, b.Crashed(5, 6*time.Second, []ID{id}).Quarantined)
+	require.Equal(t, []ID{id}, b.Crashed(6, 7*time.Second, []ID{id}).Quarantined)
 }
 
 // A request that many make runs on each server that ends under either of two harmful ones,
@@ -67,7 +67,7 @@
 	var held []ID
 	for s := range uint64(6) {
 		at := time.Duration(1+s) * time.Second
-		held = append(held, b.Ended(s, at, []ID{popular, harmful[s%2]}).Held...)
+		held = append(held, b.Crashed(s, at, []ID{popular, harmful[s%2]}).Quarantined...)
 	}
 	require.Equal(t, popular, held[0])
 	require.ElementsMatch(t, append(harmful, popular), held)
@@ -78,21 +78,21 @@
 // chance. It is held, in doubt, and served again once it has shown that it is harmless.
 func TestRequestBesideAHarmfulOneIsTried(t *testing.T) {
 	b, harmful, beside := NewTracker(Default()), request("harmful"), request("beside")
-	b.Ended(1, 1*time.Second, []ID{harmful, beside})
-	b.Ended(2, 2*time.Second, []ID{harmful, beside})
-	b.Ended(3, 3*time.Second, []ID{harmful})
-	require.Equal(t, []ID{beside}, b.Ended(4, 4*time.Second, []ID{beside}).Held)
+	b.Crashed(1, 1*time.Second, []ID{harmful, beside})
+	b.Crashed(2, 2*time.Second, []ID{harmful, beside})
+	b.Crashed(3, 3*time.Second, []ID{harmful})
+	require.Equal(t, []ID{beside}, b.Crashed(4, 4*time.Second, []ID{beside}).Quarantined)
 	require.True(t, triedFrom(b, beside, 10*time.Second))
-	require.Equal(t, []ID{beside}, b.Absolve(beside, 12*time.Second).Freed)
+	require.Equal(t, []ID{beside}, b.Clear(beside, 12*time.Second).Released)
 }
 
 // Two requests that ran on the same three servers cannot be told apart; both are refused, or
 // the harmful one might go on.
 func TestRequestsWithTheSameEndsAreAllHeld(t *testing.T) {
 	b, x, y := NewTracker(Default()), request("x"), request("y")
-	b.Ended(1, 1*time.Second, []ID{x, y})
-	b.Ended(2, 2*time.Second, []ID{x, y})
-	require.ElementsMatch(t, []ID{x, y}, b.Ended(3, 3*time.Second, []ID{x, y}).Held)
+	b.Crashed(1, 1*time.Second, []ID{x, y})
+	b.Crashed(2, 2*time.Second, []ID{x, y})
+	require.ElementsMatch(t, []ID{x, y}, b.Crashed(3, 3*time.Second, []ID{x, y}).Quarantined)
 }
 
 // Attempts that were under way end further servers after the verdict. These are no ends under
@@ -100,7 +100,7 @@
 func TestEndsAfterTheVerdictAreNoTrials(t *testing.T) {
 	b, harmful, beside := NewTracker(Default()), request("harmful"), request("beside")
 	for i := uint64(1); i <= 2*keptEnds; i++ {
-		b.Ended(i, time.Duration(i)*time.Second, []ID{harmful, beside})
+		b.Crashed(i, time.Duration(i)*time.Second, []ID{harmful, beside})
 	}
 	for _, id := range []ID{harmful, beside} {
 		require.True(t, triedFrom(b, id, time.Minute))
@@ -113,19 +113,19 @@
 	p := Default()
 	b, other := NewTracker(p), request("other")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s), []ID{other})
+		b.Crashed(s, time.Duration(1+s), []ID{other})
 	}
 	for i := range 10000 {
-		b.Ended(uint64(100+i), time.Duration(100+i), []ID{Of("flood", "POST", "h", "/p", fmt.Append(nil, i))})
+		b.Crashed(uint64(100+i), time.Duration(100+i), []ID{NewID("flood", "POST", "h", "/p", fmt.Append(nil, i))})
 	}
 	require.LessOrEqual(t, b.Len(), p.PerTeam+1)
-	_, held := b.Held(other, 20000)
+	_, held := b.Quarantined(other, 20000)
 	require.True(t, held)
 	for i := range 3000 {
-		b.Ended(uint64(20000+i), time.Duration(20000+i), []ID{Of(fmt.Sprint("team", i), "POST", "h", "/p", nil)})
+		b.Crashed(uint64(20000+i), time.Duration(20000+i), []ID{NewID(fmt.Sprint("team", i), "POST", "h", "/p", nil)})
 	}
 	require.LessOrEqual(t, b.Len(), p.Records)
-	_, held = b.Held(other, 30000)
+	_, held = b.Quarantined(other, 30000)
 	require.True(t, held)
 }
 
@@ -133,9 +133,9 @@
 func TestRecordsExpire(t *testing.T) {
 	p := Default()
 	b := NewTracker(p)
-	b.Ended(1, time.Minute, []ID{request("old")})
-	b.Ended(2, 10*p.Window, []ID{request("ahead")})
-	b.Ended(3, p.Window, []ID{request("new")})
+	b.Crashed(1, time.Minute, []ID{request("old")})
+	b.Crashed(2, 10*p.Window, []ID{request("ahead")})
+	b.Crashed(3, p.Window, []ID{request("new")})
 	b.Expire(time.Minute + p.Window)
 	require.Equal(t, 1, b.Len())
 }
@@ -165,13 +165,13 @@
 
 func (e event) happen(b *Tracker) []Record {
 	if e.try {
-		c, _ := b.Try(e.ran[0], e.at+time.Minute)
-		return c.News
+		c, _ := b.StartTrial(e.ran[0], e.at+time.Minute)
+		return c.Changed
 	}
 	if e.answer {
-		return b.Absolve(e.ran[0], e.at).News
+		return b.Clear(e.ran[0], e.at).Changed
 	}
-	return b.Ended(e.server, e.at, e.ran).News
+	return b.Crashed(e.server, e.at, e.ran).Changed
 }
 
 // Processes see different ends and tell each other in any order, several times, and with
@@ -203,7 +203,7 @@
 			require.Equal(t, books[0].held, b.held)
 		}
 		for _, r := range told {
-			require.Empty(t, books[0].Merge([]Record{r}).News)
+			require.Empty(t, books[0].Merge([]Record{r}).Changed)
 		}
 	})
 }
@@ -216,22 +216,22 @@
 	p := Default()
 	b, popular, harmful := NewTracker(p), request("popular"), request("harmful")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{popular, harmful})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{popular, harmful})
 	}
 	at := 3*time.Second + p.TrialAfter
-	_, tried := b.Try(popular, at-time.Millisecond)
+	_, tried := b.StartTrial(popular, at-time.Millisecond)
 	require.False(t, tried, "ends may still come in")
 	require.True(t, triedFrom(b, popular, at))
 	require.False(t, triedWithin(b, popular, at+waitsMost, 2*p.TrialAfter-waitsMost), "a trial is on its way")
 	require.True(t, triedFrom(b, harmful, at))
-	b.Ended(8, at+2*time.Second, []ID{harmful})
+	b.Crashed(8, at+2*time.Second, []ID{harmful})
 	at += 5 * p.TrialAfter
 	require.True(t, triedFrom(b, popular, at))
 	require.True(t, triedFrom(b, harmful, at))
-	b.Ended(9, at+2*time.Second, []ID{harmful})
+	b.Crashed(9, at+2*time.Second, []ID{harmful})
 	require.False(t, triedFrom(b, harmful, at+time.Minute), "servers end under its trials")
-	require.Equal(t, []ID{popular}, b.Absolve(popular, at+2*time.Second).Freed)
-	_, held := b.Held(harmful, at+time.Minute)
+	require.Equal(t, []ID{popular}, b.Clear(popular, at+2*time.Second).Released)
+	_, held := b.Quarantined(harmful, at+time.Minute)
 	require.True(t, held)
 	require.False(t, triedFrom(b, harmful, at+time.Minute))
 }
@@ -242,17 +242,17 @@
 	p := Default()
 	b, x, y, sole := NewTracker(p), request("x"), request("y"), request("sole")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
-		b.Ended(100+s, time.Duration(1+s)*time.Second, []ID{sole})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{x, y})
+		b.Crashed(100+s, time.Duration(1+s)*time.Second, []ID{sole})
 	}
-	left, held := b.Held(x, 3*time.Second)
+	left, held := b.Quarantined(x, 3*time.Second)
 	require.True(t, held)
 	require.Equal(t, p.TrialAfter+p.TrialApart, left)
 	require.True(t, triedFrom(b, x, 3*time.Second+p.TrialAfter))
-	left, held = b.Held(x, 3*time.Second+p.TrialAfter)
+	left, held = b.Quarantined(x, 3*time.Second+p.TrialAfter)
 	require.True(t, held)
 	require.Less(t, left, 2*p.TrialAfter+2*p.TrialApart)
-	left, held = b.Held(sole, 3*time.Second)
+	left, held = b.Quarantined(sole, 3*time.Second)
 	require.True(t, held)
 	require.Equal(t, p.Term, left)
 }
@@ -264,7 +264,7 @@
 	b := NewTracker(p)
 	x, y := request("x"), request("y")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{x, y})
 	}
 	at := 10 * time.Second
 	for !firstTried(b, x, y, at) {
@@ -277,17 +277,17 @@
 	}
 	require.Empty(t, b.Record(second).Trials)
 	for later := at; later < at+p.TrialApart; later += time.Millisecond {
-		_, tried := b.Try(second, later)
+		_, tried := b.StartTrial(second, later)
 		require.False(t, tried, "%v after the trial of the other", later-at)
 	}
-	require.Equal(t, []ID{first}, b.Absolve(first, at+p.TrialApart).Freed)
+	require.Equal(t, []ID{first}, b.Clear(first, at+p.TrialApart).Released)
 	require.True(t, triedFrom(b, second, at+p.TrialApart))
 }
 
 func firstTried(b *Tracker, x, y ID, at time.Duration) bool {
-	_, tried := b.Try(x, at)
+	_, tried := b.StartTrial(x, at)
 	if !tried {
-		_, tried = b.Try(y, at)
+		_, tried = b.StartTrial(y, at)
 	}
 	return tried
 }
@@ -303,7 +303,7 @@
 
 func triedWithin(b *Tracker, id ID, from, lasts time.Duration) bool {
 	for at := from; at < from+lasts; at += trialTurn / 5 {
-		if _, tried := b.Try(id, at); tried {
+		if _, tried := b.StartTrial(id, at); tried {
 			return true
 		}
 	}
@@ -315,10 +315,10 @@
 func TestAbsolvedRequestLeavesTheOthersDoubt(t *testing.T) {
 	b, x, y := NewTracker(Default()), request("x"), request("y")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{x, y})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{x, y})
 	}
 	require.True(t, triedFrom(b, x, 10*time.Second))
-	require.Equal(t, []ID{x}, b.Absolve(x, 12*time.Second).Freed)
+	require.Equal(t, []ID{x}, b.Clear(x, 12*time.Second).Released)
 	require.True(t, triedFrom(b, y, 12*time.Second))
 }
 
@@ -326,9 +326,9 @@
 // did not end alone, and is not held yet. The first must be tried.
 func TestDoubtByOneThatIsNotHeldYet(t *testing.T) {
 	b, popular, harmful := NewTracker(Default()), request("popular"), request("harmful")
-	b.Ended(1, time.Second, []ID{popular})
-	b.Ended(2, 2*time.Second, []ID{popular, harmful})
-	require.Equal(t, []ID{popular}, b.Ended(3, 3*time.Second, []ID{popular, harmful}).Held)
+	b.Crashed(1, time.Second, []ID{popular})
+	b.Crashed(2, 2*time.Second, []ID{popular, harmful})
+	require.Equal(t, []ID{popular}, b.Crashed(3, 3*time.Second, []ID{popular, harmful}).Quarantined)
 	require.True(t, triedFrom(b, popular, 10*time.Second))
 }
 
@@ -336,7 +336,7 @@
 func TestVerdictsWithoutDoubtAreNotTried(t *testing.T) {
 	b, harmful := NewTracker(Default()), request("harmful")
 	for s := range uint64(3) {
-		b.Ended(s, time.Duration(1+s)*time.Second, []ID{harmful, request(string('a' + rune(s)))})
+		b.Crashed(s, time.Duration(1+s)*time.Second, []ID{harmful, request(string('a' + rune(s)))})
 	}
 	require.False(t, triedFrom(b, harmful, time.Minute))
 }
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -14,10 +14,10 @@
 const Count = 2
 
 const (
-	// Lapse is the age of a reader's last answer from which it is not counted on: its calls
+	// AnswerTimeout is the age of a reader's last answer from which it is not counted on: its calls
 	// wait for a second, and what it says of itself reaches all others within 0.4 s over
 	// two or three links.
-	Lapse = 1800 * time.Millisecond
+	AnswerTimeout = 1800 * time.Millisecond
 	// volunteersPerSecond bounds how many processes in all try the store when there are
 	// too few readers. The first one tries after 50 ms on average, and what it hears
 	// reaches the others before many have tried too; each for itself would call.
@@ -35,8 +35,8 @@
 	Name, FailureDomain string
 	// LinkMbps is its bandwidth in Mbit/s, 0 if it is not known.
 	LinkMbps float64
-	// Answered is the store's steady clock when the store last answered it.
-	Answered time.Duration
+	// AnsweredAt is the store's steady clock when the store last answered it.
+	AnsweredAt time.Duration
 }
 
 // Choose picks those that read the store for all, by the same rule everywhere.
@@ -60,9 +60,9 @@
 	return live[:Count]
 }
 
-// First picks n of many processes that read the store first when all start: those that would
+// InitialReaders picks n of many processes that read the store first when all start: those that would
 // be chosen, and those that would be chosen without them, and so on.
-func First(all []Reader, n int) (out []Reader) {
+func InitialReaders(all []Reader, n int) (out []Reader) {
 	rest := slices.Clone(all)
 	for len(out) < n && len(rest) > 0 {
 		for _, c := range Choose(rest) {
@@ -85,29 +85,29 @@
 // NewRole returns the role of a process that does not read yet.
 func NewRole(self Reader) *Role { return &Role{self: self, others: make(map[string]Reader)} }
 
-// Reading reports whether the process reads the store.
-func (r *Role) Reading() bool { return r.reading }
+// IsReading reports whether the process reads the store.
+func (r *Role) IsReading() bool { return r.reading }
 
-// Hear takes what another process knows.
-func (r *Role) Hear(list []Reader, now time.Duration) {
+// AddReports takes what another process knows.
+func (r *Role) AddReports(list []Reader, now time.Duration) {
 	for _, o := range list {
-		if o.Name == r.self.Name || !fresh(o, now) || o.Answered > now+ahead {
+		if o.Name == r.self.Name || !fresh(o, now) || o.AnsweredAt > now+ahead {
 			continue
 		}
-		if known, ok := r.others[o.Name]; !ok || o.Answered > known.Answered {
+		if known, ok := r.others[o.Name]; !ok || o.AnsweredAt > known.AnsweredAt {
 			r.others[o.Name] = o
 		}
 	}
 }
 
-func fresh(o Reader, now time.Duration) bool { return now-o.Answered < Lapse }
+func fresh(o Reader, now time.Duration) bool { return now-o.AnsweredAt < AnswerTimeout }
 
 // Readers lists those that read the store, as far as it is known here: what is told to
 // others. answered is when the store last answered this process.
 func (r *Role) Readers(now, answered time.Duration) []Reader {
 	list := r.alive(now)
 	self := r.self
-	self.Answered = answered
+	self.AnsweredAt = answered
 	if r.reading && fresh(self, now) {
 		list = append(list, self)
 	}
@@ -126,26 +126,26 @@
 	return out
 }
 
-// Look is what a decision rests on beside what was heard.
-type Look struct {
+// Inputs is what a decision rests on beside what was heard.
+type Inputs struct {
 	// Now is the store's steady clock, as near as it is known here.
 	Now time.Duration
-	// Reached says that the store answered the last call of this process.
-	Reached bool
-	// Crowd is how many processes are in the same place, this one included: those that it
+	// StoreReached says that the store answered the last call of this process.
+	StoreReached bool
+	// ProcessCount is how many processes are in the same place, this one included: those that it
 	// knows, by the part of its links that it hears something on. One that hears nobody
 	// is alone.
-	Crowd float64
-	// Draw is drawn from [0, 1).
-	Draw float64
+	ProcessCount float64
+	// Random is drawn from [0, 1).
+	Random float64
 }
 
-// Reads decides whether this process reads the store. One that does goes on until two
+// ShouldRead decides whether this process reads the store. One that does goes on until two
 // better ones do, or until the store fails it. Another begins where there are too few
 // readers, or where it is better than one of them; of many that could, few try at a time.
-func (r *Role) Reads(l Look) bool {
+func (r *Role) ShouldRead(l Inputs) bool {
 	others := r.alive(l.Now)
-	if r.reading && !l.Reached {
+	if r.reading && !l.StoreReached {
 		r.reading = false
 	}
 	if r.reading {
@@ -160,14 +160,14 @@
 	return r.volunteer(l)
 }
 
-// Turn decides whether this process tries the store although others seem to read it: it
+// MayTryStore decides whether this process tries the store although others seem to read it: it
 // hears nothing of what they read.
-func (r *Role) Turn(l Look) bool { return r.reading || r.volunteer(l) }
+func (r *Role) MayTryStore(l Inputs) bool { return r.reading || r.volunteer(l) }
 
-func (r *Role) volunteer(l Look) bool {
+func (r *Role) volunteer(l Inputs) bool {
 	since := min(max(l.Now-r.looked, 0), longestLook)
 	r.looked = l.Now
-	r.reading = l.Crowd <= 1 || l.Draw < volunteersPerSecond*since.Seconds()/l.Crowd
+	r.reading = l.ProcessCount <= 1 || l.Random < volunteersPerSecond*since.Seconds()/l.ProcessCount
 	return r.reading
 }
 
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -95,7 +95,7 @@
 			f.look(i, r)
 			for _, j := range f.links[i] {
 				if !f.dead[j] && f.rng.IntN(3) == 0 {
-					f.roles[j].Hear(r.Readers(f.now, f.answered[i]), f.now)
+					f.roles[j].AddReports(r.Readers(f.now, f.answered[i]), f.now)
 				}
 			}
 		}
@@ -103,9 +103,9 @@
 }
 
 func (f *fleet) look(i int, r *Role) {
-	was := r.Reading()
+	was := r.IsReading()
 	reached := !(was && f.unreached[i])
-	reads := r.Reads(Look{Now: f.now, Reached: reached, Crowd: float64(f.alive()), Draw: f.rng.Float64()})
+	reads := r.ShouldRead(Inputs{Now: f.now, StoreReached: reached, ProcessCount: float64(f.alive()), Random: f.rng.Float64()})
 	if reads && !was {
 		f.tried[i]++
 	}
@@ -125,7 +125,7 @@
 
 func (f *fleet) reading() (out []Reader) {
 	for i, r := range f.roles {
-		if r.Reading() && !f.dead[i] {
+		if r.IsReading() && !f.dead[i] {
 			out = append(out, r.self)
 		}
 	}
@@ -169,10 +169,10 @@
 			f := newFleet(n, seed)
 			f.play(3 * time.Second)
 			for i, r := range f.roles {
-				f.dead[i] = r.Reading()
+				f.dead[i] = r.IsReading()
 			}
 			before := f.tries()
-			f.play(Lapse + 500*time.Millisecond)
+			f.play(AnswerTimeout + 500*time.Millisecond)
 			require.NotEmpty(t, f.reading(), "%d processes", n)
 			f.play(2 * time.Second)
 			require.Len(t, f.reading(), Count)
@@ -208,25 +208,25 @@
 	f := newFleet(103, 3)
 	f.play(3 * time.Second)
 	for i, r := range f.roles {
-		f.unreached[i] = r.Reading()
+		f.unreached[i] = r.IsReading()
 	}
 	f.play(3 * time.Second)
 	require.Len(t, f.reading(), Count)
 	for i, r := range f.roles {
-		require.False(t, f.unreached[i] && r.Reading())
+		require.False(t, f.unreached[i] && r.IsReading())
 	}
 }
 
 // A process that no other reaches reads for itself at once.
 func TestLoneProcessReads(t *testing.T) {
 	r := NewRole(reader("a", "z", 10))
-	require.True(t, r.Reads(Look{Now: time.Minute, Reached: true, Crowd: 1, Draw: 0.99}))
+	require.True(t, r.ShouldRead(Inputs{Now: time.Minute, StoreReached: true, ProcessCount: 1, Random: 0.99}))
 }
 
 // What is told of a reader from before the store's clock began anew looks newer than
 // anything: it must not be counted on for ever.
 func TestReadersOfAnotherClockAreNotBelieved(t *testing.T) {
 	r := NewRole(reader("a", "z", 10))
-	r.Hear([]Reader{{Name: "b", Answered: time.Hour}, {Name: "c", Answered: time.Hour}}, time.Minute)
+	r.AddReports([]Reader{{Name: "b", AnsweredAt: time.Hour}, {Name: "c", AnsweredAt: time.Hour}}, time.Minute)
 	require.Empty(t, r.Readers(time.Minute, 0))
 }
--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -16,7 +16,7 @@
 
 // drawContent draws a small version, so that versions share routes, teams and keys.
 func drawContent(t *rapid.T, version uint64) Content {
-	c := Content{Version: version, Keyed: true, Services: []*Service{{Name: "s"}}}
+	c := Content{Version: version, KeysRequired: true, Services: []*Service{{Name: "s"}}}
 	for i := range 6 {
 		if rapid.Bool().Draw(t, "route") {
 			c.Routes = append(c.Routes, &Route{
@@ -60,7 +60,7 @@
 	}
 	for k := range 4 {
 		key := fmt.Sprint("k", k)
-		require.Equal(t, want.Team(key), got.Team(key), key)
+		require.Equal(t, want.TeamByKey(key), got.TeamByKey(key), key)
 	}
 }
 
@@ -76,20 +76,20 @@
 			if rapid.IntRange(0, 2).Draw(t, "missed") == 0 {
 				continue
 			}
-			ch := reader.Since(follower.Version())
+			ch := reader.ChangeSince(follower.Version())
 			head := *ch
-			head.Drop, head.Set = nil, nil
+			head.DropRoutes, head.SetRoutes = nil, nil
 			u, err := follower.Begin(&head)
 			require.NoError(t, err)
-			half := rapid.IntRange(0, len(ch.Set)).Draw(t, "part")
-			u.Add(ch.Drop, ch.Set[:half])
-			u.Add(nil, ch.Set[half:])
+			half := rapid.IntRange(0, len(ch.SetRoutes)).Draw(t, "part")
+			u.Add(ch.DropRoutes, ch.SetRoutes[:half])
+			u.Add(nil, ch.SetRoutes[half:])
 			ok, err := follower.Commit(u)
 			require.NoError(t, err)
 			require.True(t, ok)
 			got, _ := follower.Current()
 			requireSame(t, New(content), got)
-			require.Nil(t, reader.Since(follower.Version()))
+			require.Nil(t, reader.ChangeSince(follower.Version()))
 		}
 	})
 }
@@ -124,18 +124,18 @@
 	r := NewReplica()
 	old, extra := &Route{Host: "h", Prefix: "/a/"}, &Route{Host: "h", Prefix: "/b/"}
 	both := []*Team{{Name: "t", Keys: []string{"kept", "taken"}}}
-	r.Put(Content{Version: 1, Routes: []*Route{old}, Teams: both, Keyed: true}, atOnce)
+	r.Put(Content{Version: 1, Routes: []*Route{old}, Teams: both, KeysRequired: true}, atOnce)
 	_, err := r.Begin(&Change{Version: 2, SetTeams: []*Team{{Name: "t", Keys: []string{"kept", "new"}}}})
 	require.NoError(t, err)
 	c, _ := r.Current()
 	require.EqualValues(t, 1, c.Version)
-	require.Nil(t, c.Team("taken"))
-	require.NotNil(t, c.Team("kept"))
-	require.Nil(t, c.Team("new"))
+	require.Nil(t, c.TeamByKey("taken"))
+	require.NotNil(t, c.TeamByKey("kept"))
+	require.Nil(t, c.TeamByKey("new"))
 	require.NotNil(t, c.Match("h", "/a/x"))
-	r.Put(Content{Version: 3, Routes: []*Route{old, extra}, Teams: both, Keyed: true}, atOnce)
+	r.Put(Content{Version: 3, Routes: []*Route{old, extra}, Teams: both, KeysRequired: true}, atOnce)
 	c, _ = r.Current()
-	require.NotNil(t, c.Team("taken"))
+	require.NotNil(t, c.TeamByKey("taken"))
 	require.NotNil(t, c.Match("h", "/b/x"))
 }
 
@@ -182,7 +182,7 @@
 	for i := range n {
 		routes = append(routes, &Route{
 			Name: fmt.Sprint("r-", i), Host: fmt.Sprintf("h%d.example", i%4), Prefix: fmt.Sprintf("/p%d/", i*7919),
-			Kind: Idempotent, Timeout: time.Second, Target: 150 * time.Millisecond, Servers: 2, Split: []Weighted{{"s", 1}},
+			Kind: Idempotent, Timeout: time.Second, TargetLatency: 150 * time.Millisecond, MaxServers: 2, Split: []Weighted{{"s", 1}},
 		})
 	}
 	return routes
@@ -196,7 +196,7 @@
 	for _, n := range []int{1000, 5000, 20000} {
 		all := grown(n + 100)
 		base := New(Content{Version: 1, Routes: all[:n]})
-		ch := &Change{Base: 1, Version: 2, Set: all[n:]}
+		ch := &Change{Base: 1, Version: 2, SetRoutes: all[n:]}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				if _, err := base.Apply(ch); err != nil {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -18,8 +18,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// Once marks requests that run at most once for each attempt of the caller.
-	Once
+	// AtMostOnce marks requests that run at most once for each attempt of the caller.
+	AtMostOnce
 	// Stream marks generations: a series of numbered events. Unless the route is
 	// resumable they run at most once.
 	Stream
@@ -30,7 +30,7 @@
 	switch k {
 	case Idempotent:
 		return "idempotent"
-	case Once:
+	case AtMostOnce:
 		return "once"
 	}
 	return "stream"
@@ -51,16 +51,16 @@
 	Kind   Kind
 	// Timeout is the longest that a caller may be kept waiting; 0 is no bound.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, within
+	// TargetLatency is the time to the answer, or to a stream's first event, within
 	// which it is on time.
-	Target time.Duration
+	TargetLatency time.Duration
 	// MaxPause is the longest pause between two events of a stream on time.
 	MaxPause time.Duration
-	// Silence is how long callers wait for the first or the next event of a stream
+	// EventTimeout is how long callers wait for the first or the next event of a stream
 	// before they leave; 0 if they do not.
-	Silence time.Duration
-	// Servers is the most backend servers that may run one attempt of a caller.
-	Servers int
+	EventTimeout time.Duration
+	// MaxServers is the most backend servers that may run one attempt of a caller.
+	MaxServers int
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
 	// Public routes need no key.
@@ -78,8 +78,8 @@
 		return true
 	}
 	return r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Kind == o.Kind &&
-		r.Timeout == o.Timeout && r.Target == o.Target && r.MaxPause == o.MaxPause && r.Silence == o.Silence &&
-		r.Servers == o.Servers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
+		r.Timeout == o.Timeout && r.TargetLatency == o.TargetLatency && r.MaxPause == o.MaxPause && r.EventTimeout == o.EventTimeout &&
+		r.MaxServers == o.MaxServers && r.Priority == o.Priority && r.Public == o.Public && r.Resumable == o.Resumable &&
 		slices.Equal(r.Split, o.Split) && slices.Equal(r.Regions, o.Regions)
 }
 
@@ -89,8 +89,8 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a draw in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService returns the service for a draw in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, w := range r.Split {
 		total += w.Weight
@@ -120,8 +120,8 @@
 	LinkMbps float64
 	// TokensPerEvent is the number of tokens that one event holds.
 	TokensPerEvent int
-	// Moves and Backups say what the engines can do with a run's memory.
-	Moves, Backups bool
+	// SupportsMigration and SupportsStandby say what the engines can do with a run's memory.
+	SupportsMigration, SupportsStandby bool
 	// CopyTTL is how long a copy waits to be used.
 	CopyTTL time.Duration
 }
@@ -159,13 +159,13 @@
 	Name string
 	Keys []string
 	// Priority goes before the route's if Ranked.
-	Priority int
-	Ranked   bool
+	Priority    int
+	HasPriority bool
 	// Regions are where the team's requests may run.
 	Regions Regions
 }
 
 // equal reports whether two teams say the same.
 func (t *Team) equal(o *Team) bool {
-	return t == o || t.Name == o.Name && t.Priority == o.Priority && t.Ranked == o.Ranked && slices.Equal(t.Keys, o.Keys) && slices.Equal(t.Regions, o.Regions)
+	return t == o || t.Name == o.Name && t.Priority == o.Priority && t.HasPriority == o.HasPriority && slices.Equal(t.Keys, o.Keys) && slices.Equal(t.Regions, o.Regions)
 }
--- a/sched/forecasting.go
+++ b/sched/forecasting.go
@@ -13,7 +13,7 @@
 type Forecasting struct {
 	cfg    Config
 	teams  map[string]*team
-	models map[string]*forecast.Lengths
+	models map[string]*forecast.LengthHistogram
 	// waiting are the teams with a queue, in no order.
 	waiting []*team
 	paused  []*Job
@@ -34,7 +34,7 @@
 	queue   []*Job
 	running int
 	mem     memory
-	lengths map[string]*forecast.Lengths
+	lengths map[string]*forecast.LengthHistogram
 	// seen is when the team last had work; teams not seen for long have no
 	// share.
 	seen   time.Duration
@@ -51,14 +51,14 @@
 	return &Forecasting{
 		cfg:    cfg.withDefaults(),
 		teams:  make(map[string]*team),
-		models: make(map[string]*forecast.Lengths),
+		models: make(map[string]*forecast.LengthHistogram),
 	}
 }
 
 func (p *Forecasting) team(j *Job) *team {
 	t := p.teams[j.Team]
 	if t == nil {
-		t = &team{name: j.Team, lengths: make(map[string]*forecast.Lengths)}
+		t = &team{name: j.Team, lengths: make(map[string]*forecast.LengthHistogram)}
 		p.teams[j.Team] = t
 	}
 	weight := max(1, float64(j.Weight))
@@ -74,17 +74,17 @@
 	return t
 }
 
-func (p *Forecasting) lengths(t *team, model string) *forecast.Lengths {
+func (p *Forecasting) lengths(t *team, model string) *forecast.LengthHistogram {
 	l := t.lengths[model]
 	if l != nil {
 		return l
 	}
 	prior := p.models[model]
 	if prior == nil {
-		prior = forecast.NewLengths(nil)
+		prior = forecast.NewLengthHistogram(nil)
 		p.models[model] = prior
 	}
-	l = forecast.NewLengths(prior)
+	l = forecast.NewLengthHistogram(prior)
 	t.lengths[model] = l
 	return l
 }
@@ -97,7 +97,7 @@
 // over is how far a team's use exceeds its share, as a fraction of it; the
 // expected memory of extra is counted in.
 func (p *Forecasting) over(t *team, extra float64) float64 {
-	if p.cfg.Off.Shares {
+	if p.cfg.Disabled.Shares {
 		return 0
 	}
 	return (t.mem.mean[shareHorizon]+extra)/p.share(t) - 1
@@ -108,20 +108,20 @@
 	p.now = now
 	t := p.team(j)
 	j.team = t
-	j.emitted = j.Emitted
+	j.emitted = j.EmittedBefore
 	j.arrived = now
 	j.contrib = p.contribution(j)
-	if wait := p.wait(t, j); !p.cfg.Off.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
+	if wait := p.wait(t, j); !p.cfg.Disabled.Refusal && !j.Urgent && wait > p.cfg.MaxWait {
 		j.state = stateDone
-		return Decision{Verdict: Refuse, RetryAfter: p.retryAfter(j, wait)}
+		return Decision{Admission: Refused, RetryAfter: p.retryAfter(j, wait)}
 	}
 	j.state = stateQueued
 	p.enqueue(t, j)
-	return Decision{Verdict: Queue}
+	return Decision{Admission: Queued}
 }
 
 func (p *Forecasting) contribution(j *Job) contribution {
-	if p.cfg.Off.Forecast {
+	if p.cfg.Disabled.Forecast {
 		return flat(j)
 	}
 	return contribute(p.lengths(j.team, j.Model), j.PromptTokens, j.emitted, j.MaxTokens)
@@ -131,7 +131,7 @@
 func flat(j *Job) contribution {
 	c := contribution{at: j.emitted}
 	for k := range horizons {
-		c.mean[k] = float64(j.Context() + 1)
+		c.mean[k] = float64(j.ContextTokens() + 1)
 	}
 	return c
 }
@@ -194,8 +194,8 @@
 	j.started = p.now
 	j.contrib = p.contribution(j)
 	p.count(j, 1)
-	p.mem.used += j.Context()
-	j.team.mem.used += j.Context()
+	p.mem.used += j.ContextTokens()
+	j.team.mem.used += j.ContextTokens()
 	j.team.running++
 	j.team.seen = p.now
 	p.running = append(p.running, j)
@@ -205,15 +205,15 @@
 // leave ends the counting of j as running.
 func (p *Forecasting) leave(j *Job) {
 	p.count(j, -1)
-	p.mem.used -= j.Context()
-	j.team.mem.used -= j.Context()
+	p.mem.used -= j.ContextTokens()
+	j.team.mem.used -= j.ContextTokens()
 	j.team.running--
 	p.stats.Running--
 	i := slices.Index(p.running, j)
 	last := len(p.running) - 1
 	p.running[i] = p.running[last]
 	p.running = p.running[:last]
-	p.drain.add(p.now, float64(j.Context()))
+	p.drain.add(p.now, float64(j.ContextTokens()))
 	if p.stats.Running == 0 {
 		p.mem = memory{}
 	}
@@ -223,7 +223,7 @@
 func (p *Forecasting) Adopt(now time.Duration, j *Job) {
 	p.now = now
 	j.team = p.team(j)
-	j.emitted = j.Emitted
+	j.emitted = j.EmittedBefore
 	j.arrived = now
 	p.begin(j)
 }
--- a/sched/forecasting_test.go
+++ b/sched/forecasting_test.go
@@ -25,11 +25,11 @@
 
 func (w *world) offer(j *Job, length int) {
 	w.length[j] = length
-	if w.p.Offer(w.now, j).Verdict == Refuse {
+	if w.p.Offer(w.now, j).Admission == Refused {
 		w.ended++
 		return
 	}
-	w.queued[j] = j.Emitted
+	w.queued[j] = j.EmittedBefore
 }
 
 // step lets time pass, every active job emit n tokens, and the policy act.
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, act := range w.p.Tick(w.now, nil) {
-		switch act.Verb {
+		switch act.Kind {
 		case Start:
 			emitted, ok := w.queued[act.Job]
 			require.True(t, ok, "started a job that does not wait")
@@ -57,7 +57,7 @@
 			require.True(t, ok, "paused a job that does not run")
 			delete(w.active, act.Job)
 			w.queued[act.Job] = emitted
-		case GiveUp:
+		case Expire:
 			_, ok := w.queued[act.Job]
 			require.True(t, ok, "gave up a job that does not wait")
 			require.Zero(t, act.Job.started, "gave up a job that has run")
--- a/sched/refuse.go
+++ b/sched/refuse.go
@@ -44,7 +44,7 @@
 
 // giveUp answers jobs that have waited too long, at once and never later.
 func (p *Forecasting) giveUp(acts []Action) []Action {
-	if p.cfg.Off.Refusal {
+	if p.cfg.Disabled.Refusal {
 		return acts
 	}
 	for i := len(p.waiting) - 1; i >= 0; i-- {
@@ -57,7 +57,7 @@
 			wait := p.wait(t, j)
 			p.dequeue(t, j)
 			j.state = stateDone
-			acts = append(acts, Action{Verb: GiveUp, Job: j, RetryAfter: p.retryAfter(j, max(wait, time.Second))})
+			acts = append(acts, Action{Kind: Expire, Job: j, RetryAfter: p.retryAfter(j, max(wait, time.Second))})
 		}
 	}
 	return acts
