--- a/sched/victims.go
+++ b/sched/victims.go
@@ -16,14 +16,14 @@
 // relieve pauses streams when the engine is about to run out of memory, before
 // the engine itself picks a victim without regard to shares.
 func (p *Forecasting) relieve(acts []Action) []Action {
-	if p.cfg.Off.Victims || float64(p.mem.used+len(p.running)) <= high*float64(p.cfg.Capacity) {
+	if p.cfg.Disabled.Preemption || float64(p.mem.used+len(p.running)) <= high*float64(p.cfg.Capacity) {
 		return acts
 	}
 	for float64(p.mem.used+len(p.running)) > low*float64(p.cfg.Capacity) && len(p.running) > 1 {
 		j := p.victim()
 		p.leave(j)
 		p.park(j)
-		acts = append(acts, Action{Verb: Pause, Job: j})
+		acts = append(acts, Action{Kind: Pause, Job: j})
 	}
 	return acts
 }
@@ -50,7 +50,7 @@
 
 func (p *Forecasting) cost(j *Job) float64 {
 	cost := -costOver * min(3, p.over(j.team, 0))
-	cost += costRedo * float64(j.Context()) / (float64(p.cfg.Capacity) / 16)
+	cost += costRedo * float64(j.ContextTokens()) / (float64(p.cfg.Capacity) / 16)
 	left := p.lengths(j.team, j.Model).Remaining(float64(j.emitted))
 	cost += costEnding * float64(j.emitted+1) / (float64(j.emitted+1) + left)
 	return cost + costAgain*float64(j.pauses)
