--- a/cmd/kingcup-gateway/main.go
+++ b/cmd/kingcup-gateway/main.go
@@ -18,51 +18,52 @@
 
 func main() {
 	s := settings.New("kingcup-gateway", "takes callers' requests to the users' backend servers and their answers back")
-	def := gateway.DefaultOptions()
-	level := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
-	metrics := s.Int("metrics-port", def.MetricsPort, 0, 65535, "port for metrics and reports, 0 for none")
+	defaults := gateway.DefaultOptions()
+	logLevel := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
+	metricsPort := s.Int("metrics-port", defaults.MetricsPort, 0, 65535, "port for metrics and reports, 0 for none")
 	s.Group("Platform")
-	wait := s.Duration("feed-wait", def.FeedTimeout, 100*time.Millisecond, 30*time.Second, "how long a call to the store waits for changes")
-	gap := s.Duration("directory-gap", def.MinDirectoryInterval, 0, 10*time.Second, "least time between two calls for the directory of servers")
-	links := s.Int("peer-links", def.MaxPeerLinks, 1, 1000, "most gateways that this one tells of itself, several times a second")
-	leave := s.Duration("leave", def.ShutdownDelay, 0, time.Minute, "how long after SIGTERM connections are still taken")
+	feedTimeout := s.Duration("feed-wait", defaults.FeedTimeout, 100*time.Millisecond, 30*time.Second, "how long a call to the store waits for changes")
+	directoryInterval := s.Duration("directory-gap", defaults.MinDirectoryInterval, 0, 10*time.Second, "least time between two calls for the directory of servers")
+	maxLinks := s.Int("peer-links", defaults.MaxPeerLinks, 1, 1000, "most gateways that this one tells of itself, several times a second")
+	shutdownDelay := s.Duration("leave", defaults.ShutdownDelay, 0, time.Minute, "how long after SIGTERM connections are still taken")
 	s.MustParse()
 
 	path := os.Getenv(platformsettings.PathVariable)
-	set, err := platformsettings.Load(path)
+	platform, err := platformsettings.Load(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "kingcup-gateway:", err)
 		os.Exit(settings.ExitUsage)
 	}
-	parsed, err := logrus.ParseLevel(*level)
+	level, err := logrus.ParseLevel(*logLevel)
 	if err != nil {
-		parsed = logrus.InfoLevel
+		level = logrus.InfoLevel
 	}
 	out := logging.NewWriter(os.Stdout)
-	log := logging.New(out, parsed).WithField("vm", set.VM)
-	opts := gateway.Options{FeedTimeout: *wait, MinDirectoryInterval: *gap, MaxPeerLinks: *links, ShutdownDelay: *leave, MetricsPort: *metrics, DroppedLogLines: out.Dropped}
-	g, err := gateway.Start(opts, set, log)
+	log := logging.New(out, level).WithField("vm", platform.VM)
+	opts := gateway.Options{FeedTimeout: *feedTimeout, MinDirectoryInterval: *directoryInterval, MaxPeerLinks: *maxLinks, ShutdownDelay: *shutdownDelay, MetricsPort: *metricsPort, DroppedLogLines: out.Dropped}
+	g, err := gateway.Start(opts, platform, log)
 	if err != nil {
 		out.Close()
 		fmt.Fprintln(os.Stderr, "kingcup-gateway:", err)
 		os.Exit(1)
 	}
-	log.WithFields(logrus.Fields{"callers": set.Callers, "store": set.Store, "version": settings.Version, "failure_domain": set.FailureDomain}).Info("started")
+	log.WithFields(logrus.Fields{"callers": platform.Callers, "store": platform.Store, "version": settings.Version, "failure_domain": platform.FailureDomain}).Info("started")
 	run(g, path, log)
 	out.Close()
 }
 
-// lookEvery is how often the settings file is compared: it may change without a
-// signal.
-const lookEvery = 5 * time.Second
+// settingsPollInterval is how often the settings file is checked for a change: it may
+// change without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// run lasts until SIGTERM. SIGHUP says that the settings file has changed.
+// run handles signals until SIGTERM or SIGINT, and then stops the gateway. It reloads the
+// settings on SIGHUP and when the settings file has changed.
 func run(g *gateway.Gateway, path string, log logrus.FieldLogger) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
-	last := modified(path)
+	poll := time.NewTicker(settingsPollInterval)
+	defer poll.Stop()
+	lastModified := modifiedAt(path)
 	for {
 		select {
 		case sig := <-signals:
@@ -70,23 +71,24 @@
 				g.Stop()
 				return
 			}
-		case <-look.C:
-			if now := modified(path); now == last {
+		case <-poll.C:
+			if now := modifiedAt(path); now == lastModified {
 				continue
 			}
 		}
-		last = modified(path)
-		set, err := platformsettings.Load(path)
+		lastModified = modifiedAt(path)
+		platform, err := platformsettings.Load(path)
 		if err != nil {
-			log.WithError(err).Error("settings are not reloaded, the old ones stay")
+			log.WithError(err).Error("cannot reload the settings, keeping the old ones")
 			continue
 		}
-		g.Reload(set)
+		g.Reload(platform)
 	}
 }
 
-// modified is when a file changed; the zero time for one that is not there.
-func modified(path string) time.Time {
+// modifiedAt returns the modification time of a file, or the zero time if the file cannot
+// be read.
+func modifiedAt(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// limitWindow is the time in which what reaches a limited server is counted.
+	// limitWindow is the window in which requests to a rate-limited server are counted.
 	limitWindow = 4 * time.Second
-	// knownWithin is the aim for what a server says of itself to be known at all gateways.
-	knownWithin = 300 * time.Millisecond
+	// propagationTarget is the target time in which all gateways learn what a server's
+	// response headers say.
+	propagationTarget = 300 * time.Millisecond
 )
 
-// allowedIn is the platform's bound for what a server that names a limit gets in limitWindow.
-func allowedIn(perSecond float64) int { return int(1.5*perSecond*limitWindow.Seconds()) + 5 }
+// maxAllowed is the platform's bound for the requests to a rate-limited server in
+// limitWindow.
+func maxAllowed(perSecond float64) int { return int(1.5*perSecond*limitWindow.Seconds()) + 5 }
 
-// pressAll has callers ask every gateway for a time, each again and again, and returns how many
-// were served.
-func pressAll(nodes []*node, each int, d time.Duration, c call) (served, refused int) {
+// callRepeatedly has each callers per gateway repeat a request for d, and counts the
+// requests that were served and refused.
+func callRepeatedly(gateways []*testGateway, each int, d time.Duration, c callerRequest) (served, refused int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	for begun, n := range callersOf(nodes, each) {
+	for begun, n := range callersFor(gateways, each) {
 		wg.Go(func() {
 			time.Sleep(time.Duration(begun) * time.Millisecond)
 			for from := time.Now(); time.Since(from) < d; time.Sleep(25 * time.Millisecond) {
@@ -46,15 +48,16 @@
 	return served, refused
 }
 
-func callersOf(nodes []*node, each int) (out []*node) {
+func callersFor(gateways []*testGateway, each int) (out []*testGateway) {
 	for range each {
-		out = append(out, nodes...)
+		out = append(out, gateways...)
 	}
 	return out
 }
 
-// mostIn is the most that reached a server in any span of limitWindow from a time on.
-func mostIn(srv *fleet.Server, from time.Time) (most int) {
+// maxArrivals returns the maximum number of requests that reached a server in any span of
+// limitWindow after a time.
+func maxArrivals(srv *fleet.Server, from time.Time) (maxCount int) {
 	var at []time.Time
 	for _, a := range srv.Arrived() {
 		if !a.At.Before(from) {
@@ -65,12 +68,12 @@
 		for at[i].Sub(at[first]) >= limitWindow {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
-// Guards against servers that name a limit getting several times as much from all gateways
+// Guards against a rate-limited server getting several times its limit from all gateways
 // together.
 func TestLimitedServersGetTheirLimitFromAllGateways(t *testing.T) {
 	s := newSystem(t)
@@ -79,60 +82,60 @@
 		s.server(fleet.DeskService, fleet.Behaviour{}): 3.9,
 	}
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	for _, n := range nodes {
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	for _, n := range gateways {
 		n.eventually(func() bool {
 			return n.registry.CountReady(fleet.DeskService) == 3 && len(n.group.links.LiveStates()) == 2
 		}, "listed")
 	}
-	pressAll(nodes, 1, time.Second, plain(fleet.OncePath))
+	callRepeatedly(gateways, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
 		srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(limit)})
 	}
 	named := time.Now()
-	_, refused := pressAll(nodes, 1, limitWindow+time.Second, plain(fleet.OncePath))
+	_, refused := callRepeatedly(gateways, 1, limitWindow+time.Second, plain(fleet.OncePath))
 	require.Zero(t, refused, "the third server has room")
 	for srv, limit := range limits {
-		most := mostIn(srv, named.Add(knownWithin))
-		t.Logf("%s got %d in %v, its limit is %v a second", srv.ID, most, limitWindow, limit)
-		require.LessOrEqual(t, most, allowedIn(limit), srv.ID)
+		count := maxArrivals(srv, named.Add(propagationTarget))
+		t.Logf("%s got %d in %v, its limit is %v a second", srv.ID, count, limitWindow, limit)
+		require.LessOrEqual(t, count, maxAllowed(limit), srv.ID)
 	}
 }
 
-// Guards against gateways that learn of a limit, or of its end, only by their own requests; the
-// store tells them nothing of it.
-func TestLimitIsKnownToAllGatewaysAtOnce(t *testing.T) {
+// Guards against gateways that learn of a rate limit, or of its removal, only by their own
+// requests. The store has no information about rate limits.
+func TestRateLimitIsPropagatedAtOnce(t *testing.T) {
 	s := newSystem(t)
 	srv := s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	for _, n := range nodes {
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	for _, n := range gateways {
 		n.eventually(func() bool {
 			return n.registry.CountReady(fleet.DeskService) == 1 && len(n.group.links.LiveStates()) == 2
 		}, "listed")
 	}
-	nodes[2].door.SetFault(fleet.Reset)
-	know := func(limited int) {
+	gateways[2].door.SetFault(fleet.Reset)
+	waitKnown := func(limited int) {
 		t.Helper()
-		for begun := time.Now(); time.Since(begun) < knownWithin; time.Sleep(5 * time.Millisecond) {
-			if nodes[1].registry.CountRateLimited() == limited && nodes[2].registry.CountRateLimited() == limited {
+		for begun := time.Now(); time.Since(begun) < propagationTarget; time.Sleep(5 * time.Millisecond) {
+			if gateways[1].registry.CountRateLimited() == limited && gateways[2].registry.CountRateLimited() == limited {
 				return
 			}
 		}
-		t.Fatalf("not known to all within %v", knownWithin)
+		t.Fatalf("not known to all within %v", propagationTarget)
 	}
 	srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(20)})
-	require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OncePath)).status)
-	know(1)
+	require.Equal(t, http.StatusOK, gateways[0].do(plain(fleet.OncePath)).status)
+	waitKnown(1)
 	srv.SetBehaviour(fleet.Behaviour{})
-	nodes[0].eventually(func() bool {
-		nodes[0].do(plain(fleet.OncePath))
-		return nodes[0].registry.CountRateLimited() == 0
+	gateways[0].eventually(func() bool {
+		gateways[0].do(plain(fleet.OncePath))
+		return gateways[0].registry.CountRateLimited() == 0
 	}, "no limit any more")
-	know(0)
+	waitKnown(0)
 }
 
-// sentAfter counts what reached a server from a time on.
-func sentAfter(srv *fleet.Server, from time.Time) (n int) {
+// countArrivals counts the requests that reached a server after a time.
+func countArrivals(srv *fleet.Server, from time.Time) (n int) {
 	for _, a := range srv.Arrived() {
 		if a.At.After(from) {
 			n++
@@ -141,14 +144,15 @@
 	return n
 }
 
-// Guards against requests for a server that has said in an answer that it is leaving, while the
-// store is away and when it returns with an entry that still says that the server is ready.
+// Guards against requests to a server that has reported in a response that it is leaving,
+// both while the store is unavailable and when it is back with a stale entry that says that
+// the server is ready.
 func TestServerThatSaysItIsLeavingGetsNothingNew(t *testing.T) {
 	s := newSystem(t)
 	leaves := s.server(fleet.DeskService, fleet.Behaviour{})
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	for _, n := range nodes {
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	for _, n := range gateways {
 		n.eventually(func() bool {
 			return n.registry.CountReady(fleet.DeskService) == 2 && len(n.group.links.LiveStates()) == 2
 		}, "listed")
@@ -156,45 +160,46 @@
 	s.fleet.Store.SetFault(fleet.Reset)
 	leaves.Say(fleet.SaysLeaving())
 	before := len(leaves.Arrived())
-	nodes[0].eventually(func() bool {
-		require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.OpenPath)).status)
+	gateways[0].eventually(func() bool {
+		require.Equal(t, http.StatusOK, gateways[0].do(plain(fleet.OpenPath)).status)
 		return len(leaves.Arrived()) > before
 	}, "asked")
-	told := time.Now()
-	ask(t, nodes[:1], knownWithin, plain(fleet.OpenPath))
-	require.Zero(t, sentAfter(leaves, told), "from the gateway that was told")
-	ask(t, nodes, time.Second, plain(fleet.OpenPath))
-	require.Zero(t, sentAfter(leaves, told.Add(knownWithin)), "from any")
+	reportedAt := time.Now()
+	requestAll(t, gateways[:1], propagationTarget, plain(fleet.OpenPath))
+	require.Zero(t, countArrivals(leaves, reportedAt), "from the gateway that got the response")
+	requestAll(t, gateways, time.Second, plain(fleet.OpenPath))
+	require.Zero(t, countArrivals(leaves, reportedAt.Add(propagationTarget)), "from any")
 	s.fleet.Store.SetFault(fleet.Sound)
 	leaves.Heartbeat()
-	ask(t, nodes, time.Second, plain(fleet.OpenPath))
-	require.Zero(t, sentAfter(leaves, told.Add(knownWithin)), "behind an entry that lags")
+	requestAll(t, gateways, time.Second, plain(fleet.OpenPath))
+	require.Zero(t, countArrivals(leaves, reportedAt.Add(propagationTarget)), "after a stale entry")
 }
 
-// Guards against requests from a gateway that a server has turned away and asked for rest, against
-// callers being refused for it, and against the server being forgotten when its rest is over.
-func TestServerThatAsksForRestGetsNone(t *testing.T) {
-	const rest = 2 * time.Second
+// A server refuses a request and asks the gateway to back off. Guards against requests from
+// that gateway during the backoff, against callers being refused because of it, and against
+// the server staying unused after the backoff.
+func TestServerThatAsksForBackoffGetsNoRequests(t *testing.T) {
+	const backoff = 2 * time.Second
 	s := newSystem(t)
-	tired := s.server(fleet.DeskService, fleet.Behaviour{Full: true, Says: fleet.AsksForRest(rest)})
+	busy := s.server(fleet.DeskService, fleet.Behaviour{Full: true, Says: fleet.AsksForRest(backoff)})
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	for i, n := range nodes {
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
+	for i, n := range gateways {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 		c := plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", fmt.Sprint("of vm-", i+1))
-		before := len(tired.Arrived())
+		before := len(busy.Arrived())
 		n.eventually(func() bool {
 			require.Equal(t, http.StatusOK, n.do(c).status)
-			return len(tired.Arrived()) > before
-		}, "turned away")
-		turned := tired.Arrived()[before].At
-		ask(t, []*node{n}, rest-time.Since(turned)-100*time.Millisecond, c)
-		for _, a := range tired.Arrived()[before+1:] {
-			require.False(t, a.At.Sub(turned) < rest, "asked again %v after it was turned away", a.At.Sub(turned))
+			return len(busy.Arrived()) > before
+		}, "refused")
+		refusedAt := busy.Arrived()[before].At
+		requestAll(t, []*testGateway{n}, backoff-time.Since(refusedAt)-100*time.Millisecond, c)
+		for _, a := range busy.Arrived()[before+1:] {
+			require.False(t, a.At.Sub(refusedAt) < backoff, "got a request %v after it refused one", a.At.Sub(refusedAt))
 		}
 	}
-	tired.SetBehaviour(fleet.Behaviour{})
-	served := len(tired.Seen())
-	ask(t, nodes, rest, plain(fleet.OncePath))
-	require.Greater(t, len(tired.Seen()), served, "used again")
+	busy.SetBehaviour(fleet.Behaviour{})
+	served := len(busy.Seen())
+	requestAll(t, gateways, backoff, plain(fleet.OncePath))
+	require.Greater(t, len(busy.Seen()), served, "used again")
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -11,22 +11,25 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// benchServers are the servers of each service, benchCallers the connections of callers.
+// benchServers is the number of servers of each service, benchCallers the number of
+// callers' connections.
 const benchServers, benchCallers = 24, 64
 
-// underLoad starts two gateways before servers of a service and returns the first.
-func underLoad(b *testing.B, service string, how fleet.Behaviour) *node {
+// benchGateway starts two gateways and the servers of a service, and returns the first
+// gateway.
+func benchGateway(b *testing.B, service string, behaviour fleet.Behaviour) *testGateway {
 	s := newSystem(b)
 	for range benchServers {
-		s.server(service, how)
+		s.server(service, behaviour)
 	}
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	nodes[0].eventually(func() bool { return nodes[0].registry.CountReady(service) == benchServers }, "all servers are known")
-	return nodes[0]
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
+	gateways[0].eventually(func() bool { return gateways[0].registry.CountReady(service) == benchServers }, "all servers are known")
+	return gateways[0]
 }
 
-// load has callers make requests, one after the other on each connection.
-func load(b *testing.B, n *node, r call) {
+// runRequests sends b.N requests over benchCallers connections, one after the other on
+// each.
+func runRequests(b *testing.B, n *testGateway, r callerRequest) {
 	each := make(chan int, b.N)
 	for i := range b.N {
 		each <- i
@@ -53,13 +56,15 @@
 	}
 }
 
-// A plain request and its answer, the stand-ins of callers and servers included.
+// BenchmarkPlainRequest measures a plain request and its response, including the simulated
+// callers and servers.
 func BenchmarkPlainRequest(b *testing.B) {
-	load(b, underLoad(b, fleet.DeskService, fleet.Behaviour{}), plain(fleet.SafePath))
+	runRequests(b, benchGateway(b, fleet.DeskService, fleet.Behaviour{}), plain(fleet.SafePath))
 }
 
-// A generation of 100 events, the stand-ins included.
+// BenchmarkGeneration measures a generation of 100 events, including the simulated callers
+// and servers.
 func BenchmarkGeneration(b *testing.B) {
-	n := underLoad(b, fleet.ModelService, fleet.Behaviour{Events: 100, EventEvery: time.Millisecond})
-	load(b, n, generation(fleet.PlanPath))
+	n := benchGateway(b, fleet.ModelService, fleet.Behaviour{Events: 100, EventEvery: time.Millisecond})
+	runRequests(b, n, generation(fleet.PlanPath))
 }
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// inForce is the aim for a cordon to hold at all gateways on a calm day.
-	inForce = 300 * time.Millisecond
-	// inForceBehind is the platform's bound where a gateway hears the store late or through
-	// others only.
-	inForceBehind = 5 * time.Second
-	// emptied is the failure domain of the gateways: its servers are asked first.
-	emptied, kept = "zone-1", "zone-2"
+	// cordonTarget is the target time for a cordon to take effect at all gateways while
+	// nothing fails.
+	cordonTarget = 300 * time.Millisecond
+	// cordonBound is the platform's bound if a gateway gets the store's changes late or
+	// only from its peers.
+	cordonBound = 5 * time.Second
+	// cordonedDomain is the failure domain of the gateways, whose servers are preferred.
+	cordonedDomain, otherDomain = "zone-1", "zone-2"
 )
 
-// emptiedSystem has servers of both services in two zones.
-func emptiedSystem(t *testing.T) (s *system, inside []*fleet.Server) {
+// twoDomainSystem has servers of both services in two failure domains. It returns the ones
+// in cordonedDomain.
+func twoDomainSystem(t *testing.T) (s *system, inside []*fleet.Server) {
 	s = newSystem(t)
 	add := func(service, zone string, b fleet.Behaviour) *fleet.Server {
 		srv, err := s.fleet.Add(service, zone, b)
@@ -31,30 +33,32 @@
 	}
 	short := fleet.Behaviour{Events: 3, EventEvery: time.Millisecond}
 	for range 2 {
-		inside = append(inside, add(fleet.DeskService, emptied, fleet.Behaviour{}), add(fleet.ModelService, emptied, short))
-		add(fleet.DeskService, kept, fleet.Behaviour{})
-		add(fleet.ModelService, kept, short)
+		inside = append(inside, add(fleet.DeskService, cordonedDomain, fleet.Behaviour{}), add(fleet.ModelService, cordonedDomain, short))
+		add(fleet.DeskService, otherDomain, fleet.Behaviour{})
+		add(fleet.ModelService, otherDomain, short)
 	}
 	return s, inside
 }
 
-// knows waits until a gateway knows all servers.
-func (n *node) knows() {
+// waitForAllServers waits until a gateway has listed all servers.
+func (n *testGateway) waitForAllServers() {
 	n.eventually(func() bool {
 		return n.registry.CountReady(fleet.DeskService) == 4 && n.registry.CountReady(fleet.ModelService) == 4
 	}, "listed")
 }
 
-// askAll makes requests of each kind to all gateways for a time; all must be served.
-func askAll(t *testing.T, nodes []*node, d time.Duration) {
+// requestAllKinds repeats a request of each kind at every gateway for d. All must be
+// served.
+func requestAllKinds(t *testing.T, gateways []*testGateway, d time.Duration) {
 	t.Helper()
-	ask(t, nodes, d, plain(fleet.SafePath), plain(fleet.OncePath), generation(fleet.PlanPath))
+	requestAll(t, gateways, d, plain(fleet.SafePath), plain(fleet.OncePath), generation(fleet.PlanPath))
 }
 
-func ask(t *testing.T, nodes []*node, d time.Duration, calls ...call) {
+// requestAll repeats requests at every gateway for d. All must be served.
+func requestAll(t *testing.T, gateways []*testGateway, d time.Duration, calls ...callerRequest) {
 	t.Helper()
 	for begun := time.Now(); time.Since(begun) < d; {
-		for _, n := range nodes {
+		for _, n := range gateways {
 			for _, c := range calls {
 				require.Equal(t, http.StatusOK, n.do(c).status)
 			}
@@ -62,8 +66,8 @@
 	}
 }
 
-// requireNone requires that servers ran nothing since a time.
-func requireNone(t *testing.T, servers []*fleet.Server, since time.Time) {
+// requireUnused requires that servers got no request after a time.
+func requireUnused(t *testing.T, servers []*fleet.Server, since time.Time) {
 	t.Helper()
 	for _, srv := range servers {
 		for _, seen := range srv.Seen() {
@@ -72,6 +76,7 @@
 	}
 }
 
+// requireUsed requires that one of the servers got a request after a time.
 func requireUsed(t *testing.T, servers []*fleet.Server, since time.Time) {
 	t.Helper()
 	for _, srv := range servers {
@@ -84,94 +89,98 @@
 	t.Fatal("servers are not used again")
 }
 
-// Guards against requests that go on reaching a failure domain which the operator empties.
+// Guards against requests that still reach a failure domain which the operator has
+// cordoned.
 func TestCordonedDomainGetsNothingNew(t *testing.T) {
-	s, inside := emptiedSystem(t)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	for _, n := range nodes {
-		n.knows()
+	s, inside := twoDomainSystem(t)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	for _, n := range gateways {
+		n.waitForAllServers()
 	}
-	askAll(t, nodes, 200*time.Millisecond)
+	requestAllKinds(t, gateways, 200*time.Millisecond)
 	requireUsed(t, inside, time.Time{})
-	s.fleet.Cordon(emptied)
+	s.fleet.Cordon(cordonedDomain)
 	asked := time.Now()
-	askAll(t, nodes, time.Second)
-	requireNone(t, inside, asked.Add(inForce))
-	s.fleet.Uncordon(emptied)
+	requestAllKinds(t, gateways, time.Second)
+	requireUnused(t, inside, asked.Add(cordonTarget))
+	s.fleet.Uncordon(cordonedDomain)
 	back := time.Now()
-	askAll(t, nodes, time.Second)
+	requestAllKinds(t, gateways, time.Second)
 	requireUsed(t, inside, back)
 }
 
-// Guards against a gateway that only peers keep up to date, and one that starts while a domain
-// is empty, not knowing of it.
+// Guards against two kinds of gateways missing a cordon: one that gets the tables only from
+// peers, and one that starts while the domain is cordoned.
 func TestCordonReachesGatewaysWithoutTheStore(t *testing.T) {
-	s, inside := emptiedSystem(t)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	for _, n := range nodes {
-		n.knows()
+	s, inside := twoDomainSystem(t)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
+	for _, n := range gateways {
+		n.waitForAllServers()
 		n.eventually(func() bool { return len(n.group.links.LiveStates()) == 1 }, "linked")
 	}
-	nodes[1].door.SetFault(fleet.Busy)
+	gateways[1].door.SetFault(fleet.Busy)
 	time.Sleep(time.Second)
-	s.fleet.Cordon(emptied)
+	s.fleet.Cordon(cordonedDomain)
 	asked := time.Now()
-	askAll(t, nodes, time.Second)
-	requireNone(t, inside, asked.Add(inForce))
+	requestAllKinds(t, gateways, time.Second)
+	requireUnused(t, inside, asked.Add(cordonTarget))
 	late := s.gateway("vm-3")
-	late.knowsOutside()
-	askAll(t, []*node{late}, 500*time.Millisecond)
-	requireNone(t, inside, asked.Add(inForce))
+	late.waitForUncordonedServers()
+	requestAllKinds(t, []*testGateway{late}, 500*time.Millisecond)
+	requireUnused(t, inside, asked.Add(cordonTarget))
 }
 
-// knowsOutside waits until a gateway knows the servers that are not cordoned.
-func (n *node) knowsOutside() {
+// waitForUncordonedServers waits until a gateway lists exactly the servers that are not
+// cordoned as ready.
+func (n *testGateway) waitForUncordonedServers() {
 	n.eventually(func() bool {
 		return n.registry.CountReady(fleet.DeskService) == 2 && n.registry.CountReady(fleet.ModelService) == 2
 	}, "listed")
 }
 
-// Guards against an emptied domain being used because the store came back from a copy that is
-// older than the operator's request, and against one that was taken back staying empty.
-func TestCordonHoldsAcrossAStoreThatComesBackOlder(t *testing.T) {
-	s, inside := emptiedSystem(t)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	for _, n := range nodes {
-		n.knows()
+// Guards against a cordoned domain being used because the store was restored from a copy
+// older than the cordon, and against the domain staying cordoned after the operator has
+// removed the cordon.
+func TestCordonSurvivesStoreRestore(t *testing.T) {
+	s, inside := twoDomainSystem(t)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
+	for _, n := range gateways {
+		n.waitForAllServers()
 	}
 	older := s.fleet.Store.Copy()
-	s.fleet.Cordon(emptied)
+	s.fleet.Cordon(cordonedDomain)
 	asked := time.Now()
-	askAll(t, nodes, inForce)
-	s.restore(older)
-	askAll(t, nodes, time.Second)
+	requestAllKinds(t, gateways, cordonTarget)
+	s.restoreStore(older)
+	requestAllKinds(t, gateways, time.Second)
 	s.fleet.Rewrite(func() { time.Sleep(50 * time.Millisecond) })
-	askAll(t, nodes, 500*time.Millisecond)
-	requireNone(t, inside, asked.Add(inForce))
-	s.fleet.Uncordon(emptied)
+	requestAllKinds(t, gateways, 500*time.Millisecond)
+	requireUnused(t, inside, asked.Add(cordonTarget))
+	s.fleet.Uncordon(cordonedDomain)
 	back := time.Now()
-	askAll(t, nodes, time.Second)
+	requestAllKinds(t, gateways, time.Second)
 	requireUsed(t, inside, back)
 }
 
-// Guards against requests to an emptied domain while the store answers seconds late.
-func TestCordonIsInForceBehindASlowStore(t *testing.T) {
-	s, inside := emptiedSystem(t)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	for _, n := range nodes {
-		n.knows()
+// Guards against requests to a cordoned domain while the store's responses are seconds
+// late.
+func TestCordonTakesEffectWithSlowStore(t *testing.T) {
+	s, inside := twoDomainSystem(t)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
+	for _, n := range gateways {
+		n.waitForAllServers()
 	}
 	s.fleet.Store.SetSlow("op", 2*time.Second)
 	s.fleet.Store.Compact()
-	s.fleet.Cordon(emptied)
+	s.fleet.Cordon(cordonedDomain)
 	asked := time.Now()
-	// Keys are not confirmed meanwhile, so callers without one ask.
-	ask(t, nodes, inForceBehind+500*time.Millisecond, plain(fleet.OpenPath))
-	requireNone(t, inside, asked.Add(inForceBehind))
+	// Keys are not confirmed in this time, so the requests go to the route without keys.
+	requestAll(t, gateways, cordonBound+500*time.Millisecond, plain(fleet.OpenPath))
+	requireUnused(t, inside, asked.Add(cordonBound))
 }
 
-// Guards against a caller waiting for servers that are all in emptied domains.
-func TestServiceOfEmptiedDomainsIsRefusedAtOnce(t *testing.T) {
+// Guards against a caller waiting for servers that are all in cordoned domains.
+func TestServiceInCordonedDomainsIsRefusedAtOnce(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.server(fleet.ModelService, fleet.Behaviour{Events: 3})
@@ -179,7 +188,7 @@
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Cordon("zone-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 0 }, "cordoned")
-	for _, c := range []call{plain(fleet.OncePath), plain(fleet.SafePath), generation(fleet.PlanPath)} {
+	for _, c := range []callerRequest{plain(fleet.OncePath), plain(fleet.SafePath), generation(fleet.PlanPath)} {
 		begun := time.Now()
 		r := n.do(c)
 		require.Equal(t, http.StatusServiceUnavailable, r.status)
@@ -192,8 +201,8 @@
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 }
 
-// Guards against answers under way being cut because their domain is emptied.
-func TestStreamInAnEmptiedDomainGoesOn(t *testing.T) {
+// Guards against streams in progress being cut off because their domain is cordoned.
+func TestStreamInACordonedDomainContinues(t *testing.T) {
 	s := newSystem(t)
 	const events = 60
 	srv := s.server(fleet.ModelService, fleet.Behaviour{Events: events, EventEvery: 20 * time.Millisecond})
@@ -208,19 +217,19 @@
 	require.Contains(t, r.body, "id: "+strconv.Itoa(events)+"\n")
 }
 
-// Another writer leaves requests that name no failure domain, or one that is not known; they
-// change nothing for the others.
-func TestSpoiltCordonsChangeNothing(t *testing.T) {
-	s, inside := emptiedSystem(t)
+// Another writer leaves cordon rows without a failure domain, or with an unknown one. They
+// must not affect the known domains.
+func TestInvalidCordonRowsAreIgnored(t *testing.T) {
+	s, inside := twoDomainSystem(t)
 	n := s.gateway("vm-1")
-	n.knows()
+	n.waitForAllServers()
 	s.fleet.Store.PutBytes("op", "evacuate/", []byte("{}"))
 	s.fleet.Store.PutBytes("op", "evacuate/zone-that-is-not", nil)
 	s.fleet.Store.PutBytes("op", "evacuated", []byte("\xff"))
-	askAll(t, []*node{n}, 500*time.Millisecond)
-	n.knows()
-	s.fleet.Store.PutBytes("op", "evacuate/"+emptied, []byte("\xff{"))
+	requestAllKinds(t, []*testGateway{n}, 500*time.Millisecond)
+	n.waitForAllServers()
+	s.fleet.Store.PutBytes("op", "evacuate/"+cordonedDomain, []byte("\xff{"))
 	asked := time.Now()
-	askAll(t, []*node{n}, 500*time.Millisecond)
-	requireNone(t, inside, asked.Add(inForce))
+	requestAllKinds(t, []*testGateway{n}, 500*time.Millisecond)
+	requireUnused(t, inside, asked.Add(cordonTarget))
 }
--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -15,92 +15,94 @@
 )
 
 var (
-	drilled   = flag.Int("drill.gateways", many, "gateways in the test of a drill's calls")
-	drillKept = flag.Int("drill.kept", 66, "percent of their rows that the store's copy has")
+	drillGateways    = flag.Int("drill.gateways", manyGateways, "gateways in the test of store calls after a restore")
+	drillKeptPercent = flag.Int("drill.kept", 66, "percent of the gateways' rows that the store's copy has")
 )
 
 const (
-	// drillAway is how long the store is away, drillWatched how long the calls behind it are
-	// counted.
-	drillAway, drillWatched = time.Second, 5 * time.Second
+	// drillOutage is how long the store is unavailable. drillWindow is how long the calls
+	// after it are counted.
+	drillOutage, drillWindow = time.Second, 5 * time.Second
 )
 
-// callsOf counts the calls of gateways to the store within drillWatched behind something.
-func callsOf(nodes []*node, happens func()) (calls int) {
-	happens()
+// countStoreCalls counts the gateways' calls to the store within drillWindow after an
+// event.
+func countStoreCalls(gateways []*testGateway, event func()) (calls int) {
+	event()
 	before := 0
-	for _, n := range nodes {
+	for _, n := range gateways {
 		before += n.door.Calls()
 	}
-	time.Sleep(drillWatched)
-	for _, n := range nodes {
+	time.Sleep(drillWindow)
+	for _, n := range gateways {
 		calls += n.door.Calls()
 	}
 	return calls - before
 }
 
-// Guards against a burst of calls when the store has come back older: a third of the gateways
-// find their rows missing in it and write them again, one call each, and all read it anew.
-func TestLostRowsCostOneCallEach(t *testing.T) {
+// Guards against a burst of calls after the store was restored from an older copy: a third
+// of the gateways find their rows missing and write them again, with one call each, and all
+// gateways read the table again.
+func TestRewritingLostRowsTakesOneCallEach(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t)
-	if *drilled == many {
+	if *drillGateways == manyGateways {
 		s.peerLinks = fewLinks
 	}
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	var nodes []*node
+	var gateways []*testGateway
 	var copied *fleet.Copy
-	kept := *drilled * *drillKept / 100
-	for i := range *drilled {
+	kept := *drillGateways * *drillKeptPercent / 100
+	for i := range *drillGateways {
 		if i == kept {
 			copied = s.fleet.Store.Copy()
 		}
-		nodes = append(nodes, s.gateway(fmt.Sprintf("vm-%03d", i)))
+		gateways = append(gateways, s.gateway(fmt.Sprintf("vm-%03d", i)))
 	}
 	if copied == nil {
 		copied = s.fleet.Store.Copy()
 	}
 	s.fleet.Configure("second")
-	time.Sleep(settle)
-	outage := callsOf(nodes, func() {
+	time.Sleep(readersSettleTime)
+	outage := countStoreCalls(gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
-		time.Sleep(drillAway)
+		time.Sleep(drillOutage)
 		s.fleet.Store.SetFault(fleet.Sound)
 	})
-	drill := callsOf(nodes, func() {
+	restore := countStoreCalls(gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
-		time.Sleep(drillAway)
+		time.Sleep(drillOutage)
 		s.fleet.Store.Restore(copied)
 		s.fleet.Store.SetFault(fleet.Sound)
 	})
-	t.Logf("%d gateways: %d calls behind an outage, %d behind a drill that lost %d rows", len(nodes), outage, drill, len(nodes)-kept)
-	require.LessOrEqual(t, drill, 2*outage+len(nodes)-kept)
-	for _, n := range nodes {
-		require.Equal(t, http.StatusOK, n.status("second"))
-		require.Equal(t, http.StatusUnauthorized, n.status(fleet.Key))
+	t.Logf("%d gateways: %d calls after an outage, %d after a restore that lost %d rows", len(gateways), outage, restore, len(gateways)-kept)
+	require.LessOrEqual(t, restore, 2*outage+len(gateways)-kept)
+	for _, n := range gateways {
+		require.Equal(t, http.StatusOK, n.statusWithKey("second"))
+		require.Equal(t, http.StatusUnauthorized, n.statusWithKey(fleet.Key))
 		require.NotNil(t, s.fleet.Store.Row(membersTable, n.group.self.Name))
 	}
 }
 
-// streamSilence is a pause that no drill may cause: a quarter of the least silence after which
-// callers leave.
-const streamSilence = 500 * time.Millisecond
+// maxStreamPause is a pause that no restore may cause in a stream: a quarter of the
+// shortest pause after which callers give up.
+const maxStreamPause = 500 * time.Millisecond
 
-// noticed is what callers notice of something.
-type noticed struct {
+// callerImpact is the effect of an event on callers.
+type callerImpact struct {
 	requests, refused int
 	// pause is the longest time between two events of a stream.
 	pause time.Duration
 }
 
-// callersNotice has callers ask all gateways, and read a stream through each, while something
-// happens and for drillWatched behind it.
-func callersNotice(t *testing.T, nodes []*node, happens func()) (seen noticed) {
+// measureCallers has callers send requests to all gateways, and read a stream through each,
+// during an event and for drillWindow after it.
+func measureCallers(t *testing.T, gateways []*testGateway, event func()) (impact callerImpact) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	ctx, cancel := context.WithTimeout(t.Context(), drillAway+drillWatched)
+	ctx, cancel := context.WithTimeout(t.Context(), drillOutage+drillWindow)
 	defer cancel()
-	for _, n := range nodes {
+	for _, n := range gateways {
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				status, _, err := fleet.CallAs(ctx, n.callers, fleet.OncePath, fleet.As{ID: fleet.NextID(), Key: "second"})
@@ -108,9 +110,9 @@
 					return
 				}
 				mu.Lock()
-				seen.requests++
+				impact.requests++
 				if err != nil || status != http.StatusOK {
-					seen.refused++
+					impact.refused++
 				}
 				mu.Unlock()
 				time.Sleep(10 * time.Millisecond)
@@ -122,52 +124,53 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if now := time.Now(); !last.IsZero() {
-					seen.pause = max(seen.pause, now.Sub(last))
+					impact.pause = max(impact.pause, now.Sub(last))
 				}
 				last = time.Now()
 			})
 		})
 	}
-	happens()
+	event()
 	wg.Wait()
-	return seen
+	return impact
 }
 
-// Guards against callers being refused, or their streams being late, for a store that has come
-// back older, where a plain outage of the same length would not have done it.
-func TestCallersNoticeADrillNoMoreThanAnOutage(t *testing.T) {
+// Guards against callers being refused, or their streams being delayed, because the store
+// was restored from an older copy, where a plain outage of the same length would not have
+// done it.
+func TestRestoreAffectsCallersNoMoreThanAnOutage(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
-	var nodes []*node
+	var gateways []*testGateway
 	for i := range 4 {
-		nodes = append(nodes, s.gateway(fmt.Sprint("vm-", i)))
+		gateways = append(gateways, s.gateway(fmt.Sprint("vm-", i)))
 	}
 	copied := s.fleet.Store.Copy()
 	desk := s.server(fleet.DeskService, fleet.Behaviour{})
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
 	s.fleet.Configure("second")
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.eventually(func() bool {
-			return n.status("second") == http.StatusOK && n.registry.CountReady(fleet.ModelService) == 2
-		}, "all is known")
+			return n.statusWithKey("second") == http.StatusOK && n.registry.CountReady(fleet.ModelService) == 2
+		}, "all servers and the key are known")
 	}
-	outage := callersNotice(t, nodes, func() {
+	outage := measureCallers(t, gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
-		time.Sleep(drillAway)
+		time.Sleep(drillOutage)
 		s.fleet.Store.SetFault(fleet.Sound)
 	})
-	drill := callersNotice(t, nodes, func() {
+	restore := measureCallers(t, gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
-		time.Sleep(drillAway)
+		time.Sleep(drillOutage)
 		s.fleet.Store.Restore(copied)
 		s.fleet.Store.SetFault(fleet.Sound)
-		time.Sleep(drillAway)
+		time.Sleep(drillOutage)
 		desk.Heartbeat()
 		engine.Heartbeat()
 	})
-	t.Logf("outage %+v, drill %+v", outage, drill)
-	require.LessOrEqual(t, drill.refused, outage.refused+drill.requests/100, "0.06 s of refusals")
-	require.Less(t, drill.pause, streamSilence)
+	t.Logf("outage %+v, restore %+v", outage, restore)
+	require.LessOrEqual(t, restore.refused, outage.refused+restore.requests/100, "0.06 s of refusals")
+	require.Less(t, restore.pause, maxStreamPause)
 }
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -12,105 +12,105 @@
 	peerv1 "kingcupplank.example/kingcup/proto/kingcup/peer/v1"
 )
 
-// away is how long the store is away before it comes back older.
-const away = 300 * time.Millisecond
+// restoreOutage is how long the store is unavailable before it is restored.
+const restoreOutage = 300 * time.Millisecond
 
-// restore has the store come back from a copy.
-func (s *system) restore(c *fleet.Copy) {
+// restoreStore has an outage of the store that ends with its restore from a copy.
+func (s *system) restoreStore(c *fleet.Copy) {
 	s.fleet.Store.SetFault(fleet.Reset)
-	time.Sleep(away)
+	time.Sleep(restoreOutage)
 	s.fleet.Store.Restore(c)
 	s.fleet.Store.SetFault(fleet.Sound)
 }
 
-// status is that of a plain call with a key.
-func (n *node) status(key string) int {
+// statusWithKey returns the status of a plain request with a key.
+func (n *testGateway) statusWithKey(key string) int {
 	return n.do(plain(fleet.SafePath).with("X-Api-Key", key)).status
 }
 
-// The store comes back from a copy of some seconds before. Since then a key was taken away,
-// the copy still has it. A caller with that key must stay refused while the old version
-// shows, and one with the present key served. Then the operator writes again, under
-// revisions that were given out before: what it writes must be in force in the usual time,
-// not once the numbers have passed those that gateways saw before.
-func TestConfigurationOfAStoreThatComesBackOlder(t *testing.T) {
+// The store is restored from a copy of some seconds before, which still has a key that has
+// been revoked since. A caller with that key must stay refused while the store has the old
+// version, and one with the current key must be served. Then the operator writes again,
+// under revisions that were used before the restore. What it writes must be in force in the
+// usual time, not only once the revisions exceed those from before the restore.
+func TestConfigurationAfterStoreRestore(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	c := s.fleet.Store.Copy()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
 	s.fleet.Configure("second")
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 	}
-	s.restore(c)
+	s.restoreStore(c)
 	for begun := time.Now(); time.Since(begun) < time.Second; time.Sleep(20 * time.Millisecond) {
-		for _, n := range nodes {
-			require.Equal(t, http.StatusUnauthorized, n.status(fleet.Key), "a key that was taken away")
-			require.Equal(t, http.StatusOK, n.status("second"))
+		for _, n := range gateways {
+			require.Equal(t, http.StatusUnauthorized, n.statusWithKey(fleet.Key), "a revoked key")
+			require.Equal(t, http.StatusOK, n.statusWithKey("second"))
 		}
 	}
 	s.fleet.Configure("third")
 	written := time.Now()
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("third") == http.StatusOK }, "the third key")
-		require.Equal(t, http.StatusUnauthorized, n.status("second"))
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.statusWithKey("third") == http.StatusOK }, "the third key")
+		require.Equal(t, http.StatusUnauthorized, n.statusWithKey("second"))
 	}
 	require.Less(t, time.Since(written), time.Second)
 }
 
-// Since the copy was made one server has joined and another has gone. Neither is as the
-// copy says: the one that joined is served from on, the one that has gone gets nothing.
-func TestServersOfAStoreThatComesBackOlder(t *testing.T) {
+// Since the copy was made one server has joined and another has left. Requests still go to
+// the one that joined, and not to the one that left, whatever the copy says.
+func TestServersAfterStoreRestore(t *testing.T) {
 	s := newSystem(t)
-	gone := s.server(fleet.DeskService, fleet.Behaviour{})
+	leaving := s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.status(fleet.Key) == http.StatusOK }, "served")
+	n.eventually(func() bool { return n.statusWithKey(fleet.Key) == http.StatusOK }, "served")
 	c := s.fleet.Store.Copy()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
 	joined := s.server(fleet.DeskService, fleet.Behaviour{})
-	n.eventually(func() bool { n.status(fleet.Key); return len(joined.Seen()) > 0 }, "the server that joined")
-	gone.Leave()
-	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has gone")
-	seen := len(gone.Seen())
-	s.restore(c)
+	n.eventually(func() bool { n.statusWithKey(fleet.Key); return len(joined.Seen()) > 0 }, "the server that joined")
+	leaving.Leave()
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has left")
+	seen := len(leaving.Seen())
+	s.restoreStore(c)
 	time.AfterFunc(time.Second, func() {
-		gone.Leave()
+		leaving.Leave()
 		joined.Heartbeat()
 	})
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(10 * time.Millisecond) {
-		require.Equal(t, http.StatusOK, n.status(fleet.Key))
+		require.Equal(t, http.StatusOK, n.statusWithKey(fleet.Key))
 	}
-	require.Equal(t, seen, len(gone.Seen()), "sent to a server that has gone")
+	require.Equal(t, seen, len(leaving.Seen()), "sent to a server that has left")
 }
 
-// What gateways write themselves is gone with the store's last seconds: the rows by which
-// they find each other, and the verdicts on requests under which servers end. All are there
-// again within a second or two.
-func TestOwnRowsOfAStoreThatComesBackOlder(t *testing.T) {
+// The rows that gateways write themselves are lost with the store's last seconds: those by
+// which gateways find each other, and the quarantine records. All of them are in the store
+// again within two seconds.
+func TestOwnRowsAreRewrittenAfterStoreRestore(t *testing.T) {
 	s := newSystem(t)
-	ends := s.fragileEngines(5)
+	crashes := s.startCrashingEngines(5)
 	c := s.fleet.Store.Copy()
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	for i := 0; len(ends.times()) < 3; i++ {
-		nodes[i%2].generate(fleet.PlanPath, harmful)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
+	for i := 0; len(crashes.times()) < 3; i++ {
+		gateways[i%2].generate(fleet.PlanPath, crashingBody)
 	}
-	var held string
-	nodes[0].eventually(func() bool {
-		list := adminQuarantine{nodes[0].group.quarantine}.Held()
+	var recordKey string
+	gateways[0].eventually(func() bool {
+		list := adminQuarantine{gateways[0].group.quarantine}.Held()
 		if len(list) == 1 {
-			held = recordRowPrefix + list[0].Content
+			recordKey = recordRowPrefix + list[0].Content
 		}
-		return held != "" && s.fleet.Store.Row(membersTable, held) != nil
-	}, "the verdict is in the store")
-	s.restore(c)
+		return recordKey != "" && s.fleet.Store.Row(membersTable, recordKey) != nil
+	}, "the quarantine record is in the store")
+	s.restoreStore(c)
 	back := time.Now()
-	nodes[0].eventually(func() bool {
-		for _, key := range []string{"vm-1", "vm-2", held} {
+	gateways[0].eventually(func() bool {
+		for _, key := range []string{"vm-1", "vm-2", recordKey} {
 			if s.fleet.Store.Row(membersTable, key) == nil {
 				return false
 			}
@@ -120,104 +120,106 @@
 	require.Less(t, time.Since(back), 2*time.Second)
 }
 
-// One gateway cannot reach the store when that comes back older; it hears of the new era
-// through peers only. What the operator writes then, under revisions that it has seen
-// before, must be in force there as well, and a key that was taken away stays refused.
-func TestGatewayCutOffHearsOfAnEraThroughPeers(t *testing.T) {
+// One gateway cannot reach the store when that is restored from a copy; it learns of the
+// new era only from peers. What the operator writes then, under revisions that this gateway
+// has seen before, must be in force there as well, and a revoked key stays refused.
+func TestGatewayWithoutStoreLearnsNewEraFromPeers(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	c := s.fleet.Store.Copy()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
 	s.fleet.Configure("second")
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 	}
-	var cut *node
-	nodes[0].eventually(func() bool {
-		i := slices.IndexFunc(nodes, func(n *node) bool { return len(reading([]*node{n})) == 0 })
+	var cut *testGateway
+	gateways[0].eventually(func() bool {
+		i := slices.IndexFunc(gateways, func(n *testGateway) bool { return len(activeReaders([]*testGateway{n})) == 0 })
 		if i >= 0 {
-			cut = nodes[i]
+			cut = gateways[i]
 		}
 		return i >= 0
-	}, "one lives on the others")
-	s.restore(c)
+	}, "one gateway gets its tables from the others")
+	s.restoreStore(c)
 	cut.door.SetFault(fleet.Reset)
 	s.fleet.Configure("third")
-	cut.eventually(func() bool { return cut.status("third") == http.StatusOK }, "the third key")
-	require.Equal(t, http.StatusUnauthorized, cut.status("second"))
+	cut.eventually(func() bool { return cut.statusWithKey("third") == http.StatusOK }, "the third key")
+	require.Equal(t, http.StatusUnauthorized, cut.statusWithKey("second"))
 }
 
-// A gateway starts inside a drill, while the store shows a key that was taken away before.
-// The others know better; it must not serve that key once it is ready.
-func TestGatewayThatStartsInADrillRefusesRemovedKeys(t *testing.T) {
+// A gateway starts while the store, restored from a copy, still has a key that was revoked.
+// The other gateways know the newer version; this one must not accept that key.
+func TestStartingGatewayRefusesRevokedKeysOfRestoredStore(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	c := s.fleet.Store.Copy()
 	s.fleet.Configure("second")
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 	}
-	s.restore(c)
+	s.restoreStore(c)
 	late := s.gateway("vm-3")
 	begun := time.Now()
 	for time.Since(begun) < time.Second {
-		require.NotEqual(t, http.StatusOK, late.status(fleet.Key), "after %v", time.Since(begun))
+		require.NotEqual(t, http.StatusOK, late.statusWithKey(fleet.Key), "after %v", time.Since(begun))
 		time.Sleep(5 * time.Millisecond)
 	}
-	require.Equal(t, http.StatusOK, late.status("second"))
+	require.Equal(t, http.StatusOK, late.statusWithKey("second"))
 }
 
-// Guards against a gateway that starts inside a drill trusting the keys of the copy while the
-// others cannot answer it, and keeping to it although they name a newer version.
+// Guards against a gateway that starts after a restore trusting the keys of the copy while
+// the other gateways cannot answer it, and keeping them although the others report a newer
+// version.
 func TestGatewayThatStartsTrustsNoKeyBeforePeersAnswer(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	c := s.fleet.Store.Copy()
 	s.fleet.Configure("second")
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errTableUnknown })
 	}
-	s.restore(c)
+	s.restoreStore(c)
 	late := s.launch(s.settings("vm-3"))
 	for begun := time.Now(); time.Since(begun) < 3*configCheckTimeout; time.Sleep(5 * time.Millisecond) {
-		require.NotEqual(t, http.StatusOK, late.status(fleet.Key), "after %v", time.Since(begun))
+		require.NotEqual(t, http.StatusOK, late.statusWithKey(fleet.Key), "after %v", time.Since(begun))
 		require.False(t, late.isReady())
 	}
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.group.setFetchHandler(n.group.serveFetch)
 	}
-	late.eventually(func() bool { return late.isReady() && late.status("second") == http.StatusOK }, "the second key")
-	require.Equal(t, http.StatusUnauthorized, late.status(fleet.Key))
+	late.eventually(func() bool { return late.isReady() && late.statusWithKey("second") == http.StatusOK }, "the second key")
+	require.Equal(t, http.StatusUnauthorized, late.statusWithKey(fleet.Key))
 }
 
-// Streams run while the store comes back older: their servers are missing in the copy. They
-// go on to their end.
-func TestStreamsGoOnThroughADrill(t *testing.T) {
+// Streams run while the store is restored from a copy that lacks their servers. They
+// continue to their end.
+func TestStreamsContinueThroughStoreRestore(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
 	c := s.fleet.Store.Copy()
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 150, EventEvery: 20 * time.Millisecond})
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
-	done := make(chan reply, 1)
+	done := make(chan response, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
-	s.restore(c)
+	s.restoreStore(c)
 	time.AfterFunc(time.Second, engine.Heartbeat)
 	a := <-done
 	require.NoError(t, a.err)
-	require.Equal(t, events(1, 150), a.body)
+	require.Equal(t, eventsText(1, 150), a.body)
 }
 
-// Guards against gateways that all start inside a drill, with nobody to tell them better, never
-// being ready, or keeping what the copy showed once the operator has written again.
-func TestStartOfAllInsideADrill(t *testing.T) {
+// All gateways start during a restore, with no peer that knows a newer version. Guards
+// against their never being ready, and against their keeping the copy's version after the
+// operator has written again.
+func TestAllGatewaysStartDuringStoreRestore(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	c := s.fleet.Store.Copy()
@@ -226,35 +228,36 @@
 	}
 	s.fleet.Configure("second")
 	s.fleet.Store.SetFault(fleet.Reset)
-	var nodes []*node
+	var gateways []*testGateway
 	for _, name := range []string{"vm-1", "vm-2", "vm-3", "vm-4"} {
 		set, door := s.settings(name)
 		door.SetFault(fleet.Reset)
-		nodes = append(nodes, s.launch(set, door))
+		gateways = append(gateways, s.launch(set, door))
 	}
-	time.Sleep(away)
+	time.Sleep(restoreOutage)
 	s.fleet.Store.Restore(c)
 	s.fleet.Store.SetFault(fleet.Sound)
 	s.fleet.Configure("third")
 	written := time.Now()
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("third") == http.StatusOK }, "the newest key")
-		require.Equal(t, http.StatusUnauthorized, n.status(fleet.Key), "of the copy")
-		require.Equal(t, http.StatusUnauthorized, n.status("second"), "of before the drill")
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.statusWithKey("third") == http.StatusOK }, "the newest key")
+		require.Equal(t, http.StatusUnauthorized, n.statusWithKey(fleet.Key), "key of the copy")
+		require.Equal(t, http.StatusUnauthorized, n.statusWithKey("second"), "key from before the restore")
 	}
 	require.Less(t, time.Since(written), testBounds.ApplyConfig)
 }
 
-// Guards against a second drill, within the time of the first one's reads, being taken for the
-// same: the store falls back twice to the same copy, and what is written between is gone.
-func TestDrillsInARow(t *testing.T) {
+// Guards against a second restore, while gateways still read the tables after the first
+// one, being taken for the same: the store falls back to the same copy again, and what was
+// written in between is lost.
+func TestRepeatedStoreRestores(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	c := s.fleet.Store.Copy()
 	s.fleet.Configure("second")
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("second") == http.StatusOK }, "the second key")
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 	}
 	for range 3 {
 		s.fleet.Store.Restore(c)
@@ -263,31 +266,30 @@
 	}
 	s.fleet.Configure("third")
 	written := time.Now()
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.status("third") == http.StatusOK }, "the third key")
-		require.Equal(t, http.StatusUnauthorized, n.status("second"))
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.statusWithKey("third") == http.StatusOK }, "the third key")
+		require.Equal(t, http.StatusUnauthorized, n.statusWithKey("second"))
 	}
 	require.Less(t, time.Since(written), testBounds.ApplyConfig)
 }
 
-// Twelve gateways, each with a few links. What they call the store for in the five seconds
-// after it came back older is at most twice what they call it for after a plain outage of
-// the same length.
-func TestDrillIsNoBurst(t *testing.T) {
+// Twelve gateways have a few links each. Their calls to the store in the five seconds after
+// a restore are at most twice their calls after a plain outage of the same length.
+func TestStoreRestoreCausesNoBurstOfCalls(t *testing.T) {
 	t.Parallel()
-	s, _ := partial(t)
-	after := func(back func()) int {
+	s, _ := startPartialMesh(t)
+	callsAfter := func(restore func()) int {
 		s.fleet.Store.SetFault(fleet.Reset)
-		time.Sleep(away)
-		back()
+		time.Sleep(restoreOutage)
+		restore()
 		s.fleet.Store.SetFault(fleet.Sound)
 		calls := s.fleet.Store.Calls()
 		time.Sleep(5 * time.Second)
 		return s.fleet.Store.Calls() - calls
 	}
 	c := s.fleet.Store.Copy()
-	plain := after(func() {})
-	drill := after(func() { s.fleet.Store.Restore(c) })
-	t.Logf("calls in 5 s: %d after an outage, %d after a drill", plain, drill)
-	require.LessOrEqual(t, drill, 2*plain)
+	outage := callsAfter(func() {})
+	restored := callsAfter(func() { s.fleet.Store.Restore(c) })
+	t.Logf("calls in 5 s: %d after an outage, %d after a restore", outage, restored)
+	require.LessOrEqual(t, restored, 2*outage)
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -27,16 +27,17 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// memberRows is a store whose table of gateways holds given rows.
-type memberRows []follow.Row
+// fakeStore is a store whose table of gateways has given rows.
+type fakeStore []follow.Row
 
-func (m memberRows) Put(context.Context, string, string, []byte) error { return nil }
+func (m fakeStore) Put(context.Context, string, string, []byte) error { return nil }
 
-func (m memberRows) Remove(context.Context, string, string, revision.Revision) error { return nil }
+func (m fakeStore) Remove(context.Context, string, string, revision.Revision) error { return nil }
 
-func (m memberRows) Table(string) follow.Feed { return memberFeed(m) }
+func (m fakeStore) Table(string) follow.Feed { return fakeFeed(m) }
 
-func quietGroup(store tableStore) *group {
+// newQuietGroup returns a group that logs nothing and has no links.
+func newQuietGroup(store tableStore) *group {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	registry := backends.New("z", func(string) backends.ServiceTraits { return backends.ServiceTraits{} }, func(backends.Server, backends.LeaveReason) {})
@@ -47,8 +48,8 @@
 	return g
 }
 
-// FuzzMember: whatever bytes stand for the row of a gateway, they name an address that can
-// be dialed, or none.
+// FuzzMember checks that any bytes in a gateway's row are either rejected or decoded to an
+// address that can be dialed.
 func FuzzMember(f *testing.F) {
 	corpus := fuzzseed.New(f)
 	for _, seed := range []string{`{"address":"10.0.0.2:7200","failure_domain":"z"}`, "", "null", "[]", `{"address":7}`, `{"address":"vm:7200"}`, `{"address":"10.0.0.2"}`} {
@@ -65,7 +66,7 @@
 	})
 }
 
-// FuzzPeer: whatever a peer's frame holds, the gateway lives on.
+// FuzzPeer checks that no frame of a peer crashes the gateway.
 func FuzzPeer(f *testing.F) {
 	corpus := fuzzseed.New(f)
 	for _, frame := range []*peerv1.Frame{
@@ -85,7 +86,7 @@
 		if proto.Unmarshal(data, frame) != nil {
 			return
 		}
-		g := quietGroup(memberRows(nil))
+		g := newQuietGroup(fakeStore(nil))
 		if s := frame.GetState(); s != nil {
 			g.State("p", s)
 			g.State("p", nil)
@@ -101,8 +102,8 @@
 	})
 }
 
-// FuzzSuspect: whatever bytes stand for the row of a request, it is read as what it would be
-// written as, or not at all.
+// FuzzSuspect checks that any bytes in the row of a quarantine record are either rejected
+// or decoded to a record that encodes to the same request.
 func FuzzSuspect(f *testing.F) {
 	corpus := fuzzseed.New(f)
 	valid := quarantine.Record{ID: quarantine.NewID("team", "POST", "h", "/p", nil), Crashes: []quarantine.Crash{{Incarnation: 7, At: time.Second}}, ClearedAt: time.Millisecond}
@@ -126,13 +127,13 @@
 	})
 }
 
-// Another writer leaves rows that are none in the table of gateways. The gateways of the
-// other rows must be known just as without them: a gateway that is left out is not told
-// of loads, and one that cannot be dialed would be tried for ever.
-func TestBadRowsOfMembersChangeNothing(t *testing.T) {
+// Another writer leaves invalid rows in the table of gateways. The gateways of the other
+// rows must be known as without them: a gateway that is left out gets no loads, and one
+// with an invalid address would be dialed again and again.
+func TestInvalidMemberRowsAreIgnored(t *testing.T) {
 	bad := []string{"", "{", "null", "[]", `{"address":"vm:80"}`, `{"address":"10.0.0.2"}`, `{"failure_domain":"z"}`}
 	rapid.Check(t, func(t *rapid.T) {
-		var mixed, clean memberRows
+		var mixed, clean fakeStore
 		for i := range rapid.IntRange(0, 10).Draw(t, "rows") {
 			row := follow.Row{Key: fmt.Sprint("vm-", i), Value: fmt.Appendf(nil, `{"address":"10.0.0.%d:7200","failure_domain":"z"}`, i+1), Revision: revision.At(0, uint64(i))}
 			if rapid.Bool().Draw(t, "bad") {
@@ -142,19 +143,19 @@
 			}
 			mixed = append(mixed, row)
 		}
-		require.Equal(t, quietGroup(clean).decodeMembers(clean), quietGroup(mixed).decodeMembers(mixed))
+		require.Equal(t, newQuietGroup(clean).decodeMembers(clean), newQuietGroup(mixed).decodeMembers(mixed))
 	})
 }
 
-// memberFeed is the table of gateways, read once.
-type memberFeed []follow.Row
+// fakeFeed is the table of gateways with given rows and no changes.
+type fakeFeed []follow.Row
 
 var errNotFollowed = errors.New("the table of gateways is not followed")
 
-func (m memberFeed) Changes(context.Context, revision.Revision, time.Duration, func()) (follow.Page, error) {
+func (m fakeFeed) Changes(context.Context, revision.Revision, time.Duration, func()) (follow.Page, error) {
 	return follow.Page{}, errNotFollowed
 }
 
-func (m memberFeed) Snapshot(context.Context, time.Duration) (follow.Page, error) {
+func (m fakeFeed) Snapshot(context.Context, time.Duration) (follow.Page, error) {
 	return follow.Page{Rows: m}, nil
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,8 @@
 
 var slowStream = fleet.Behaviour{Events: 60, EventEvery: 20 * time.Millisecond}
 
-// Each kind of request passes, with what the server may know and nothing else.
+// Each kind of request reaches a server, with the headers that a server may see and no
+// others.
 func TestEachKindIsServed(t *testing.T) {
 	s := newSystem(t)
 	desk := s.server(fleet.DeskService, fleet.Behaviour{})
@@ -40,12 +41,12 @@
 
 	r = n.do(generation(fleet.PlanPath))
 	require.NoError(t, r.err)
-	require.Equal(t, events(1, 3), r.body)
+	require.Equal(t, eventsText(1, 3), r.body)
 	require.Equal(t, "m", engine.Seen()[0].Header.Get("X-Kingcupplank-Model-Id"))
 }
 
-// What a caller may not set must not reach a server: it would reserve, pin or
-// take over memory, or go on from another request's.
+// A header that callers may not set must not reach a server: the request could reserve, pin
+// or take over KV cache, or resume another request's run.
 func TestForgedHeadersStayOutside(t *testing.T) {
 	s := newSystem(t)
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 2})
@@ -63,21 +64,21 @@
 	require.Equal(t, "m", h.Get("X-Kingcupplank-Model-Id"))
 }
 
-// Wrong requests get a clear answer and disturb nothing else.
+// An invalid request gets the right status and doesn't affect other requests.
 func TestWrongRequests(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	for name, c := range map[string]struct {
-		call   call
+		call   callerRequest
 		status int
 	}{
 		"no route":    {plain("/other/a"), http.StatusNotFound},
 		"unknown key": {plain(fleet.OncePath).with("X-Api-Key", "wrong"), http.StatusUnauthorized},
 		"no key":      {plain(fleet.OncePath).with("X-Api-Key", ""), http.StatusUnauthorized},
 		"open":        {plain(fleet.OpenPath).with("X-Api-Key", ""), http.StatusOK},
-		"long body":   {call{method: "POST", path: fleet.OncePath, body: strings.Repeat("x", 70000)}, http.StatusRequestEntityTooLarge},
+		"long body":   {callerRequest{method: "POST", path: fleet.OncePath, body: strings.Repeat("x", 70000)}, http.StatusRequestEntityTooLarge},
 		"long header": {plain(fleet.OncePath).with("X-Long", strings.Repeat("x", 20000)), http.StatusRequestHeaderFieldsTooLarge},
 	} {
 		require.Equal(t, c.status, n.do(c.call).status, name)
@@ -88,8 +89,8 @@
 	require.Equal(t, http.StatusBadRequest, c.read().status)
 }
 
-// An engine is reclaimed: it says that it is leaving, and ends. The caller's
-// stream goes on at another engine without a gap.
+// An engine is reclaimed: it reports that it is leaving, and stops. The caller's stream
+// continues on another engine without a gap.
 func TestStreamOutlivesAReclaimedEngine(t *testing.T) {
 	s := newSystem(t)
 	b := slowStream
@@ -97,7 +98,7 @@
 	first := s.server(fleet.ModelService, b)
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
-	got := make(chan reply, 1)
+	got := make(chan response, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return first.Running() == 1 }, "running")
 	second := s.server(fleet.ModelService, b)
@@ -106,14 +107,14 @@
 	time.AfterFunc(700*time.Millisecond, first.Kill)
 	r := <-got
 	require.NoError(t, r.err)
-	require.Equal(t, events(1, b.Events), r.body)
+	require.Equal(t, eventsText(1, b.Events), r.body)
 	require.Equal(t, "seal-"+first.ID, r.header.Get("X-Kingcupplank-Response-Seal"))
 	require.Len(t, second.Seen(), 1)
 	require.NotEmpty(t, second.Seen()[0].Header.Get("Kv-From"))
 }
 
-// The same while the store is away: nobody says that the engine is leaving but the
-// engine itself.
+// The same while the store is unavailable: only the engine itself reports that it is
+// leaving.
 func TestStreamOutlivesAnEngineThatLeavesDuringAnOutage(t *testing.T) {
 	s := newSystem(t)
 	b := slowStream
@@ -121,7 +122,7 @@
 	first := s.server(fleet.ModelService, b)
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
-	got := make(chan reply, 1)
+	got := make(chan response, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return first.Running() == 1 }, "running")
 	s.server(fleet.ModelService, b)
@@ -131,11 +132,11 @@
 	time.AfterFunc(3*time.Second, first.Kill)
 	r := <-got
 	require.NoError(t, r.err)
-	require.Equal(t, events(1, b.Events), r.body)
+	require.Equal(t, eventsText(1, b.Events), r.body)
 }
 
-// A server says that it is leaving, another's entry just vanishes. Neither gets
-// new requests from then on.
+// A server reports that it is leaving; another's entry just vanishes. Neither gets new
+// requests from then on.
 func TestLeavingServersGetNothingNew(t *testing.T) {
 	s := newSystem(t)
 	a := s.server(fleet.DeskService, fleet.Behaviour{})
@@ -153,9 +154,10 @@
 	require.Empty(t, b.Seen())
 }
 
-// The store drops its history while a gateway cannot reach it, and servers leave
-// meanwhile. After the return they get nothing, although no change told so.
-func TestChangesBehindALostHistoryAreSeen(t *testing.T) {
+// The store compacts its history while a gateway cannot reach it, and servers leave in that
+// time. Once the store is reachable again the gateway must not use them, although no change
+// of the feed mentions them.
+func TestChangesDuringLostFeedHistoryAreApplied(t *testing.T) {
 	s := newSystem(t)
 	a := s.server(fleet.DeskService, fleet.Behaviour{})
 	b := s.server(fleet.DeskService, fleet.Behaviour{})
@@ -170,9 +172,9 @@
 	require.Equal(t, "answer of "+b.ID, n.do(plain(fleet.OncePath)).body)
 }
 
-// Every entry lapses during an outage of the store, though the servers live. They
-// are used on, also in the two seconds in which they register again.
-func TestLapsedEntriesAreUsedOn(t *testing.T) {
+// Every entry expires during an outage of the store, although the servers run. They stay in
+// use, also in the two seconds in which they register again.
+func TestServersStayInUseWhenEntriesExpireInAnOutage(t *testing.T) {
 	s := newSystem(t)
 	a := s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
@@ -183,12 +185,12 @@
 	s.fleet.Store.SetFault(fleet.Sound)
 	n.eventually(n.isReady, "ready again")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
-	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 0 }, "taken as gone")
+	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 0 }, "removed")
 }
 
-// A key is taken away while the store turns this VM away; its peer still reads it.
-// The peer tells, and the key is refused here within the bound.
-func TestPeerTellsOfARevokedKey(t *testing.T) {
+// A key is revoked while the store rejects this VM's calls; its peer can still read the
+// store. The peer passes the revocation on, and the key is refused here within the bound.
+func TestPeerPropagatesKeyRevocation(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
@@ -200,22 +202,22 @@
 	written := time.Now()
 	s.fleet.Configure("another-key")
 	a.eventually(func() bool { return a.do(plain(fleet.OncePath)).status == http.StatusUnauthorized }, "refused")
-	// Removed keys are refused some ms before the rest of the version is in force.
+	// Revoked keys are refused some ms before the rest of the version is in force.
 	a.eventually(func() bool {
 		return a.do(plain(fleet.OncePath).with("X-Api-Key", "another-key")).status == http.StatusOK
 	}, "the new key is known")
 	require.Less(t, time.Since(written), testBounds.ApplyConfig)
 }
 
-// The store is away for everybody. Before a removed key could outlive its bound
-// keys are not trusted any more; after the return they are at once.
+// The store is unavailable to everybody. Keys are not trusted any more before a revoked key
+// could outlive its bound; once the store is back they are trusted at once.
 func TestKeysAreNotTrustedThroughAnOutage(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Store.SetFault(fleet.Silent)
-	// A call that waits at the store is still answered, and confirms the keys.
+	// A call that is waiting at the store is still answered, and confirms the keys.
 	time.Sleep(DefaultOptions().FeedTimeout + testBounds.Revoke)
 	r := n.do(plain(fleet.OncePath))
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
@@ -226,28 +228,27 @@
 	require.Less(t, time.Since(back), 2500*time.Millisecond)
 }
 
-// A new version with a further route is in force at every gateway in seconds, and
-// versions never go back.
+// A new version with an additional route is in force at every gateway within seconds.
 func TestNewVersionIsInForceEverywhere(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
-	require.Equal(t, http.StatusNotFound, nodes[0].do(plain("/extra/a")).status)
+	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
+	require.Equal(t, http.StatusNotFound, gateways[0].do(plain("/extra/a")).status)
 	s.fleet.Configure(fleet.Key, "/extra/")
 	begun := time.Now()
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.eventually(func() bool { return n.do(plain("/extra/a")).status == http.StatusOK }, "in force")
 	}
 	require.Less(t, time.Since(begun), testBounds.ApplyConfig)
 }
 
-// Three gateways share the work of reading the store; while nothing changes two
-// of them make one call a second for each table.
+// Four gateways share the reads of the store: while nothing changes, two of them make one
+// call a second for each table.
 func TestFewGatewaysReadTheStore(t *testing.T) {
 	s := newSystem(t)
-	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c"), s.gateway("vm-d")}
-	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(nodes)-1 }, "linked")
+	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c"), s.gateway("vm-d")}
+	for _, n := range gateways {
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(gateways)-1 }, "linked")
 	}
 	time.Sleep(1500 * time.Millisecond)
 	before := s.fleet.Store.Calls()
@@ -255,8 +256,8 @@
 	require.LessOrEqual(t, s.fleet.Store.Calls()-before, 2*2*4)
 }
 
-// The caller leaves in the middle of an answer, and before one. The server must
-// not work on for nobody.
+// The caller disconnects in the middle of a response, and before one. The server must stop
+// working on the request.
 func TestServerStopsWhenTheCallerLeaves(t *testing.T) {
 	s := newSystem(t)
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
@@ -267,7 +268,7 @@
 	n.eventually(func() bool { return engine.Running() == 1 }, "running")
 	c.Close()
 	require.Eventually(t, func() bool { return engine.Running() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
-	n.eventually(func() bool { return n.relay.InProgress() == 0 }, "ended")
+	n.eventually(func() bool { return n.relay.InProgress() == 0 }, "no request in progress")
 
 	engine.SetBehaviour(fleet.Behaviour{Delay: time.Minute})
 	c = n.dial()
@@ -277,8 +278,8 @@
 	require.Eventually(t, func() bool { return engine.Waiting() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
 }
 
-// A server hangs. The caller has its final answer when the route's time is over,
-// and is not told that the request did not run.
+// A server hangs. The caller gets its final response at the route's timeout, with a status
+// that doesn't claim that the request was not run.
 func TestFinalAnswerAtTheRoutesTimeout(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{Delay: time.Minute})
@@ -289,9 +290,9 @@
 	require.InDelta(t, 1.5, time.Since(begun).Seconds(), 0.25)
 }
 
-// A server breaks off its answer; another answers a safe request, and a request
-// that must not be repeated ends without a promise.
-func TestBrokenAnswersAreNeverPassedOff(t *testing.T) {
+// A server breaks off its response. Another server answers a safe request; a request that
+// must not be repeated fails without a claim that it was not run.
+func TestBrokenResponsesAreNotPassedToCallers(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nX-Kingcupplank-Attempt-Id: attempt-1\r\nX-Kingcupplank-Response-Seal: s\r\n"
 	for name, raw := range map[string]func(c net.Conn){
 		"cut":      func(c net.Conn) { c.Write([]byte(head + "Content-Length: 100\r\n\r\nhalf")) },
@@ -323,8 +324,8 @@
 	}
 }
 
-// A server sends a second answer to a request, late, where the next one's is due.
-// The next caller must get its own.
+// A server sends a second response to a request, late, where the response to the next
+// request is expected. The next caller must get its own response.
 func TestStrayAnswerIsNotPairedWithTheNextRequest(t *testing.T) {
 	s := newSystem(t)
 	answer := func(id, body string) string {
@@ -348,9 +349,10 @@
 	require.Equal(t, "two", n.do(plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", "second")).body)
 }
 
-// The VM is told to stop while it answers. It is not ready at once, what it has
-// taken is answered whole, and kept connections are closed by their answers.
-func TestStoppingCutsNothing(t *testing.T) {
+// The gateway gets SIGTERM while requests are in progress. It is not ready from then on,
+// the requests are answered completely, and kept connections are closed after their
+// responses.
+func TestShutdownCompletesRequestsInProgress(t *testing.T) {
 	s := newSystem(t)
 	engine := s.server(fleet.ModelService, slowStream)
 	s.server(fleet.DeskService, fleet.Behaviour{})
@@ -359,7 +361,7 @@
 	kept := n.dial()
 	kept.send(plain(fleet.OncePath))
 	require.Equal(t, http.StatusOK, kept.read().status)
-	got := make(chan reply, 1)
+	got := make(chan response, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return engine.Running() == 1 }, "running")
 	stopped := make(chan struct{})
@@ -374,35 +376,34 @@
 	require.True(t, r.closes)
 	r = <-got
 	require.NoError(t, r.err)
-	require.Equal(t, events(1, slowStream.Events), r.body)
+	require.Equal(t, eventsText(1, slowStream.Events), r.body)
 	<-stopped
 }
 
-// A configuration grows far beyond what a thin VM's link can pass on to its peers
-// without holding up callers. The peers are told that there is more, and read it
-// from the store themselves.
+// A configuration grows far beyond what a thin VM's link can send to its peers without
+// delaying callers. The peers only get its revision, and fetch the change by other means.
 func TestLongPagesAreNotPassedOn(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.linkMbps = 1
-	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
-	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(nodes)-1 }, "linked")
+	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
+	for _, n := range gateways {
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(gateways)-1 }, "linked")
 	}
 	var more []string
 	for i := range 400 {
 		more = append(more, fmt.Sprintf("/extra-%d/", i))
 	}
 	s.fleet.Configure(fleet.Key, more...)
-	last := nodes[len(nodes)-1]
+	last := gateways[len(gateways)-1]
 	last.eventually(func() bool { return last.do(plain("/extra-399/a")).status == http.StatusOK }, "in force")
-	require.True(t, nodes[0].group.exceedsLinks(follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 40000)}}}}))
-	require.False(t, nodes[0].group.exceedsLinks(follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 500)}}}}))
+	require.True(t, gateways[0].group.exceedsLinks(follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 40000)}}}}))
+	require.False(t, gateways[0].group.exceedsLinks(follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, 500)}}}}))
 }
 
-// The platform moves the store to another address and changes a bound while the
-// gateway runs. Both hold without a restart.
-func TestReloadedSettingsHold(t *testing.T) {
+// The platform moves the store to another address and changes a bound while the gateway
+// runs. Both take effect without a restart.
+func TestReloadedSettingsTakeEffect(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
@@ -416,12 +417,12 @@
 	time.Sleep(3 * time.Second)
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
 	door.SetFault(fleet.Reset)
-	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusServiceUnavailable }, "bound holds")
+	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusServiceUnavailable }, "the new bound is in force")
 }
 
-// A caller sends half a body and falls silent. It is told that its request did not
-// run, and holds nothing.
-func TestHalfABodyIsGivenUp(t *testing.T) {
+// A caller sends half a body and stops. It gets the response that its request was not run,
+// and the request no longer counts as in progress.
+func TestIncompleteRequestBodyTimesOut(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
@@ -433,9 +434,9 @@
 	require.Zero(t, n.relay.InProgress())
 }
 
-// All VMs lost power, and reading the directory of thousands of servers takes longer
-// than reading the configuration. A gateway that says it is ready in between refuses
-// every caller for lack of a server; so it is ready only when it knows both.
+// All VMs lost power, and reading the directory of thousands of servers takes longer than
+// reading the configuration. A gateway that reports ready in between refuses every caller
+// for lack of a server. So it is only ready when it has read both.
 func TestGatewayIsReadyOnceItKnowsTheServers(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -13,39 +13,39 @@
 	peerv1 "kingcupplank.example/kingcup/proto/kingcup/peer/v1"
 )
 
-// more names further prefixes of a configuration that grows.
-func more(n int) (prefixes []string) {
+// extraPrefixes returns n more route prefixes for a growing configuration.
+func extraPrefixes(n int) (prefixes []string) {
 	for i := range n {
 		prefixes = append(prefixes, fmt.Sprintf("/extra-%d/", i))
 	}
 	return prefixes
 }
 
-// linked waits until each of the gateways hears all others, and until the calls have
-// ended in which it followed the store before that.
-func linked(nodes ...*node) {
-	for _, n := range nodes {
-		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(nodes)-1 }, "linked")
+// waitUntilLinked waits until each of the gateways receives the states of all others, and
+// until the calls have returned in which it followed the store before that.
+func waitUntilLinked(gateways ...*testGateway) {
+	for _, n := range gateways {
+		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(gateways)-1 }, "linked")
 	}
-	time.Sleep(DefaultOptions().FeedTimeout + followSlack)
+	time.Sleep(DefaultOptions().FeedTimeout + followMargin)
 }
 
-// followSlack covers the look at who reads the store.
-const followSlack = 300 * time.Millisecond
+// followMargin covers the check of which gateways read the store.
+const followMargin = 300 * time.Millisecond
 
-// A configuration grows by 1,400 routes. Its row would take a second of a link of
-// 10 Mbit/s, in which callers of the thin VM would wait behind it; what has changed takes
-// 15 ms of it and comes from a peer. The VM's way to the store is gone here, so that
-// nothing of it can have come from there.
+// A configuration grows by 1,400 routes. Its row would occupy a link of 10 Mbit/s for a
+// second, in which callers of the thin VM would wait; the change alone takes 15 ms and
+// comes from a peer. The VM's connection to the store is cut here, so that nothing can have
+// come from there.
 func TestThinVMNeedsNoRowFromTheStore(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.linkMbps = 200
-	prefixes := more(2600 + 1400)
+	prefixes := extraPrefixes(2600 + 1400)
 	s.fleet.Configure(fleet.Key, prefixes[:2600]...)
-	wide := []*node{s.gateway("vm-a"), s.gateway("vm-b")}
-	thin, _ := s.thin("vm-c", 10)
-	linked(wide[0], wide[1], thin)
+	wide := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
+	thin, _ := s.gatewayOnLink("vm-c", 10)
+	waitUntilLinked(wide[0], wide[1], thin)
 	thin.door.SetFault(fleet.Reset)
 	s.fleet.Configure(fleet.Key, prefixes...)
 	thin.eventually(func() bool {
@@ -54,14 +54,14 @@
 	require.Equal(t, http.StatusOK, thin.do(plain(prefixes[0]+"a")).status)
 }
 
-// The peers that announce a version cannot be asked: their answers do not come. The VM
-// reads the store by itself, whole, and nobody is refused meanwhile.
-func TestVersionThatPeersDoNotBringIsReadFromTheStore(t *testing.T) {
+// The peers that announce a version don't answer fetches. The VM reads the whole version
+// from the store itself, and no caller is refused meanwhile.
+func TestVersionIsReadFromTheStoreIfPeersFail(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	wide := []*node{s.gateway("vm-a"), s.gateway("vm-b")}
+	wide := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
 	last := s.gateway("vm-c")
-	linked(wide[0], wide[1], last)
+	waitUntilLinked(wide[0], wide[1], last)
 	for _, n := range wide {
 		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errConfigUnreadable })
 	}
@@ -69,23 +69,24 @@
 	last.eventually(func() bool { return last.do(plain("/extra/a")).status == http.StatusOK }, "in force")
 }
 
-// The operator writes a configuration that nobody here can read, in which a key may be
-// gone. Gateways that live on their peers must not take the version in force there for
-// the newest: keys are trusted no longer than their bound.
+// The operator writes a configuration that no gateway can decode, in which a key may have
+// been revoked. Gateways that get the configuration from peers must not take the version in
+// force there for the newest: keys are not trusted beyond their bound.
 func TestUnreadableVersionIsNotConfirmedByPeers(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
-	linked(nodes...)
+	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
+	waitUntilLinked(gateways...)
 	s.fleet.Store.PutBytes("op", "config", []byte("{"))
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusServiceUnavailable }, "keys are not trusted")
 	}
 }
 
-// A VM with a wide link reads a long page of the directory, and one of its peers has a
-// thin link: the page would stand there for seconds before callers' bytes and end the link
-// between the two. It is announced only, and each reads it at its own pace.
+// A VM with a wide link reads a long page of the directory, and one of its peers has a thin
+// link. The page would occupy that link for seconds, delay callers' data and cause the
+// connection between the two to be closed. So the page is only announced, and each peer
+// reads it at its own pace.
 func TestPagesAreShortEnoughForTheThinnestLink(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
@@ -95,8 +96,8 @@
 		return follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, size)}}}}
 	}
 	require.False(t, wide.group.exceedsLinks(page(100_000)))
-	thin, _ := s.thin("vm-b", 10)
-	linked(wide, thin)
+	thin, _ := s.gatewayOnLink("vm-b", 10)
+	waitUntilLinked(wide, thin)
 	require.True(t, wide.group.exceedsLinks(page(100_000)))
 	require.False(t, wide.group.exceedsLinks(page(10_000)))
 }
--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -17,16 +17,16 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// Guards against callers of thin VMs being refused, or handled by an old version, while a grown
-// configuration comes in.
+// Guards against callers of thin VMs being refused, or handled by an old version, while a
+// grown configuration arrives.
 func TestGrownConfigurationIsInForceOnThinVMs(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.linkMbps = 200
-	wide := []*node{s.gateway("vm-a"), s.gateway("vm-b")}
-	thin, _ := s.thin("vm-c", 10)
-	linked(wide[0], wide[1], thin)
-	prefixes := more(4000)
+	wide := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
+	thin, _ := s.gatewayOnLink("vm-c", 10)
+	waitUntilLinked(wide[0], wide[1], thin)
+	prefixes := extraPrefixes(4000)
 	s.fleet.Configure(fleet.Key, prefixes...)
 	grown := time.Now()
 	newest := prefixes[len(prefixes)-1] + "a"
@@ -46,21 +46,22 @@
 	require.Less(t, time.Since(grown), testBounds.ApplyConfig)
 }
 
-// Guards against a long row that is begun anew while its bytes arrive: they come in at most 1.2
-// times, in at most 1.25 times what the link needs.
+// Guards against the transfer of a long row being restarted while it arrives. The bytes
+// received are at most 1.2 times the row, in at most 1.25 times the time that the link
+// needs.
 func TestLoneVMReadsAGrownConfigurationOnce(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	lone, link := s.thin("vm-a", 40)
+	lone, link := s.gatewayOnLink("vm-a", 40)
 	before := link.Passed()
-	prefixes := more(16000)
+	prefixes := extraPrefixes(16000)
 	s.fleet.Configure(fleet.Key, prefixes...)
 	size := int64(s.fleet.Store.Size("op", "config"))
-	// The answers to no change take some hundred bytes.
+	// Responses without changes have some hundred bytes.
 	lone.eventually(func() bool { return link.Passed()-before > size/100 }, "the row begins to come in")
 	begun := time.Now()
 	lone.eventually(func() bool { return link.Passed()-before > size }, "the row has come in")
-	// A busy machine may add to what the link needs.
+	// busy is the extra time that a busy machine may take.
 	const busy = 700 * time.Millisecond
 	require.Less(t, time.Since(begun), link.Takes(size*5/4)+busy)
 	lone.eventually(func() bool { return lone.do(plain(prefixes[0]+"a")).status == http.StatusOK }, "the newest version is in force")
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -20,13 +20,13 @@
 	"kingcupplank.example/kingcup/platform/settings"
 )
 
-// system is a platform with gateways.
+// system is a simulated platform with gateways under test.
 type system struct {
 	t     testing.TB
 	fleet *fleet.Fleet
-	// linkMbps is the bandwidth that gateways are told of.
+	// linkMbps is the bandwidth of the VMs in the gateways' settings.
 	linkMbps float64
-	// peerLinks bounds the links of each gateway, 0 for the default.
+	// peerLinks bounds the links of each gateway; 0 is the default.
 	peerLinks int
 }
 
@@ -43,8 +43,9 @@
 	return srv
 }
 
-// node is a gateway with its own way to the store.
-type node struct {
+// testGateway is a running gateway. door is its own entrance to the store, where faults can
+// be injected for this gateway only.
+type testGateway struct {
 	*Gateway
 	t       testing.TB
 	callers string
@@ -52,14 +53,14 @@
 	door    *fleet.Door
 }
 
-// testBounds are short, so that tests are.
+// testBounds are short to keep the tests short.
 var testBounds = settings.Bounds{
 	DrainServer: 2 * time.Second, Shutdown: 4 * time.Second, ApplyConfig: 2 * time.Second, Revoke: 3 * time.Second,
 	RetryRatio: 0.2, RetryExtra: 50, RetryWindow: 10 * time.Second,
 }
 
-// testMemory is for all gateways of a test and what they are tried on: the limit that the runtime
-// keeps to is the process's.
+// testMemory is the memory for all gateways and stand-ins of a test together: the Go
+// runtime's memory limit is one per process.
 const testMemory = 8 << 30
 
 func (s *system) settings(name string) (*settings.Settings, *fleet.Door) {
@@ -78,14 +79,14 @@
 }
 
 // gateway starts a gateway and waits until it is ready.
-func (s *system) gateway(name string) *node {
+func (s *system) gateway(name string) *testGateway {
 	s.t.Helper()
 	set, door := s.settings(name)
 	return s.start(set, door)
 }
 
-// thin starts a gateway whose way to the store is a link of a rate in Mbit/s.
-func (s *system) thin(name string, mbps float64) (*node, *standin.Link) {
+// gatewayOnLink starts a gateway whose connection to the store has a bandwidth in Mbit/s.
+func (s *system) gatewayOnLink(name string, mbps float64) (*testGateway, *standin.Link) {
 	s.t.Helper()
 	set, door := s.settings(name)
 	link := standin.NewLink(mbps)
@@ -94,7 +95,7 @@
 	return s.start(set, door), link
 }
 
-func (s *system) start(set *settings.Settings, door *fleet.Door) *node {
+func (s *system) start(set *settings.Settings, door *fleet.Door) *testGateway {
 	s.t.Helper()
 	n := s.launch(set, door)
 	n.eventually(n.isReady, "ready")
@@ -102,7 +103,7 @@
 }
 
 // launch starts a gateway without waiting until it is ready.
-func (s *system) launch(set *settings.Settings, door *fleet.Door) *node {
+func (s *system) launch(set *settings.Settings, door *fleet.Door) *testGateway {
 	s.t.Helper()
 	log := logging.New(io.Discard, logrus.InfoLevel)
 	opts := DefaultOptions()
@@ -112,12 +113,12 @@
 	}
 	g, err := Start(opts, set, log)
 	require.NoError(s.t, err)
-	n := &node{Gateway: g, t: s.t, callers: set.Callers, ready: set.Ready, door: door}
+	n := &testGateway{Gateway: g, t: s.t, callers: set.Callers, ready: set.Ready, door: door}
 	s.t.Cleanup(func() { n.Close() })
 	return n
 }
 
-func (n *node) isReady() bool {
+func (n *testGateway) isReady() bool {
 	resp, err := http.Get("http://" + n.ready + "/kingcupplank/readyz")
 	if err != nil {
 		return false
@@ -126,28 +127,28 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// eventually polls a condition.
-func (n *node) eventually(ok func() bool, what string) {
+// eventually waits until a condition holds, and fails the test after 8 s.
+func (n *testGateway) eventually(ok func() bool, what string) {
 	n.t.Helper()
 	require.Eventually(n.t, ok, 8*time.Second, 10*time.Millisecond, what)
 }
 
-// call is a caller's request.
-type call struct {
+// callerRequest is a request of a caller.
+type callerRequest struct {
 	method, path, body string
 	header             map[string]string
 }
 
-func plain(path string) call { return call{method: "POST", path: path, body: "b"} }
+func plain(path string) callerRequest { return callerRequest{method: "POST", path: path, body: "b"} }
 
-func generation(path string) call {
-	return call{method: "POST", path: path, body: "prompt", header: map[string]string{
+func generation(path string) callerRequest {
+	return callerRequest{method: "POST", path: path, body: "prompt", header: map[string]string{
 		"X-Kingcupplank-Model-Id": "m", "X-Kingcupplank-Token-Usage": "100,400", "X-Kingcupplank-Prompt-Prefix": "5c:60,91:40",
 		"X-Kingcupplank-Deadline-Ms": "20000",
 	}}
 }
 
-func (c call) with(name, value string) call {
+func (c callerRequest) with(name, value string) callerRequest {
 	h := map[string]string{name: value}
 	for k, v := range c.header {
 		if _, ok := h[k]; !ok {
@@ -165,7 +166,7 @@
 	in *bufio.Reader
 }
 
-func (n *node) dial() *conn {
+func (n *testGateway) dial() *conn {
 	n.t.Helper()
 	c, err := net.Dial("tcp", n.callers)
 	require.NoError(n.t, err)
@@ -173,7 +174,7 @@
 	return &conn{Conn: c, t: n.t, in: bufio.NewReader(c)}
 }
 
-func (c *conn) send(r call) {
+func (c *conn) send(r callerRequest) {
 	c.t.Helper()
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.method, r.path, fleet.Host)
@@ -194,29 +195,29 @@
 	require.NoError(c.t, err)
 }
 
-// reply is what a caller got; err tells of an answer that did not come to its end.
-type reply struct {
+// response is what a caller received. err is set if the response is missing or incomplete.
+type response struct {
 	status int
 	header http.Header
 	body   string
-	// closes says that the connection ends with the answer.
+	// closes says that the connection is closed after the response.
 	closes bool
 	err    error
 }
 
-func (c *conn) read() reply {
+func (c *conn) read() response {
 	c.SetReadDeadline(time.Now().Add(15 * time.Second))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(body), closes: resp.Close, err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(body), closes: resp.Close, err: err}
 }
 
-// do makes one request on a connection of its own.
-func (n *node) do(r call) reply {
+// do sends a request on a connection of its own.
+func (n *testGateway) do(r callerRequest) response {
 	n.t.Helper()
 	c := n.dial()
 	defer c.Close()
@@ -224,7 +225,7 @@
 	return c.read()
 }
 
-func events(from, to int) string {
+func eventsText(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: tok%d\n\n", i, i)
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -13,11 +13,11 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// A network partition lies between a gateway and one of two servers: connections to it are
-// held up without a reset, old ones and new ones, and its entry stays ready. Requests that
-// may be repeated are answered by the other server in time; one that may not is told the
-// truth, that it may have run. After some lost requests the server gets no more of them,
-// and when the partition heals it is used again.
+// A network partition separates a gateway from one of two servers: old and new connections
+// hang without a reset, and the server's entry stays ready. Requests that may be repeated
+// are answered by the other server in time. One that may not be repeated gets a status that
+// doesn't claim that it was not run. After some lost requests the server gets no more of
+// them, and when the partition heals it is used again.
 func TestServerBehindAPartitionCostsFewRequests(t *testing.T) {
 	s := newSystem(t)
 	var proxies []*soak.Proxy
@@ -37,7 +37,7 @@
 	proxies[0].Set(soak.Silent)
 	for range 5 {
 		a := n.do(plain(fleet.OncePath))
-		require.NotContains(t, []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}, a.status, "not run is untrue")
+		require.NotContains(t, []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}, a.status, "the request may have run")
 	}
 	lost := 0
 	for range 40 {
@@ -52,22 +52,23 @@
 	require.LessOrEqual(t, lost, 3)
 	proxies[0].Set(soak.Pass)
 	seen := len(parted.Seen())
-	// A server that has failed is tried again when the others have their hands full.
+	// A server that has failed is only tried again when the others are busy.
 	var callers sync.WaitGroup
 	until := time.Now().Add(8 * time.Second)
-	for range crowd {
+	for range concurrentCallers {
 		callers.Go(func() {
-			for time.Now().Before(until) && len(parted.Seen()) < seen+crowd {
+			for time.Now().Before(until) && len(parted.Seen()) < seen+concurrentCallers {
 				n.do(plain(fleet.SafePath))
 			}
 		})
 	}
 	callers.Wait()
-	require.GreaterOrEqual(t, len(parted.Seen()), seen+crowd, "not used again")
+	require.GreaterOrEqual(t, len(parted.Seen()), seen+concurrentCallers, "not used again")
 }
 
-// crowd is how many callers ask at once: more than one server answers at a time.
-const crowd = 16
+// concurrentCallers is how many callers send requests at once: more than one server answers
+// at a time.
+const concurrentCallers = 16
 
 // All gateways lose power right after the operator's change was acknowledged, and start
 // again. None of them may be ready, or serve a caller, with the version before.
@@ -75,19 +76,19 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	names := []string{"vm-a", "vm-b", "vm-c"}
-	var nodes []*node
+	var gateways []*testGateway
 	for _, name := range names {
-		nodes = append(nodes, s.gateway(name))
+		gateways = append(gateways, s.gateway(name))
 	}
-	linked(nodes...)
+	waitUntilLinked(gateways...)
 	s.fleet.Configure("another key", "/extra/")
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.Close()
 	}
 	var served atomic.Int64
 	for _, name := range names {
 		n := s.gateway(name)
-		require.Equal(t, http.StatusUnauthorized, n.do(plain(fleet.OncePath)).status, "a removed key holds")
+		require.Equal(t, http.StatusUnauthorized, n.do(plain(fleet.OncePath)).status, "a revoked key is accepted")
 		a := n.do(plain("/extra/a").with("X-Api-Key", "another key"))
 		if a.status == http.StatusOK {
 			served.Add(1)
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -17,52 +17,53 @@
 )
 
 const (
-	// harmful is in the bodies under which engines end.
-	harmful = "harmful"
-	// toldWithin is how long after the third end under a request all gateways may still
+	// crashingBody is part of the bodies under which engines crash.
+	crashingBody = "harmful"
+	// quarantineTarget is how long after the third crash under a request gateways may still
 	// send it to servers.
-	toldWithin = time.Second
-	// mostFurther is how many servers such a request may reach after the third end, by those
-	// attempts that were under way.
-	mostFurther = 3
+	quarantineTarget = time.Second
+	// maxExtraServers is how many servers such a request may reach after the third crash,
+	// by the attempts that were in flight.
+	maxExtraServers = 3
 )
 
-// fragile is an engine that ends under harmful requests, shortly after their first event.
-var fragile = fleet.Behaviour{
+// crashingEngine is an engine that crashes under crashing requests, shortly after their
+// first event.
+var crashingEngine = fleet.Behaviour{
 	Events: 5, EventEvery: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
-	EndsUnder: harmful, EndsAfter: 50 * time.Millisecond,
+	EndsUnder: crashingBody, EndsAfter: 50 * time.Millisecond,
 }
 
-// endings notes when engines ended under requests.
-type endings struct {
+// crashLog records when engines crashed under requests.
+type crashLog struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
-func (e *endings) note(*fleet.Server) {
+func (e *crashLog) note(*fleet.Server) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.at = append(e.at, time.Now())
 }
 
-func (e *endings) times() []time.Time {
+func (e *crashLog) times() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.at)
 }
 
-// fragileEngines starts engines that end under harmful requests.
-func (s *system) fragileEngines(n int) *endings {
-	e := &endings{}
+// startCrashingEngines starts engines that crash under crashing requests.
+func (s *system) startCrashingEngines(n int) *crashLog {
+	e := &crashLog{}
 	s.fleet.Ended = e.note
 	for range n {
-		s.server(fleet.ModelService, fragile)
+		s.server(fleet.ModelService, crashingEngine)
 	}
 	return e
 }
 
-// reached lists when servers got requests whose body has a text.
-func (s *system) reached(text string) (at []time.Time) {
+// arrivalTimes lists when servers got requests whose body contains a text.
+func (s *system) arrivalTimes(text string) (at []time.Time) {
 	for _, srv := range s.fleet.Servers() {
 		for _, seen := range srv.Seen() {
 			if strings.Contains(seen.Body, text) {
@@ -74,149 +75,150 @@
 	return at
 }
 
-// generate makes a generation of a body as a new attempt, and returns the status.
-func (n *node) generate(path, body string) int {
+// generate sends a generation with a body as a new attempt, and returns the status.
+func (n *testGateway) generate(path, body string) int {
 	as := fleet.As{ID: fleet.NextID(), Key: fleet.Key, Body: body}
-	// What breaks an answer off is no matter here.
+	// The error that cuts a response off doesn't matter here.
 	status, _ := fleet.StreamAs(context.Background(), n.callers, path, as, func(string) {})
 	return status
 }
 
-// repeat sends a body to gateways in turn for some time, and returns the statuses; each
-// attempt has an id of its own.
-func repeat(t *testing.T, nodes []*node, body string, every, lasts time.Duration) (statuses []int) {
+// repeat sends a body to the gateways in turn, every interval for lasts, and returns the
+// statuses. Each attempt has an ID of its own.
+func repeat(t *testing.T, gateways []*testGateway, body string, interval, lasts time.Duration) (statuses []int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i, begun := 0, time.Now(); time.Since(begun) < lasts; i++ {
-		n := nodes[i%len(nodes)]
+		n := gateways[i%len(gateways)]
 		wg.Go(func() {
 			status := n.generate(fleet.CheckPath, body)
 			mu.Lock()
 			defer mu.Unlock()
 			statuses = append(statuses, status)
 		})
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 	wg.Wait()
 	return statuses
 }
 
-// One caller's request ends each engine that begins to run it. The caller comes back several
-// times a second, with a new id, at any gateway; each gateway finds a sound engine for it,
-// and engine after engine ends, with the generations of others on it. The log of ended
-// servers shows the same content on each. After the third end nobody may send it on.
-func TestRequestThatEndsServersIsSentOnByNobody(t *testing.T) {
+// One caller's request crashes each engine that starts to run it. The caller comes back
+// several times a second, with a new attempt ID, at any gateway. Each gateway would send it
+// to another engine, and engine after engine would crash, along with the generations of
+// other callers. After the third crash no gateway may send the request on.
+func TestCrashingRequestIsSentOnByNobody(t *testing.T) {
 	s := newSystem(t)
-	ends := s.fragileEngines(6)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	repeat(t, nodes, harmful, 150*time.Millisecond, 6*time.Second)
-	at := ends.times()
+	crashes := s.startCrashingEngines(6)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	repeat(t, gateways, crashingBody, 150*time.Millisecond, 6*time.Second)
+	at := crashes.times()
 	require.GreaterOrEqual(t, len(at), 3)
-	require.LessOrEqual(t, len(at), 3+mostFurther, "ends in all")
-	for _, reached := range s.reached(harmful) {
-		require.Less(t, reached.Sub(at[2]), toldWithin, "sent on after the third end")
+	require.LessOrEqual(t, len(at), 3+maxExtraServers, "crashes in all")
+	for _, reached := range s.arrivalTimes(crashingBody) {
+		require.Less(t, reached.Sub(at[2]), quarantineTarget, "sent on after the third crash")
 	}
 }
 
-// All gateways are killed while a request that ends engines is refused, and others start in
-// their place. The caller comes back: to them it is new. What the first ones learnt must not
-// go with them, or engines end again.
-func TestGatewaysThatStartLaterKnowWhichRequestEndsServers(t *testing.T) {
+// All gateways are killed while a request is quarantined, and new ones start in their
+// place. The caller comes back. The quarantine must survive in the store, or engines would
+// crash again.
+func TestLaterGatewaysKnowQuarantinedRequests(t *testing.T) {
 	s := newSystem(t)
-	ends := s.fragileEngines(6)
-	first := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	repeat(t, first, harmful, 150*time.Millisecond, 3*time.Second)
+	crashes := s.startCrashingEngines(6)
+	first := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
+	repeat(t, first, crashingBody, 150*time.Millisecond, 3*time.Second)
 	for _, n := range first {
 		n.Close()
 	}
-	known := len(ends.times())
-	later := []*node{s.gateway("vm-3"), s.gateway("vm-4")}
+	known := len(crashes.times())
+	later := []*testGateway{s.gateway("vm-3"), s.gateway("vm-4")}
 	started := time.Now()
-	statuses := repeat(t, later, harmful, 100*time.Millisecond, 2*time.Second)
-	require.Equal(t, known, len(ends.times()), "engines ended again")
-	for _, reached := range s.reached(harmful) {
+	statuses := repeat(t, later, crashingBody, 100*time.Millisecond, 2*time.Second)
+	require.Equal(t, known, len(crashes.times()), "engines crashed again")
+	for _, reached := range s.arrivalTimes(crashingBody) {
 		require.True(t, reached.Before(started), "sent on by a gateway that started later")
 	}
 	require.NotContains(t, statuses, http.StatusOK)
 }
 
-// Twelve gateways that each hear a few of the others learn of three ends at different ones,
-// while the store is away: only what gateways pass on reaches those that hear none of the
-// three. All of them must refuse the request a second later.
-func TestVerdictReachesGatewaysThatHearNoneOfItsWitnesses(t *testing.T) {
-	s, nodes := partial(t)
-	ends := s.fragileEngines(6)
-	time.Sleep(settle)
+// Twelve gateways are linked to a few others each. Three of them see one crash each while
+// the store is unavailable, so only forwarding between gateways reaches those that are
+// linked to none of the three. All of them must refuse the request a second later.
+func TestQuarantineReachesGatewaysNotLinkedToWitnesses(t *testing.T) {
+	s, gateways := startPartialMesh(t)
+	crashes := s.startCrashingEngines(6)
+	time.Sleep(readersSettleTime)
 	s.fleet.Store.SetFault(fleet.Silent)
-	witnesses := []*node{nodes[0], nodes[5], nodes[9]}
-	for i := 0; len(ends.times()) < 3; i++ {
-		witnesses[i%len(witnesses)].generate(fleet.PlanPath, harmful)
+	witnesses := []*testGateway{gateways[0], gateways[5], gateways[9]}
+	for i := 0; len(crashes.times()) < 3; i++ {
+		witnesses[i%len(witnesses)].generate(fleet.PlanPath, crashingBody)
 	}
-	reached := len(s.reached(harmful))
-	time.Sleep(toldWithin)
-	for _, n := range nodes {
-		require.Equal(t, http.StatusServiceUnavailable, n.generate(fleet.PlanPath, harmful), n.settings.Load().VM)
+	reached := len(s.arrivalTimes(crashingBody))
+	time.Sleep(quarantineTarget)
+	for _, n := range gateways {
+		require.Equal(t, http.StatusServiceUnavailable, n.generate(fleet.PlanPath, crashingBody), n.settings.Load().VM)
 	}
-	require.Len(t, s.reached(harmful), reached)
+	require.Len(t, s.arrivalTimes(crashingBody), reached)
 }
 
-// The servers have learnt to survive a request that is held, and an operator lifts the
-// verdict at one gateway. The others must serve it too, and one that starts later.
-func TestOperatorLiftsAVerdict(t *testing.T) {
+// The servers have been fixed, and an operator lifts the quarantine of a request at one
+// gateway. The other gateways must serve the request too, and so must one that starts
+// later.
+func TestOperatorLiftsQuarantine(t *testing.T) {
 	s := newSystem(t)
-	ends := s.fragileEngines(5)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
-	for i := 0; len(ends.times()) < 3; i++ {
-		nodes[i%2].generate(fleet.PlanPath, harmful)
+	crashes := s.startCrashingEngines(5)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
+	for i := 0; len(crashes.times()) < 3; i++ {
+		gateways[i%2].generate(fleet.PlanPath, crashingBody)
 	}
-	content := quarantine.NewID(fleet.Team, "POST", fleet.Host, fleet.PlanPath, []byte(harmful)).String()
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.generate(fleet.PlanPath, harmful) == http.StatusServiceUnavailable }, "held")
+	content := quarantine.NewID(fleet.Team, "POST", fleet.Host, fleet.PlanPath, []byte(crashingBody)).String()
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.generate(fleet.PlanPath, crashingBody) == http.StatusServiceUnavailable }, "quarantined")
 		require.Equal(t, content, adminQuarantine{n.group.quarantine}.Held()[0].Content)
 	}
 	for _, srv := range s.fleet.Servers() {
 		srv.SetBehaviour(fleet.Behaviour{Events: 3})
 	}
-	require.False(t, adminQuarantine{nodes[0].group.quarantine}.Lift("no such content"))
-	require.True(t, adminQuarantine{nodes[0].group.quarantine}.Lift(content))
-	for _, n := range append(nodes, s.gateway("vm-3")) {
-		n.eventually(func() bool { return n.generate(fleet.PlanPath, harmful) == http.StatusOK }, "served")
+	require.False(t, adminQuarantine{gateways[0].group.quarantine}.Lift("no such content"))
+	require.True(t, adminQuarantine{gateways[0].group.quarantine}.Lift(content))
+	for _, n := range append(gateways, s.gateway("vm-3")) {
+		n.eventually(func() bool { return n.generate(fleet.PlanPath, crashingBody) == http.StatusOK }, "served")
 		require.Empty(t, adminQuarantine{n.group.quarantine}.Held())
 	}
 }
 
-// Several callers make one and the same harmless request all the time, which runs on each
-// server that ends under a harmful one, and is held with it. It must be served again within
-// seconds, while the harmful one stays held.
-func TestPopularRequestIsServedAgainBesideAHarmfulOne(t *testing.T) {
+// Several callers send the same harmless request all the time. It runs on each server that
+// crashes under a crashing request, and is quarantined with it. It must be served again
+// within seconds, while the crashing one stays quarantined.
+func TestPopularRequestIsServedAgainBesideACrashingOne(t *testing.T) {
 	s := newSystem(t)
-	ends := s.fragileEngines(3)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2")}
+	crashes := s.startCrashingEngines(3)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	var wg sync.WaitGroup
-	wg.Go(func() { repeat(t, nodes, "popular", 20*time.Millisecond, 4*time.Second) })
-	repeat(t, nodes, harmful, 100*time.Millisecond, 4*time.Second)
+	wg.Go(func() { repeat(t, gateways, "popular", 20*time.Millisecond, 4*time.Second) })
+	repeat(t, gateways, crashingBody, 100*time.Millisecond, 4*time.Second)
 	wg.Wait()
-	require.GreaterOrEqual(t, len(ends.times()), 3)
-	nodes[0].eventually(func() bool { return nodes[0].generate(fleet.CheckPath, "popular") == http.StatusOK }, "popular request is served")
-	require.Equal(t, http.StatusServiceUnavailable, nodes[1].generate(fleet.CheckPath, harmful))
+	require.GreaterOrEqual(t, len(crashes.times()), 3)
+	gateways[0].eventually(func() bool { return gateways[0].generate(fleet.CheckPath, "popular") == http.StatusOK }, "popular request is served")
+	require.Equal(t, http.StatusServiceUnavailable, gateways[1].generate(fleet.CheckPath, crashingBody))
 }
 
-// One caller's request ends servers and comes back twice a second; others make their own.
-// Once three servers have ended and are back, the others must be served as on a day without
-// it: neither its refusals nor the ends it caused may keep them from servers.
-func TestOthersAreServedBesideAHeldRequest(t *testing.T) {
+// One caller's request crashes servers and comes back twice a second; other callers send
+// their own requests. Once three servers have crashed and are back, the other requests must
+// be served as usual: neither the refusals nor the crashes may keep them from servers.
+func TestOthersAreServedBesideAQuarantinedRequest(t *testing.T) {
 	s := newSystem(t)
-	ends := s.fragileEngines(6)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	crashes := s.startCrashingEngines(6)
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	var wg sync.WaitGroup
-	wg.Go(func() { repeat(t, nodes, harmful, 500*time.Millisecond, 10*time.Second) })
+	wg.Go(func() { repeat(t, gateways, crashingBody, 500*time.Millisecond, 10*time.Second) })
 	var mu sync.Mutex
 	sent, served := 0, 0
 	for i, begun := 0, time.Now(); time.Since(begun) < 10*time.Second; i++ {
-		at := ends.times()
-		counts := len(at) >= 3 && time.Since(at[2]) > s.fleet.BackAfter+toldWithin
+		at := crashes.times()
+		counts := len(at) >= 3 && time.Since(at[2]) > s.fleet.BackAfter+quarantineTarget
 		wg.Go(func() {
-			ok := nodes[i%3].generate(fleet.CheckPath, fmt.Sprint("own-", i)) == http.StatusOK
+			ok := gateways[i%3].generate(fleet.CheckPath, fmt.Sprint("own-", i)) == http.StatusOK
 			mu.Lock()
 			defer mu.Unlock()
 			if counts {
@@ -229,7 +231,7 @@
 		time.Sleep(25 * time.Millisecond)
 	}
 	wg.Wait()
-	t.Logf("%d ends, %d of %d served after the third", len(ends.times()), served, sent)
+	t.Logf("%d crashes, %d of %d served after the third", len(crashes.times()), served, sent)
 	require.Greater(t, sent, 100)
 	require.GreaterOrEqual(t, float64(served), 0.98*float64(sent))
 }
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -14,9 +14,9 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// Requests wait at two gateways for an engine with room. Both learn of each other's
-// queue, and of each engine they agree whose turn it is, so that they do not both
-// send there what only one of them may.
+// Requests wait at two gateways for an engine with room. Each gateway learns of the other's
+// queue, and they agree for each engine whose turn it is, so that only one of them sends a
+// request there.
 func TestGatewaysWithQueuesTakeTurns(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.ModelService, fleet.Behaviour{})
@@ -24,7 +24,7 @@
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0))
 	a.group.ReportQueue(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, WaitingAtRank: 3})
 	b.group.ReportQueue(fleet.ModelService, flow.Contender{Waiting: 1, Rank: 1, WaitingAtRank: 1})
-	sees := func(n *node, other string) func() bool {
+	sees := func(n *testGateway, other string) func() bool {
 		return func() bool {
 			list := n.group.contenders(fleet.ModelService)
 			return len(list) == 1 && list[0].Name == other
@@ -48,40 +48,40 @@
 	a.eventually(func() bool { return a.group.Turns(fleet.ModelService, 1) == nil }, "nobody waits")
 }
 
-// A large team's requests come in at all gateways. Each tells what it has used, so that
-// together they know that it is above its share.
-func TestGatewaysTellWhatTeamsUse(t *testing.T) {
+// A large team's requests come in at all gateways. Each gateway reports what the team has
+// used there, so that all of them can tell that it is above its share.
+func TestGatewaysShareTeamUsage(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.ModelService, fleet.Behaviour{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	a.group.ReportUsage(fleet.ModelService, []flow.Usage{{Team: "large", Amount: 5000}})
 	b.eventually(func() bool {
-		told := b.group.Usage(fleet.ModelService)
-		return len(told) == 1 && told[0].Team == "large" && told[0].Amount > 4000
-	}, "usage is told")
-	// It fades where it was seen, also when nothing more is used.
+		usages := b.group.Usage(fleet.ModelService)
+		return len(usages) == 1 && usages[0].Team == "large" && usages[0].Amount > 4000
+	}, "usage is reported")
+	// The usage decays at the gateway that reported it, also when nothing more is used.
 	first := b.group.Usage(fleet.ModelService)[0].Amount
-	b.eventually(func() bool { return b.group.Usage(fleet.ModelService)[0].Amount < first-100 }, "usage fades")
+	b.eventually(func() bool { return b.group.Usage(fleet.ModelService)[0].Amount < first-100 }, "usage decays")
 	require.Empty(t, b.group.Usage(fleet.DeskService))
 }
 
 // A server resets its connections, and two gateways have lost requests there. A third
-// one does not lose its own to find out.
-func TestLostRequestsAreToldToTheOthers(t *testing.T) {
+// gateway must avoid the server without losing requests of its own.
+func TestLostRequestsAreReportedToPeers(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
-	for _, n := range nodes {
+	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
+	for _, n := range gateways {
 		n.eventually(func() bool {
 			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.DeskService) == 2
 		}, "linked")
 	}
-	bad := nodes[0].registry.Acquire(backends.Query{Service: fleet.DeskService}, clock.SinceBoot()).Server.ID
-	third := nodes[2]
+	bad := gateways[0].registry.Acquire(backends.Query{Service: fleet.DeskService}, clock.SinceBoot()).Server.ID
+	third := gateways[2]
 	third.eventually(func() bool {
-		for _, n := range nodes[:2] {
-			n.lose(bad)
+		for _, n := range gateways[:2] {
+			n.loseRequest(bad)
 		}
 		time.Sleep(20 * time.Millisecond)
 		for draw := range uint64(20) {
@@ -95,58 +95,58 @@
 	}, "the third avoids it")
 }
 
-// lose has the gateway lose a request at a server.
-func (n *node) lose(server string) {
+// loseRequest has the gateway lose a request at a server.
+func (n *testGateway) loseRequest(server string) {
 	l := n.registry.ReserveAt(backends.Server{ID: server}, 0)
 	l.Release(backends.ResultLost, clock.SinceBoot())
 	n.group.Notify()
 }
 
-// Guards against every gateway meeting an ended server by requests of its own: the first one
-// that does tells the others.
-func TestOneGatewayTellsOfAnEndedServer(t *testing.T) {
+// Guards against every gateway detecting a server that is down by requests of its own: the
+// first one that does reports it to the others.
+func TestDownServerIsReportedToPeers(t *testing.T) {
 	s := newSystem(t)
-	ended := s.server(fleet.DeskService, fleet.Behaviour{})
+	down := s.server(fleet.DeskService, fleet.Behaviour{})
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	for _, n := range nodes {
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	for _, n := range gateways {
 		n.eventually(func() bool {
 			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.DeskService) == 2
 		}, "linked")
 	}
-	told := func(n *node) bool { return n.registry.IsDown(ended.ID, clock.SinceBoot()) }
-	ended.Kill()
-	nodes[0].eventually(func() bool {
-		require.Equal(t, http.StatusOK, nodes[0].do(plain(fleet.SafePath)).status)
-		return told(nodes[0])
-	}, "met")
-	met := time.Now()
-	for _, n := range nodes[1:] {
-		n.eventually(func() bool { return told(n) }, "told")
+	knows := func(n *testGateway) bool { return n.registry.IsDown(down.ID, clock.SinceBoot()) }
+	down.Kill()
+	gateways[0].eventually(func() bool {
+		require.Equal(t, http.StatusOK, gateways[0].do(plain(fleet.SafePath)).status)
+		return knows(gateways[0])
+	}, "detected")
+	detected := time.Now()
+	for _, n := range gateways[1:] {
+		n.eventually(func() bool { return knows(n) }, "reported")
 	}
-	require.Less(t, time.Since(met), 100*time.Millisecond)
+	require.Less(t, time.Since(detected), 100*time.Millisecond)
 }
 
-// Guards against gateways that run nothing on an engine sending runs there, while the store is
-// away and the engine has told only those that asked it that it will end.
+// The store is unavailable, and an engine has reported only to the gateways with requests
+// there that it is leaving. Guards against the other gateways sending runs to it.
 func TestReportOfALeavingServerReachesAll(t *testing.T) {
 	s := newSystem(t)
-	nodes := []*node{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
+	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.eventually(func() bool {
 			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.ModelService) == 1
 		}, "linked")
 	}
-	c := nodes[0].dial()
+	c := gateways[0].dial()
 	c.send(generation(fleet.PlanPath))
-	nodes[0].eventually(func() bool { return engine.Running() == 1 }, "running")
+	gateways[0].eventually(func() bool { return engine.Running() == 1 }, "running")
 	s.fleet.Store.SetFault(fleet.Busy)
-	nodes[0].eventually(nodes[0].directory.IsUnavailable, "the store is away")
+	gateways[0].eventually(gateways[0].directory.IsUnavailable, "the store is unavailable")
 	left := time.Now()
 	engine.Drain(true)
-	for _, n := range nodes {
-		n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 0 }, "told")
+	for _, n := range gateways {
+		n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 0 }, "reported")
 	}
 	require.Less(t, time.Since(left), time.Second)
 }
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reach_test.go
@@ -11,10 +11,10 @@
 	"kingcupplank.example/kingcup/subset"
 )
 
-// Gateways link to some of the others, by cells and failure domains, and pass on what is
-// news. From any of them it must reach all, also in another cell: within three hops, some
-// 20 ms each, where a second is allowed.
-func TestNewsReachesEveryGateway(t *testing.T) {
+// Gateways link to some of the others, by cells and failure domains, and forward new
+// information. From any gateway it must reach all others, also in another cell, within
+// three hops of some 20 ms each, where a second is allowed.
+func TestForwardedStateReachesEveryGateway(t *testing.T) {
 	for _, n := range []int{6, 24, 103, 330} {
 		var all []subset.Item
 		for i := range n {
@@ -28,23 +28,24 @@
 				links[self.Name] = append(links[self.Name], p.Name)
 			}
 		}
-		most := 0
+		maxHops := 0
 		for _, from := range all {
-			reached, hops := reach(links, from.Name)
+			reached, hops := floodFrom(links, from.Name)
 			require.Equal(t, n, reached, "%d gateways, from %s", n, from.Name)
-			most = max(most, hops)
+			maxHops = max(maxHops, hops)
 		}
-		t.Logf("%d gateways: at most %d hops", n, most)
-		require.LessOrEqual(t, most, 3)
+		t.Logf("%d gateways: at most %d hops", n, maxHops)
+		require.LessOrEqual(t, maxHops, 3)
 	}
 }
 
-// reach counts the gateways that news from one reaches, and the hops to the last.
-func reach(links map[string][]string, from string) (reached, hops int) {
+// floodFrom counts the gateways that forwarded information reaches from one of them, and
+// the hops to the last.
+func floodFrom(links map[string][]string, from string) (reached, hops int) {
 	seen := map[string]bool{from: true}
-	for now := []string{from}; ; hops++ {
+	for frontier := []string{from}; ; hops++ {
 		var next []string
-		for _, g := range now {
+		for _, g := range frontier {
 			for _, to := range links[g] {
 				if !seen[to] {
 					seen[to] = true
@@ -55,6 +56,6 @@
 		if len(next) == 0 {
 			return len(seen), hops
 		}
-		now = next
+		frontier = next
 	}
 }
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -10,9 +10,9 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// A server is killed and starts again under its id at its address. What callers got of
-// its earlier life must not count against the new one: it serves within a second of its
-// entry, on new connections.
+// A server is killed and starts again under its id at its address. The failures of its
+// earlier incarnation must not count against the new one: it serves within a second after
+// its entry appears, on new connections.
 func TestServerThatStartsAgainServesAtOnce(t *testing.T) {
 	s := newSystem(t)
 	desk := s.server(fleet.DeskService, fleet.Behaviour{})
@@ -30,14 +30,15 @@
 	require.NotEmpty(t, again.Seen())
 }
 
-// A server falls silent behind a cut and starts again under its id. Its stream brings
-// nothing more, and no reset tells so; the entry of the new life does, and the caller's
-// answer ends within a second instead of at the end of the connection's probes.
-func TestStreamOfASilentEarlierLifeEnds(t *testing.T) {
+// A server becomes unreachable without a reset and starts again under its id. Its stream
+// delivers nothing more; only the entry of the new incarnation shows that it has stopped. The
+// caller's response must then end within two seconds, not only when the connection's
+// keep-alive probes give up.
+func TestStreamOfAnEarlierIncarnationEnds(t *testing.T) {
 	s := newSystem(t)
 	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
-	done := make(chan reply, 1)
+	done := make(chan response, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
 	engine.Darken()
@@ -45,15 +46,15 @@
 	require.NoError(t, err)
 	select {
 	case a := <-done:
-		require.Error(t, a.err, "it must not look complete")
+		require.Error(t, a.err, "the response must not look complete")
 	case <-time.After(2 * time.Second):
-		t.Fatal("the caller still waits for a run that is gone")
+		t.Fatal("the caller still waits for a run that was lost")
 	}
 }
 
-// Another writer spoils the entry of the only server: callers are told that none takes
-// requests, and are served again with the server's next heartbeat.
-func TestSpoiltEntryGetsNoRequests(t *testing.T) {
+// Another writer corrupts the entry of the only server. Callers get the response that no
+// server is available, and are served again after the server's next heartbeat.
+func TestServerWithInvalidEntryGetsNoRequests(t *testing.T) {
 	s := newSystem(t)
 	desk := s.server(fleet.DeskService, fleet.Behaviour{})
 	n := s.gateway("vm-1")
@@ -67,14 +68,14 @@
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 }
 
-// An engine is killed in the middle of a long answer. The caller gets the rest from the
-// engine that its memory was sent to, and nothing twice.
+// An engine is killed in the middle of a long response. The caller gets the rest from the
+// engine with the standby copy of the run's KV cache, and nothing twice.
 func TestLongAnswerOutlivesAKilledEngine(t *testing.T) {
 	s := newSystem(t)
 	b := fleet.Behaviour{Events: 60, EventEvery: 20 * time.Millisecond}
 	engines := []*fleet.Server{s.server(fleet.ModelService, b), s.server(fleet.ModelService, b)}
 	n := s.gateway("vm-1")
-	done := make(chan reply, 1)
+	done := make(chan response, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	var host *fleet.Server
 	n.eventually(func() bool {
@@ -84,23 +85,24 @@
 			}
 		}
 		return host != nil
-	}, "the answer is on its way")
+	}, "the run has started")
 	time.Sleep(200 * time.Millisecond)
 	host.Kill()
 	a := <-done
 	require.NoError(t, a.err)
-	require.Equal(t, events(1, 60), a.body)
+	require.Equal(t, eventsText(1, 60), a.body)
 }
 
-// An engine falls silent in the middle of a long answer, and no reset tells so. The
-// caller gets the rest from the engine with the standing copy, long before it would leave.
+// An engine becomes unreachable without a reset in the middle of a long response. The
+// caller gets the rest from the engine with the standby copy, long before the caller would
+// give up.
 func TestLongAnswerOutlivesASilentEngine(t *testing.T) {
 	s := newSystem(t)
 	b := fleet.Behaviour{Events: 60, EventEvery: 20 * time.Millisecond}
 	engines := []*fleet.Server{s.server(fleet.ModelService, b), s.server(fleet.ModelService, b)}
 	n := s.gateway("vm-1")
 	begun := time.Now()
-	done := make(chan reply, 1)
+	done := make(chan response, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	time.Sleep(300 * time.Millisecond)
 	for _, e := range engines {
@@ -111,6 +113,6 @@
 	}
 	a := <-done
 	require.NoError(t, a.err)
-	require.Equal(t, events(1, 60), a.body)
+	require.Equal(t, eventsText(1, 60), a.body)
 	require.Less(t, time.Since(begun), 3*time.Second)
 }
--- a/internal/gateway/suspectrows_test.go
+++ b/internal/gateway/suspectrows_test.go
@@ -11,8 +11,9 @@
 	"kingcupplank.example/kingcup/revision"
 )
 
-// dueNow lists the requests whose rows are to be written.
-func (s *sharedQuarantine) dueNow() (out []quarantine.ID) {
+// takeDue lists the requests whose rows are due within an hour, and no longer schedules
+// them.
+func (s *sharedQuarantine) takeDue() (out []quarantine.ID) {
 	for {
 		r, found := s.nextDue(time.Now().Add(time.Hour))
 		if !found {
@@ -22,19 +23,20 @@
 	}
 }
 
-// stored has the table bring the row of a request as it is known here.
-func (s *sharedQuarantine) stored(t *testing.T, id quarantine.ID, version uint64) {
+// storeRow has the follower of the table receive the row of a request as this gateway would
+// write it.
+func (s *sharedQuarantine) storeRow(t *testing.T, id quarantine.ID, version uint64) {
 	data, err := encodeRecord(s.tracker.Record(id))
 	require.NoError(t, err)
 	s.applyRows([]follow.Row{{Key: recordRowKey(id), Value: data, Revision: revision.At(0, version)}}, false)
 }
 
-// A request that is held in doubt is tried, and servers end under its trials. All gateways
-// are killed then: those that start later know the trials by the row only, and would try the
-// request as often again. The row must be written with each trial, and with what ended
-// under it.
-func TestTrialsAreInTheStore(t *testing.T) {
-	s := quietGroup(memberRows(nil)).quarantine
+// A quarantined request is tried because its quarantine is in doubt, and servers crash
+// under the trials. Then all gateways are killed. Gateways that start later know the trials
+// only from the row, and would otherwise repeat them all. So the row must be written after
+// each trial, and after each crash under a trial.
+func TestTrialsAreWrittenToTheStore(t *testing.T) {
+	s := newQuietGroup(fakeStore(nil)).quarantine
 	x, y := quarantine.NewID("team", "POST", "h", "/x", nil), quarantine.NewID("team", "POST", "h", "/y", nil)
 	end := func(server uint64, at time.Duration, ran ...quarantine.ID) {
 		s.update("test", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(server, at, ran) })
@@ -42,18 +44,18 @@
 	for server := range uint64(3) {
 		end(server, time.Duration(1+server)*time.Second, x, y)
 	}
-	require.ElementsMatch(t, []quarantine.ID{x, y}, s.dueNow())
-	s.stored(t, x, 1)
-	s.stored(t, y, 2)
-	require.Empty(t, s.dueNow(), "the store has them")
+	require.ElementsMatch(t, []quarantine.ID{x, y}, s.takeDue())
+	s.storeRow(t, x, 1)
+	s.storeRow(t, y, 2)
+	require.Empty(t, s.takeDue(), "the store has them")
 	tried := false
 	s.update("test", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
 		c, tried = b.StartTrial(x, 10*time.Second)
 		return c
 	})
 	require.True(t, tried)
-	require.Equal(t, []quarantine.ID{x}, s.dueNow())
-	s.stored(t, x, 3)
+	require.Equal(t, []quarantine.ID{x}, s.takeDue())
+	s.storeRow(t, x, 3)
 	end(9, 11*time.Second, x)
-	require.Equal(t, []quarantine.ID{x}, s.dueNow())
+	require.Equal(t, []quarantine.ID{x}, s.takeDue())
 }
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -16,39 +16,39 @@
 )
 
 const (
-	// many gateways with fewLinks each: as 103 with 32, none hears more than a part of the
-	// others, and most hear no gateway that reads the store.
-	many, fewLinks = 12, 3
-	// settle is the time in which two readers are found.
-	settle = 2500 * time.Millisecond
+	// manyGateways have fewLinks each: as with 103 gateways of 32 links, none receives the
+	// states of all others, and most are not linked to a gateway that reads the store.
+	manyGateways, fewLinks = 12, 3
+	// readersSettleTime is the time in which exactly two gateways become the readers.
+	readersSettleTime = 2500 * time.Millisecond
 )
 
-// partial starts many gateways that each hear a few of the others.
-func partial(t *testing.T) (*system, []*node) {
+// startPartialMesh starts many gateways that are linked to a few others each.
+func startPartialMesh(t *testing.T) (*system, []*testGateway) {
 	s := newSystem(t)
 	s.peerLinks = fewLinks
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	var nodes []*node
-	for i := range many {
-		nodes = append(nodes, s.gateway(fmt.Sprintf("vm-%02d", i)))
+	var gateways []*testGateway
+	for i := range manyGateways {
+		gateways = append(gateways, s.gateway(fmt.Sprintf("vm-%02d", i)))
 	}
-	time.Sleep(settle)
-	return s, nodes
+	time.Sleep(readersSettleTime)
+	return s, gateways
 }
 
-// oldest is the age of the oldest view of the configuration.
-func oldest(nodes []*node) (age time.Duration) {
-	for _, n := range nodes {
+// oldestConfigAge returns the age of the oldest configuration among the gateways.
+func oldestConfigAge(gateways []*testGateway) (age time.Duration) {
+	for _, n := range gateways {
 		_, confirmed := n.relay.Replica.Current()
 		age = max(age, clock.SinceBoot()-confirmed)
 	}
 	return age
 }
 
-// reading lists the gateways that read the store.
-func reading(nodes []*node) (out []*node) {
-	for _, n := range nodes {
+// activeReaders lists the gateways that read the store.
+func activeReaders(gateways []*testGateway) (out []*testGateway) {
+	for _, n := range gateways {
 		n.group.role.mu.Lock()
 		if n.group.role.role.IsReading() {
 			out = append(out, n)
@@ -58,22 +58,23 @@
 	return out
 }
 
-// Each gateway hears only a part of the others. Those that heard none of the two that read
-// the store read it by themselves, for ever: at 103 gateways half of them, at 330 four of
-// five. In calm none but the readers may call it, and no view may be older than what a
-// call of a reader waits and a few links take.
+// Each gateway is linked to only a part of the others. Guards against gateways reading the
+// store themselves for ever because they are linked to neither of the two readers, as half
+// of 103 gateways and four fifths of 330 did. While nothing fails only the readers may call
+// the store, and no view may be older than the wait of a reader's call plus the time of a
+// few links.
 func TestOnlyReadersCallTheStore(t *testing.T) {
-	_, nodes := partial(t)
-	before := make([]int, len(nodes))
-	for i, n := range nodes {
+	_, gateways := startPartialMesh(t)
+	before := make([]int, len(gateways))
+	for i, n := range gateways {
 		before[i] = n.door.Calls()
 	}
 	const watched = 3 * time.Second
 	for begun := time.Now(); time.Since(begun) < watched; time.Sleep(20 * time.Millisecond) {
-		require.Less(t, oldest(nodes), DefaultOptions().FeedTimeout+500*time.Millisecond)
+		require.Less(t, oldestConfigAge(gateways), DefaultOptions().FeedTimeout+500*time.Millisecond)
 	}
 	callers := 0
-	for i, n := range nodes {
+	for i, n := range gateways {
 		if n.door.Calls() > before[i] {
 			callers++
 		}
@@ -81,56 +82,56 @@
 	require.LessOrEqual(t, callers, 2)
 }
 
-// A server is about to leave, and the operator takes a key away. Gateways that hear no
-// reader must know of both within the time that a peer's next states take, from peers:
-// their own way to the store is gone.
+// A server starts to leave, and the operator revokes a key. Gateways that are linked to no
+// reader must learn of both from their peers, within the time that a peer's next states
+// take; their own connection to the store is cut.
 func TestChangesReachGatewaysThatHearNoReader(t *testing.T) {
-	s, nodes := partial(t)
-	readers := reading(nodes)
+	s, gateways := startPartialMesh(t)
+	readers := activeReaders(gateways)
 	require.Len(t, readers, 2)
-	for _, n := range nodes {
+	for _, n := range gateways {
 		if n != readers[0] && n != readers[1] {
 			n.door.SetFault(fleet.Reset)
 		}
 	}
 	leaving := s.server(fleet.DeskService, fleet.Behaviour{})
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	}
 	begun := time.Now()
 	leaving.Drain(true)
 	s.fleet.Configure("another key")
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "left")
 		n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusUnauthorized }, "key refused")
 	}
 	require.Less(t, time.Since(begun), testBounds.DrainServer)
 }
 
-// Both gateways that read the store lose power at once. The others notice at the same
-// time: new readers must be found before keys are not trusted any more, and the store must
-// not be called by everyone.
-func TestLossOfBothReadersCostsOneWait(t *testing.T) {
-	_, nodes := partial(t)
-	readers := reading(nodes)
+// Both gateways that read the store lose power at once, and the others notice it at the
+// same time. New readers must take over before keys expire, and not every gateway may call
+// the store.
+func TestReadersAreReplacedAfterLossOfBoth(t *testing.T) {
+	_, gateways := startPartialMesh(t)
+	readers := activeReaders(gateways)
 	require.Len(t, readers, 2)
-	var left []*node
-	for _, n := range nodes {
+	var left []*testGateway
+	for _, n := range gateways {
 		if n == readers[0] || n == readers[1] {
 			n.Close()
 			continue
 		}
 		left = append(left, n)
 	}
-	before := make(map[*node]int)
+	before := make(map[*testGateway]int)
 	for _, n := range left {
 		before[n] = n.door.Calls()
 	}
 	for begun := time.Now(); time.Since(begun) < 4*time.Second; time.Sleep(20 * time.Millisecond) {
-		require.Less(t, oldest(left), testBounds.Revoke)
+		require.Less(t, oldestConfigAge(left), testBounds.Revoke)
 		require.Equal(t, http.StatusOK, left[0].do(plain(fleet.OncePath)).status)
 	}
-	require.Len(t, reading(left), 2)
+	require.Len(t, activeReaders(left), 2)
 	callers := 0
 	for _, n := range left {
 		if n.door.Calls() > before[n] {
@@ -138,24 +139,25 @@
 		}
 	}
 	t.Logf("%d of %d gateways call", callers, len(left))
-	require.LessOrEqual(t, callers, many/2, "of %d gateways", len(left))
+	require.LessOrEqual(t, callers, manyGateways/2, "of %d gateways", len(left))
 }
 
-// A gateway starts among others. Its tables come from them: the store is asked for the list
-// of gateways only. At the start of hundreds of VMs each read both tables in whole, 1 MB
-// each at 3,000 servers.
+// A gateway starts among others and gets its tables from them; it only reads the list of
+// gateways from the store. Guards against each of hundreds of starting VMs reading both
+// tables whole, 1 MB each at 3,000 servers.
 func TestStartingGatewayHasItsTablesFromPeers(t *testing.T) {
-	s, _ := partial(t)
+	s, _ := startPartialMesh(t)
 	n := s.gateway("vm-new")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
-	time.Sleep(settle)
+	time.Sleep(readersSettleTime)
 	require.LessOrEqual(t, n.door.Calls(), 2, "its row, and the rows of the others")
 }
 
-// The store answers nobody, then all again. Gateways that hear each other must not call it
-// each for itself meanwhile: what an outage costs would grow with their number.
+// The store is unavailable to all gateways, and then available again. Gateways that are
+// linked must not each retry it on their own: the number of calls would grow with the
+// number of gateways.
 func TestOutageIsNotTriedByEveryone(t *testing.T) {
-	s, nodes := partial(t)
+	s, gateways := startPartialMesh(t)
 	s.fleet.Store.SetFault(fleet.Busy)
 	before := s.fleet.Store.Calls()
 	const outage = 5 * time.Second
@@ -163,38 +165,38 @@
 	calls := s.fleet.Store.Calls() - before
 	require.Less(t, calls, 40*int(outage.Seconds()), "two tables, 20 tries a second in all")
 	s.fleet.Store.SetFault(fleet.Sound)
-	for _, n := range nodes {
+	for _, n := range gateways {
 		n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 	}
-	position, ok := nodes[0].group.followers[operator.Table].Position()
+	position, ok := gateways[0].group.followers[operator.Table].Position()
 	require.True(t, ok)
 	require.NotZero(t, position.Clock)
 }
 
-// Two gateways have announced versions of the configuration and then ended to read the
-// store; both are as far behind as this one. It asked them again and again, had "nothing
-// new" for an answer, and handled callers by the old version for 4 s. It must go on to a
-// peer that says that it is further.
-func TestAnnouncersThatAreBehindAreNotAskedAlone(t *testing.T) {
+// Two gateways have announced versions of the configuration and then stopped reading the
+// store; both are as far behind as a third one. Guards against the third one asking only
+// these two, getting no changes from them and using the old version for 4 s. It must go on
+// to a peer that reports a position ahead.
+func TestPeerAheadIsAskedBesideStaleAnnouncers(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	old := []*node{s.gateway("vm-a"), s.gateway("vm-b")}
-	further, last := s.gateway("vm-c"), s.gateway("vm-d")
-	linked(old[0], old[1], further, last)
-	nothing := func(ask *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
+	stale := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
+	ahead, last := s.gateway("vm-c"), s.gateway("vm-d")
+	waitUntilLinked(stale[0], stale[1], ahead, last)
+	noChanges := func(ask *peerv1.Fetch) (*peerv1.Change, [][]byte, error) {
 		return &peerv1.Change{Base: ask.GetVersion(), Version: ask.GetVersion(), Revision: 1}, nil, nil
 	}
-	for _, n := range append(old, further) {
+	for _, n := range append(stale, ahead) {
 		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errConfigUnreadable })
 	}
 	last.door.SetFault(fleet.Reset)
 	s.fleet.Configure(fleet.Key, "/extra/")
 	known := func() bool { return slices.Contains(last.group.peersAhead(operator.Table, false), "vm-c") }
-	last.eventually(known, "vm-c says that it is further")
-	for _, n := range old {
-		n.group.setFetchHandler(nothing)
+	last.eventually(known, "vm-c reports a position ahead")
+	for _, n := range stale {
+		n.group.setFetchHandler(noChanges)
 		last.group.config.recordAnnouncer(n.group.self.Name)
 	}
-	further.group.setFetchHandler(further.group.serveFetch)
+	ahead.group.setFetchHandler(ahead.group.serveFetch)
 	last.eventually(func() bool { return last.do(plain("/extra/a")).status == http.StatusOK }, "in force")
 }
