--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -241,9 +241,9 @@
 	g.cancel = cancel
 	g.wg.Go(func() { g.callers.Serve() })
 	config := g.follow(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
-	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, Unreadable: rec.UnreadableEntry}, tableSharing{g.group, directory.Table})
+	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, OnUnreadable: rec.UnreadableEntry}, tableSharing{g.group, directory.Table})
 	members := g.follow(membersTable, membersFeedTimeout, minMembersInterval, membersSink{g.group}, tableSharing{g.group, membersTable})
-	go ingress.NewReady(g.Ready).Serve(ready)
+	go ingress.NewReadinessServer(g.Ready).Serve(ready)
 	g.wg.Go(func() { g.group.links.Run(ctx, links) })
 	g.wg.Go(func() { config.Run(ctx) })
 	g.wg.Go(func() { g.directory.Run(ctx) })
@@ -298,7 +298,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			g.upstream.Sweep()
+			g.upstream.CloseExpired()
 			g.registry.Expire(clock.SinceBoot())
 			g.group.cordons.Expire(clock.SinceBoot())
 		}
