--- a/internal/gateway/agree.go
+++ b/internal/gateway/agree.go
@@ -20,7 +20,7 @@
 	configCheckTimeout = 500 * time.Millisecond
 )
 
-// ConfigCurrent implements relay.Others.
+// ConfigCurrent implements relay.Peers.
 func (g *group) ConfigCurrent() bool { return g.configChecked.Load() }
 
 // checkConfig compares the configuration with the peers' before this gateway trusts API
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,10 +87,10 @@
 
 // Start starts a gateway. It returns once the gateway's addresses are bound, before the
 // gateway is ready.
-func Start(opts Options, set *settings.Settings, log logrus.FieldLogger) (*Gateway, error) {
-	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(set.MemoryBytes)))
+func Start(opts Options, platform *settings.Settings, log logrus.FieldLogger) (*Gateway, error) {
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(platform.MemoryBytes)))
 	c := dig.New()
-	for _, p := range providers(opts, set, log) {
+	for _, p := range providers(opts, platform, log) {
 		if err := c.Provide(p); err != nil {
 			return nil, errors.Wrap(err, "wire gateway")
 		}
@@ -98,8 +98,8 @@
 	var g *Gateway
 	err := c.Invoke(func(r *relay.Relay, reg *backends.Registry, up *upstream.Client, rep *routing.Replica, rec *gatewaymetrics.Recorder, st *store.Client, gr *group, l *lateDeps) error {
 		g = &Gateway{started: time.Now(), settings: &l.settings, log: log, opts: opts, store: st, relay: r, registry: reg, upstream: up, group: gr}
-		reg.SetDomainRegions(set.Regions)
-		return g.run(set, rep, rec)
+		reg.SetDomainRegions(platform.Regions)
+		return g.run(platform, rep, rec)
 	})
 	return g, dig.RootCause(err)
 }
@@ -112,16 +112,18 @@
 	settings atomic.Pointer[settings.Settings]
 }
 
-func providers(opts Options, set *settings.Settings, log logrus.FieldLogger) []any {
+func providers(opts Options, platform *settings.Settings, log logrus.FieldLogger) []any {
 	return []any{
 		func() logrus.FieldLogger { return log },
 		func() *lateDeps {
 			l := &lateDeps{}
-			l.settings.Store(set)
+			l.settings.Store(platform)
 			return l
 		},
 		func() clock.Source { return clock.SinceBoot },
-		func(rec *gatewaymetrics.Recorder) *store.Client { return store.New(set.Store, set.LinkMbps, rec) },
+		func(rec *gatewaymetrics.Recorder) *store.Client {
+			return store.New(platform.Store, platform.LinkMbps, rec)
+		},
 		func(l *lateDeps) *upstream.Client {
 			return upstream.New(func(s backends.Server, signals backends.Signals, begun time.Duration) {
 				if r := l.relay.Load(); r != nil {
@@ -133,19 +135,19 @@
 		newControlStats,
 		routing.NewReplica,
 		func(rep *routing.Replica, l *lateDeps) *backends.Registry {
-			return backends.New(set.FailureDomain, traitsFunc(rep, l), func(s backends.Server, n backends.LeaveReason) {
-				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(n)}).Info("server is leaving")
+			return backends.New(platform.FailureDomain, traitsFunc(rep, l), func(s backends.Server, reason backends.LeaveReason) {
+				log.WithFields(logrus.Fields{"server": s.ID, "born": s.StartTime, "service": s.Service, "notice": string(reason)}).Info("server is leaving")
 				if r := l.relay.Load(); r != nil {
-					r.HandleLeaving(s, n)
+					r.HandleLeaving(s, reason)
 				}
 			})
 		},
-		func(st *store.Client, reg *backends.Registry, rep *routing.Replica, costs *controlStats) *group {
-			self := peers.Member{Name: set.VM, Address: peerAddress(set), FailureDomain: set.FailureDomain}
-			return newGroup(self, st, reg, rep, set.LinkMbps, opts.MaxPeerLinks, costs, log)
+		func(st *store.Client, reg *backends.Registry, rep *routing.Replica, stats *controlStats) *group {
+			self := peers.Member{Name: platform.VM, Address: peerAddress(platform), FailureDomain: platform.FailureDomain}
+			return newGroup(self, st, reg, rep, platform.LinkMbps, opts.MaxPeerLinks, stats, log)
 		},
 		func(rep *routing.Replica, reg *backends.Registry, up *upstream.Client, now clock.Source, rec *gatewaymetrics.Recorder, gr *group, l *lateDeps) *relay.Relay {
-			r := relay.New(relayConfig(set), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Peers: gr, Quarantine: gr.quarantine})
+			r := relay.New(relayConfig(platform), relay.Deps{Replica: rep, Registry: reg, Upstream: up, Now: now, Log: log, Observer: rec, Peers: gr, Quarantine: gr.quarantine})
 			l.relay.Store(r)
 			onQuarantined := r.CancelQuarantined
 			gr.quarantine.onQuarantined.Store(&onQuarantined)
@@ -154,17 +156,17 @@
 	}
 }
 
-func relayConfig(set *settings.Settings) relay.Config {
+func relayConfig(platform *settings.Settings) relay.Config {
 	return relay.Config{
-		RevokeTimeout: set.Bounds.Revoke, ApplyTimeout: set.Bounds.ApplyConfig,
-		RetryRatio: set.Bounds.RetryRatio, RetryExtra: set.Bounds.RetryExtra,
+		RevokeTimeout: platform.Bounds.Revoke, ApplyTimeout: platform.Bounds.ApplyConfig,
+		RetryRatio: platform.Bounds.RetryRatio, RetryExtra: platform.Bounds.RetryExtra,
 	}
 }
 
 // peerAddress returns the address on which this gateway accepts links: the first of the
 // ports reserved for the system's own processes.
-func peerAddress(set *settings.Settings) string {
-	return net.JoinHostPort(set.IP, strconv.Itoa(set.PeerPorts[0]))
+func peerAddress(platform *settings.Settings) string {
+	return net.JoinHostPort(platform.IP, strconv.Itoa(platform.PeerPorts[0]))
 }
 
 // coldWindow is the window in which the platform counts the requests that a cold server
@@ -194,17 +196,17 @@
 }
 
 // run binds the gateway's addresses and starts its goroutines.
-func (g *Gateway) run(set *settings.Settings, rep *routing.Replica, rec *gatewaymetrics.Recorder) error {
-	callers, err := net.Listen("tcp", set.Callers)
+func (g *Gateway) run(platform *settings.Settings, rep *routing.Replica, rec *gatewaymetrics.Recorder) error {
+	callers, err := net.Listen("tcp", platform.Callers)
 	if err != nil {
 		return errors.Wrap(err, "listen on the callers' address")
 	}
-	ready, err := net.Listen("tcp", set.Ready)
+	ready, err := net.Listen("tcp", platform.Ready)
 	if err != nil {
 		callers.Close()
 		return errors.Wrap(err, "listen on the readiness address")
 	}
-	links, err := net.Listen("tcp", peerAddress(set))
+	links, err := net.Listen("tcp", peerAddress(platform))
 	if err != nil {
 		callers.Close()
 		ready.Close()
@@ -231,7 +233,7 @@
 	rec.RegisterGauge("kingcup_gateway_servers_limited", "Servers that name a limit in their answers.", func() float64 { return float64(g.registry.CountRateLimited()) })
 	rec.RegisterGauge("kingcup_gateway_servers_resting", "Servers that have asked this gateway for rest.", func() float64 { return float64(g.registry.CountBackingOff(clock.SinceBoot())) })
 	rec.RegisterGauge("kingcup_gateway_log_lines_dropped", "Log lines that were not written.", func() float64 { return float64(g.opts.DroppedLogLines()) })
-	if err := g.serveMetrics(set, rec); err != nil {
+	if err := g.serveMetrics(platform, rec); err != nil {
 		callers.Close()
 		ready.Close()
 		links.Close()
@@ -240,9 +242,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	g.wg.Go(func() { g.callers.Serve() })
-	config := g.follow(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
-	g.directory = g.follow(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, OnUnreadable: rec.UnreadableEntry}, tableSharing{g.group, directory.Table})
-	members := g.follow(membersTable, membersFeedTimeout, minMembersInterval, membersSink{g.group}, tableSharing{g.group, membersTable})
+	config := g.newFollower(operator.Table, g.opts.FeedTimeout, 0, g.group.config.sink, g.group.config)
+	g.directory = g.newFollower(directory.Table, g.opts.FeedTimeout, g.opts.MinDirectoryInterval, &directory.Sink{Registry: g.registry, Now: clock.SinceBoot, Log: g.log, OnUnreadable: rec.UnreadableEntry}, tableSharing{g.group, directory.Table})
+	members := g.newFollower(membersTable, membersFeedTimeout, minMembersInterval, membersSink{g.group}, tableSharing{g.group, membersTable})
 	go ingress.NewReadinessServer(g.Ready).Serve(ready)
 	g.wg.Go(func() { g.group.links.Run(ctx, links) })
 	g.wg.Go(func() { config.Run(ctx) })
@@ -257,11 +259,12 @@
 	return nil
 }
 
-// follow creates the follower of a table, which shares the reads of the store with the
-// peers. wait bounds a call's wait for changes, gap is the minimum time between two calls.
-func (g *Gateway) follow(table string, wait, gap time.Duration, sink follow.Sink, sharing follow.Sharing) *follow.Follower {
+// newFollower creates the follower of a table, which shares the reads of the store with the
+// peers. pollTimeout is how long a call to the store waits for changes, minInterval is the
+// minimum time between two calls.
+func (g *Gateway) newFollower(table string, pollTimeout, minInterval time.Duration, sink follow.Sink, sharing follow.Sharing) *follow.Follower {
 	cfg := follow.Config{
-		Name: table, PollTimeout: wait, MinCallInterval: gap,
+		Name: table, PollTimeout: pollTimeout, MinCallInterval: minInterval,
 		OnCall:     func(r follow.Reason) { g.group.stats.countStoreCall(table, string(r)) },
 		OnRestored: func() { g.group.stats.countRestore(table) },
 		KeepRows:   g.group.encoders[table] != nil,
@@ -272,11 +275,11 @@
 }
 
 // serveMetrics serves the metrics and reports, unless MetricsPort is 0.
-func (g *Gateway) serveMetrics(set *settings.Settings, rec *gatewaymetrics.Recorder) error {
+func (g *Gateway) serveMetrics(platform *settings.Settings, rec *gatewaymetrics.Recorder) error {
 	if g.opts.MetricsPort == 0 {
 		return nil
 	}
-	l, err := net.Listen("tcp", net.JoinHostPort(set.IP, strconv.Itoa(g.opts.MetricsPort)))
+	l, err := net.Listen("tcp", net.JoinHostPort(platform.IP, strconv.Itoa(g.opts.MetricsPort)))
 	if err != nil {
 		return errors.Wrap(err, "listen on the metrics address")
 	}
@@ -325,7 +328,8 @@
 const (
 	// killMargin is the time kept free between the end of the last response and SIGKILL.
 	killMargin = 300 * time.Millisecond
-	stopPoll   = 50 * time.Millisecond
+	// stopPoll is how often Stop checks whether requests are still in progress.
+	stopPoll = 50 * time.Millisecond
 	// lastAcceptMargin covers a request that is still on its way when the last connections
 	// are accepted.
 	lastAcceptMargin = 300 * time.Millisecond
@@ -360,18 +364,18 @@
 // Reload applies new settings: regions, the store's address, the link's bandwidth, the
 // bounds and the memory limit. The addresses that the gateway serves don't change while it
 // runs.
-func (g *Gateway) Reload(set *settings.Settings) {
-	old := g.settings.Swap(set)
-	unchanged := reflect.DeepEqual(set, old)
+func (g *Gateway) Reload(platform *settings.Settings) {
+	old := g.settings.Swap(platform)
+	unchanged := reflect.DeepEqual(platform, old)
 	g.log.WithField("changed", !unchanged).Info("settings reloaded")
 	if unchanged {
 		return
 	}
-	g.registry.SetDomainRegions(set.Regions)
-	g.store.SetAddress(set.Store)
-	g.store.SetLink(set.LinkMbps)
-	g.relay.Configure(relayConfig(set))
-	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(set.MemoryBytes)))
+	g.registry.SetDomainRegions(platform.Regions)
+	g.store.SetAddress(platform.Store)
+	g.store.SetLink(platform.LinkMbps)
+	g.relay.Configure(relayConfig(platform))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(platform.MemoryBytes)))
 }
 
 // Close stops the gateway at once, without waiting for requests.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -380,7 +380,7 @@
 	<-stopped
 }
 
-// A configuration grows far beyond what a thin VM's link can send to its peers without
+// A configuration grows far beyond what a VM with a slow link can send to its peers without
 // delaying callers. The peers only get its revision, and fetch the change by other means.
 func TestLongPagesAreNotPassedOn(t *testing.T) {
 	s := newSystem(t)
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -34,9 +34,9 @@
 const followMargin = 300 * time.Millisecond
 
 // A configuration grows by 1,400 routes. Its row would occupy a link of 10 Mbit/s for a
-// second, in which callers of the thin VM would wait; the change alone takes 15 ms and
-// comes from a peer. The VM's connection to the store is cut here, so that nothing can have
-// come from there.
+// second, in which the callers of a VM with such a link would wait; the change alone takes
+// 15 ms and comes from a peer. The VM's connection to the store is cut here, so that
+// nothing can have come from there.
 func TestThinVMNeedsNoRowFromTheStore(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
@@ -83,7 +83,7 @@
 	}
 }
 
-// A VM with a wide link reads a long page of the directory, and one of its peers has a thin
+// A VM with a fast link reads a long page of the directory, and one of its peers has a slow
 // link. The page would occupy that link for seconds, delay callers' data and cause the
 // connection between the two to be closed. So the page is only announced, and each peer
 // reads it at its own pace.
--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// The detector of races makes decoding a row some eight times as long, and the tests here ask
-// how long a change takes.
+// The tests in this file measure how long a change takes. The race detector slows down the
+// decoding of a row by a factor of about eight, so they don't run with it.
 
 package gateway
 
@@ -17,8 +17,8 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// Guards against callers of thin VMs being refused, or handled by an old version, while a
-// grown configuration arrives.
+// Guards against callers of VMs with a slow link being refused, or handled by an old
+// version, while a grown configuration arrives.
 func TestGrownConfigurationIsInForceOnThinVMs(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -17,7 +17,7 @@
 )
 
 // membersTable is the table with one row per gateway, keyed by the name of its VM, and one
-// row per request in the quarantine's records.
+// row per quarantine record.
 const membersTable = "gateways"
 
 const (
@@ -38,8 +38,8 @@
 	maxRewriteDelay = 800 * time.Millisecond
 )
 
-// joinBackoff spaces the retries of failed calls to the store.
-var joinBackoff = retry.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
+// storeBackoff spaces the retries of failed calls to the store.
+var storeBackoff = retry.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
 
 // memberRow is the row of a gateway.
 type memberRow struct {
@@ -69,7 +69,7 @@
 			return
 		}
 		g.log.WithError(err).WithField("try", attempt+1).Warn("cannot register with the other gateways, will retry")
-		wait.For(ctx, joinBackoff.Delay(attempt, rand.Float64()))
+		wait.For(ctx, storeBackoff.Delay(attempt, rand.Float64()))
 	}
 }
 
@@ -133,8 +133,8 @@
 // Reset implements follow.Sink. Gateways without a row stay known: the links to them report
 // whether they still run.
 func (m membersSink) Reset(rows []follow.Row, _ time.Duration) {
-	requests, gateways := splitRows(rows)
-	m.quarantine.applyRows(requests, true)
+	records, gateways := splitRows(rows)
+	m.quarantine.applyRows(records, true)
 	m.links.AddMembers(m.decodeMembers(gateways))
 	if m.role.joined.Load() && !slices.ContainsFunc(gateways, func(r follow.Row) bool { return r.Key == m.self.Name }) {
 		time.AfterFunc(time.Duration(rand.Float64()*float64(maxRewriteDelay)), m.rewriteRow)
@@ -169,8 +169,8 @@
 
 // Apply implements follow.Sink.
 func (m membersSink) Apply(rows []follow.Row, _ time.Duration) {
-	requests, gateways := splitRows(rows)
-	m.quarantine.applyRows(requests, false)
+	records, gateways := splitRows(rows)
+	m.quarantine.applyRows(records, false)
 	var deleted []string
 	var written []follow.Row
 	for _, row := range gateways {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -33,7 +33,7 @@
 }
 
 // group is this gateway's view of the other gateways, and what it shares with them. It
-// implements peers.Receiver and relay.Others.
+// implements peers.Receiver and relay.Peers.
 type group struct {
 	self     peers.Member
 	store    tableStore
@@ -215,15 +215,15 @@
 	f.ReceivePage(follow.SharedPage{Page: page, Since: revision.FromWire(p.GetSince())})
 }
 
-// Count implements relay.Others.
+// Count implements relay.Peers.
 func (g *group) Count() int { return g.links.KnownCount() }
 
-// AcceptingRequests implements relay.Others.
+// AcceptingRequests implements relay.Peers.
 func (g *group) AcceptingRequests() bool {
 	return slices.ContainsFunc(g.links.LiveStates(), func(s *peerv1.State) bool { return !s.GetStopping() })
 }
 
-// Notify implements relay.Others.
+// Notify implements relay.Peers.
 func (g *group) Notify() { g.links.SendStateNow() }
 
 // announceStop sends the peers a state which says that this gateway is stopping.
@@ -250,8 +250,8 @@
 const rowOverhead = 64
 
 // exceedsLinks reports whether a page would occupy a link for longer than maxShareTime:
-// this VM's link, over which the page goes to every peer, or the link of any peer. A wide
-// link sends in an instant what a thin link receives in seconds. That exceeds the write
+// this VM's link, over which the page goes to every peer, or the link of any peer. A fast
+// link sends in an instant what a slow link receives in seconds. That exceeds the write
 // timeout of a frame, and the connection to that peer would be closed.
 func (g *group) exceedsLinks(page follow.SharedPage) bool {
 	size := 0
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -37,8 +37,10 @@
 	// table.
 	minSaveDelay        = 300 * time.Millisecond
 	saveDelayPerGateway = 100 * time.Millisecond
-	savePoll            = 50 * time.Millisecond
-	saveTimeout         = 3 * time.Second
+	// savePoll is how often rows that are due are written.
+	savePoll = 50 * time.Millisecond
+	// saveTimeout bounds a write of a row.
+	saveTimeout = 3 * time.Second
 	// expireInterval is how often expired records are removed.
 	expireInterval = time.Minute
 	// maxLoggedCrashes bounds the crashes listed in a log line.
@@ -46,7 +48,7 @@
 )
 
 // sharedQuarantine tracks the requests under which servers crash, and shares the records
-// with the other gateways. It implements relay.Suspects.
+// with the other gateways. It implements relay.Quarantine.
 //
 // New records are sent to the peers, which forward those that are new to them. A quarantine
 // decision is also written to the store as a row: it outlives all gateways and reaches
@@ -80,10 +82,10 @@
 
 var _ relay.Quarantine = (*sharedQuarantine)(nil)
 
-// HasRecords implements relay.Suspects.
+// HasRecords implements relay.Quarantine.
 func (s *sharedQuarantine) HasRecords() bool { return s.hasRecords.Load() }
 
-// Quarantined implements relay.Suspects.
+// Quarantined implements relay.Quarantine.
 func (s *sharedQuarantine) Quarantined(id quarantine.ID) (time.Duration, bool) {
 	now, known := s.group.role.storeTime()
 	if !known {
@@ -94,7 +96,7 @@
 	return s.tracker.Quarantined(id, now)
 }
 
-// TrialDue implements relay.Suspects.
+// TrialDue implements relay.Quarantine.
 func (s *sharedQuarantine) TrialDue(id quarantine.ID) bool {
 	now, known := s.group.role.storeTime()
 	if !known {
@@ -105,15 +107,15 @@
 	return s.tracker.TrialDue(id, now)
 }
 
-// StartTrial implements relay.Suspects.
+// StartTrial implements relay.Quarantine.
 func (s *sharedQuarantine) StartTrial(id quarantine.ID) (tried bool) {
 	now, known := s.group.role.storeTime()
 	if !known {
 		return false
 	}
-	s.update("tried", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
-		c, tried = b.StartTrial(id, now)
-		return c
+	s.update("tried", 0, func(t *quarantine.Tracker) (u quarantine.Update) {
+		u, tried = t.StartTrial(id, now)
+		return u
 	})
 	if tried {
 		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team}).Info("trying a request whose quarantine is in doubt")
@@ -128,21 +130,21 @@
 	return s.tracker.QuarantinedCount()
 }
 
-// NearThreshold implements relay.Suspects.
+// NearThreshold implements relay.Quarantine.
 func (s *sharedQuarantine) NearThreshold(id quarantine.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tracker.NearThreshold(id)
 }
 
-// Crashed implements relay.Suspects.
+// Crashed implements relay.Quarantine.
 func (s *sharedQuarantine) Crashed(server backends.Server, ran []quarantine.ID) {
 	now, known := s.group.role.storeTime()
 	if !known {
 		s.log.WithField("server", server.ID).Warn("crash of a server is not recorded, because the store's clock is not known yet")
 		return
 	}
-	s.update("seen here", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(incarnationHash(server), now, ran) })
+	s.update("seen here", 0, func(t *quarantine.Tracker) quarantine.Update { return t.Crashed(incarnationHash(server), now, ran) })
 }
 
 // incarnationHash identifies an incarnation of a server. It is the same at all gateways.
@@ -150,14 +152,14 @@
 	return xxhash.Sum64String(s.ID + "/" + strconv.FormatInt(s.StartTime, 10))
 }
 
-// Answered implements relay.Suspects.
+// Answered implements relay.Quarantine.
 func (s *sharedQuarantine) Answered(id quarantine.ID) { s.clearRequest(id, "answered") }
 
 // clearRequest clears a request of the crashes so far, because a server has answered it or
 // an operator has released it.
 func (s *sharedQuarantine) clearRequest(id quarantine.ID, reason string) {
 	if now, known := s.group.role.storeTime(); known {
-		s.update(reason, 0, func(b *quarantine.Tracker) quarantine.Update { return b.Clear(id, now) })
+		s.update(reason, 0, func(t *quarantine.Tracker) quarantine.Update { return t.Clear(id, now) })
 	}
 }
 
@@ -167,7 +169,7 @@
 	for _, p := range suspects {
 		records = append(records, recordFromMessage(p))
 	}
-	s.update("told by "+peer, s.saveDelay(), func(b *quarantine.Tracker) quarantine.Update { return b.Merge(records) })
+	s.update("told by "+peer, s.saveDelay(), func(t *quarantine.Tracker) quarantine.Update { return t.Merge(records) })
 }
 
 // saveDelay returns a random delay before writing a row that other gateways may write as
@@ -181,29 +183,29 @@
 // logged.
 func (s *sharedQuarantine) update(reason string, delay time.Duration, change func(*quarantine.Tracker) quarantine.Update) {
 	s.mu.Lock()
-	c := change(s.tracker)
+	u := change(s.tracker)
 	s.hasRecords.Store(s.tracker.Len() > 0)
-	for _, id := range slices.Concat(c.Quarantined, c.Released) {
+	for _, id := range slices.Concat(u.Quarantined, u.Released) {
 		s.scheduleSave(id, delay)
 	}
-	for _, r := range c.Changed {
+	for _, r := range u.Changed {
 		if len(r.Trials) > 0 {
 			s.scheduleSave(r.ID, delay)
 		}
 	}
-	quarantined := make([]quarantine.Record, 0, len(c.Quarantined))
-	for _, id := range c.Quarantined {
+	quarantined := make([]quarantine.Record, 0, len(u.Quarantined))
+	for _, id := range u.Quarantined {
 		quarantined = append(quarantined, s.tracker.Record(id))
 	}
 	s.mu.Unlock()
-	s.send(c.Changed)
+	s.send(u.Changed)
 	for _, r := range quarantined {
 		s.log.WithFields(logrus.Fields{"content": r.String(), "team": r.Team, "why": reason, "ends": describeCrashes(r)}).Warn("request is quarantined: servers crash under it")
 		if notify := s.onQuarantined.Load(); notify != nil {
 			(*notify)(r.ID)
 		}
 	}
-	for _, id := range c.Released {
+	for _, id := range u.Released {
 		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team, "why": reason}).Warn("request is no longer quarantined")
 	}
 }
@@ -306,7 +308,7 @@
 	if !known {
 		return
 	}
-	s.update("expired", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Expire(now) })
+	s.update("expired", 0, func(t *quarantine.Tracker) quarantine.Update { return t.Expire(now) })
 	for _, row := range s.expiredRows(now) {
 		if rand.IntN(max(1, s.group.Count())) > 0 {
 			continue
@@ -329,7 +331,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range q.tracker.List(1) {
-		if left, held := q.tracker.Quarantined(r.ID, now); held {
+		if left, quarantined := q.tracker.Quarantined(r.ID, now); quarantined {
 			out = append(out, admin.Held{Content: r.String(), Team: r.Team, Ends: describeCrashes(r), LeftSeconds: int(left.Seconds())})
 		}
 	}
--- a/internal/gateway/queues.go
+++ b/internal/gateway/queues.go
@@ -9,7 +9,7 @@
 	"kingcupplank.example/kingcup/platform/operator"
 )
 
-// ReportQueue implements relay.Others. Peers act on two changes, which are therefore sent at
+// ReportQueue implements relay.Peers. Peers act on two changes, which are therefore sent at
 // once: requests begin to wait here, or a more urgent one than before waits.
 func (g *group) ReportQueue(service string, q flow.Contender) {
 	q.Name = g.self.Name
@@ -42,14 +42,14 @@
 	return out
 }
 
-// ReportUsage implements relay.Others.
+// ReportUsage implements relay.Peers.
 func (g *group) ReportUsage(service string, top []flow.Usage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.teamUsage[service] = usageSnapshot{top, clock.SinceBoot()}
 }
 
-// Usage implements relay.Others.
+// Usage implements relay.Peers.
 func (g *group) Usage(service string) (out []flow.Usage) {
 	for _, s := range g.links.LiveStates() {
 		for _, u := range s.GetUsages() {
@@ -66,7 +66,7 @@
 // short compared with the 400 ms in which an engine reads a prompt.
 const turnPeriod = 60 * time.Millisecond
 
-// Turns implements relay.Others.
+// Turns implements relay.Peers.
 func (g *group) Turns(service string, rank int) *flow.Turns {
 	period, known := g.currentPeriod()
 	if !known {
@@ -76,7 +76,7 @@
 	return flow.NewTurns(self, g.contenders(service), rank, period)
 }
 
-// MigrationTurns implements relay.Others.
+// MigrationTurns implements relay.Peers.
 func (g *group) MigrationTurns(domain string) *flow.Turns {
 	period, known := g.currentPeriod()
 	contenders := g.registry.CountRequestsAtLeaving(g.self.Name, domain)
@@ -98,7 +98,7 @@
 	return int64(clock.Now / turnPeriod), clock.Known
 }
 
-// SharedClock implements relay.Others: the store's clock.
+// SharedClock implements relay.Peers: the store's clock.
 func (g *group) SharedClock() pacing.SharedTime {
 	f := g.followers[operator.Table]
 	if f == nil {
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -61,7 +61,7 @@
 	return r.group.followers[operator.Table].StoreTime()
 }
 
-// shouldRead decides whether a follower reads the store; see readers.Role.Reads.
+// shouldRead decides whether a follower reads the store; see readers.Role.ShouldRead.
 func (r *readerRole) shouldRead(now time.Duration, reached bool) bool {
 	inputs := readers.Inputs{Now: now, StoreReached: reached, ProcessCount: r.group.contendingGateways(), Random: rand.Float64()}
 	r.mu.Lock()
@@ -96,7 +96,7 @@
 
 // chooseInitialReaders decides whether this gateway is one of those that read the tables
 // first when all gateways start at once; the others fetch the tables from these as soon as
-// they are linked. A random choice would pick VMs with thin links, or none for a while.
+// they are linked. A random choice would pick VMs with slow links, or none for a while.
 func (r *readerRole) chooseInitialReaders(all []peers.Member) {
 	var list []readers.Reader
 	for _, m := range all {
--- a/internal/gateway/suspectrows.go
+++ b/internal/gateway/suspectrows.go
@@ -39,8 +39,8 @@
 }
 
 type crashData struct {
-	Server uint64 `json:"server"`
-	AtMs   int64  `json:"at_ms"`
+	Incarnation uint64 `json:"server"`
+	AtMs        int64  `json:"at_ms"`
 }
 
 func encodeRecord(r quarantine.Record) ([]byte, error) {
@@ -63,7 +63,7 @@
 	}
 	r := quarantine.Record{ID: quarantine.ID{Team: d.Team, Content: d.Content}, ClearedAt: time.Duration(d.ClearedMs) * time.Millisecond, Trials: fromMillis(d.TrialsMs)}
 	for _, e := range d.Crashes {
-		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.Server, At: time.Duration(e.AtMs) * time.Millisecond})
+		r.Crashes = append(r.Crashes, quarantine.Crash{Incarnation: e.Incarnation, At: time.Duration(e.AtMs) * time.Millisecond})
 	}
 	if recordRowKey(r.ID) != row.Key {
 		return r, errKeyMismatch
@@ -83,10 +83,10 @@
 	return records, gateways
 }
 
-// applyRows merges rows of the store. whole says that the store has no other rows of
-// requests.
-func (s *sharedQuarantine) applyRows(rows []follow.Row, whole bool) {
-	if len(rows) == 0 && !whole {
+// applyRows merges rows of the store. isComplete says that the store has no other rows of
+// quarantine records.
+func (s *sharedQuarantine) applyRows(rows []follow.Row, isComplete bool) {
+	if len(rows) == 0 && !isComplete {
 		return
 	}
 	known := make(map[quarantine.ID]storedRecord)
@@ -105,13 +105,13 @@
 		records = append(records, r)
 	}
 	s.mu.Lock()
-	if whole {
+	if isComplete {
 		clear(s.rows)
 	}
 	maps.Copy(s.rows, known)
 	s.mu.Unlock()
-	s.update("row of the store", s.saveDelay(), func(b *quarantine.Tracker) quarantine.Update { return b.Merge(records) })
-	if whole {
+	s.update("row of the store", s.saveDelay(), func(t *quarantine.Tracker) quarantine.Update { return t.Merge(records) })
+	if isComplete {
 		s.scheduleMissingRows()
 	}
 }
@@ -206,7 +206,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.scheduleSave(r.ID, joinBackoff.Delay(s.failedSaves, rand.Float64()))
+		s.scheduleSave(r.ID, storeBackoff.Delay(s.failedSaves, rand.Float64()))
 		s.failedSaves++
 		return err
 	}
