--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -24,14 +24,14 @@
 // limitWindow.
 func maxAllowed(perSecond float64) int { return int(1.5*perSecond*limitWindow.Seconds()) + 5 }
 
-// callRepeatedly has each callers per gateway repeat a request for d, and counts the
-// requests that were served and refused.
-func callRepeatedly(gateways []*testGateway, each int, d time.Duration, c callerRequest) (served, refused int) {
+// callRepeatedly has perGateway callers at every gateway repeat a request for d, and counts
+// the requests that were served and refused.
+func callRepeatedly(gateways []*testGateway, perGateway int, d time.Duration, c callerRequest) (served, refused int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	for begun, n := range callersFor(gateways, each) {
+	for i, n := range callersFor(gateways, perGateway) {
 		wg.Go(func() {
-			time.Sleep(time.Duration(begun) * time.Millisecond)
+			time.Sleep(time.Duration(i) * time.Millisecond)
 			for from := time.Now(); time.Since(from) < d; time.Sleep(25 * time.Millisecond) {
 				status := n.do(c).status
 				mu.Lock()
@@ -48,8 +48,9 @@
 	return served, refused
 }
 
-func callersFor(gateways []*testGateway, each int) (out []*testGateway) {
-	for range each {
+// callersFor returns the gateway of each caller.
+func callersFor(gateways []*testGateway, perGateway int) (out []*testGateway) {
+	for range perGateway {
 		out = append(out, gateways...)
 	}
 	return out
@@ -92,11 +93,11 @@
 	for srv, limit := range limits {
 		srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(limit)})
 	}
-	named := time.Now()
+	limitedAt := time.Now()
 	_, refused := callRepeatedly(gateways, 1, limitWindow+time.Second, plain(fleet.OncePath))
 	require.Zero(t, refused, "the third server has room")
 	for srv, limit := range limits {
-		count := maxArrivals(srv, named.Add(propagationTarget))
+		count := maxArrivals(srv, limitedAt.Add(propagationTarget))
 		t.Logf("%s got %d in %v, its limit is %v a second", srv.ID, count, limitWindow, limit)
 		require.LessOrEqual(t, count, maxAllowed(limit), srv.ID)
 	}
@@ -163,7 +164,7 @@
 	gateways[0].eventually(func() bool {
 		require.Equal(t, http.StatusOK, gateways[0].do(plain(fleet.OpenPath)).status)
 		return len(leaves.Arrived()) > before
-	}, "asked")
+	}, "the server got a request")
 	reportedAt := time.Now()
 	requestAll(t, gateways[:1], propagationTarget, plain(fleet.OpenPath))
 	require.Zero(t, countArrivals(leaves, reportedAt), "from the gateway that got the response")
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -24,7 +24,7 @@
 
 // twoDomainSystem has servers of both services in two failure domains. It returns the ones
 // in cordonedDomain.
-func twoDomainSystem(t *testing.T) (s *system, inside []*fleet.Server) {
+func twoDomainSystem(t *testing.T) (s *system, cordonedServers []*fleet.Server) {
 	s = newSystem(t)
 	add := func(service, zone string, b fleet.Behaviour) *fleet.Server {
 		srv, err := s.fleet.Add(service, zone, b)
@@ -33,11 +33,11 @@
 	}
 	short := fleet.Behaviour{Events: 3, EventEvery: time.Millisecond}
 	for range 2 {
-		inside = append(inside, add(fleet.DeskService, cordonedDomain, fleet.Behaviour{}), add(fleet.ModelService, cordonedDomain, short))
+		cordonedServers = append(cordonedServers, add(fleet.DeskService, cordonedDomain, fleet.Behaviour{}), add(fleet.ModelService, cordonedDomain, short))
 		add(fleet.DeskService, otherDomain, fleet.Behaviour{})
 		add(fleet.ModelService, otherDomain, short)
 	}
-	return s, inside
+	return s, cordonedServers
 }
 
 // waitForAllServers waits until a gateway has listed all servers.
@@ -92,27 +92,27 @@
 // Guards against requests that still reach a failure domain which the operator has
 // cordoned.
 func TestCordonedDomainGetsNothingNew(t *testing.T) {
-	s, inside := twoDomainSystem(t)
+	s, cordonedServers := twoDomainSystem(t)
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range gateways {
 		n.waitForAllServers()
 	}
 	requestAllKinds(t, gateways, 200*time.Millisecond)
-	requireUsed(t, inside, time.Time{})
+	requireUsed(t, cordonedServers, time.Time{})
 	s.fleet.Cordon(cordonedDomain)
-	asked := time.Now()
+	cordonedAt := time.Now()
 	requestAllKinds(t, gateways, time.Second)
-	requireUnused(t, inside, asked.Add(cordonTarget))
+	requireUnused(t, cordonedServers, cordonedAt.Add(cordonTarget))
 	s.fleet.Uncordon(cordonedDomain)
-	back := time.Now()
+	uncordonedAt := time.Now()
 	requestAllKinds(t, gateways, time.Second)
-	requireUsed(t, inside, back)
+	requireUsed(t, cordonedServers, uncordonedAt)
 }
 
 // Guards against two kinds of gateways missing a cordon: one that gets the tables only from
 // peers, and one that starts while the domain is cordoned.
 func TestCordonReachesGatewaysWithoutTheStore(t *testing.T) {
-	s, inside := twoDomainSystem(t)
+	s, cordonedServers := twoDomainSystem(t)
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	for _, n := range gateways {
 		n.waitForAllServers()
@@ -121,13 +121,13 @@
 	gateways[1].door.SetFault(fleet.Busy)
 	time.Sleep(time.Second)
 	s.fleet.Cordon(cordonedDomain)
-	asked := time.Now()
+	cordonedAt := time.Now()
 	requestAllKinds(t, gateways, time.Second)
-	requireUnused(t, inside, asked.Add(cordonTarget))
+	requireUnused(t, cordonedServers, cordonedAt.Add(cordonTarget))
 	late := s.gateway("vm-3")
 	late.waitForUncordonedServers()
 	requestAllKinds(t, []*testGateway{late}, 500*time.Millisecond)
-	requireUnused(t, inside, asked.Add(cordonTarget))
+	requireUnused(t, cordonedServers, cordonedAt.Add(cordonTarget))
 }
 
 // waitForUncordonedServers waits until a gateway lists exactly the servers that are not
@@ -142,30 +142,30 @@
 // older than the cordon, and against the domain staying cordoned after the operator has
 // removed the cordon.
 func TestCordonSurvivesStoreRestore(t *testing.T) {
-	s, inside := twoDomainSystem(t)
+	s, cordonedServers := twoDomainSystem(t)
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	for _, n := range gateways {
 		n.waitForAllServers()
 	}
-	older := s.fleet.Store.Copy()
+	copied := s.fleet.Store.Copy()
 	s.fleet.Cordon(cordonedDomain)
-	asked := time.Now()
+	cordonedAt := time.Now()
 	requestAllKinds(t, gateways, cordonTarget)
-	s.restoreStore(older)
+	s.restoreStore(copied)
 	requestAllKinds(t, gateways, time.Second)
 	s.fleet.Rewrite(func() { time.Sleep(50 * time.Millisecond) })
 	requestAllKinds(t, gateways, 500*time.Millisecond)
-	requireUnused(t, inside, asked.Add(cordonTarget))
+	requireUnused(t, cordonedServers, cordonedAt.Add(cordonTarget))
 	s.fleet.Uncordon(cordonedDomain)
-	back := time.Now()
+	uncordonedAt := time.Now()
 	requestAllKinds(t, gateways, time.Second)
-	requireUsed(t, inside, back)
+	requireUsed(t, cordonedServers, uncordonedAt)
 }
 
 // Guards against requests to a cordoned domain while the store's responses are seconds
 // late.
 func TestCordonTakesEffectWithSlowStore(t *testing.T) {
-	s, inside := twoDomainSystem(t)
+	s, cordonedServers := twoDomainSystem(t)
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	for _, n := range gateways {
 		n.waitForAllServers()
@@ -173,10 +173,10 @@
 	s.fleet.Store.SetSlow("op", 2*time.Second)
 	s.fleet.Store.Compact()
 	s.fleet.Cordon(cordonedDomain)
-	asked := time.Now()
+	cordonedAt := time.Now()
 	// Keys are not confirmed in this time, so the requests go to the route without keys.
 	requestAll(t, gateways, cordonBound+500*time.Millisecond, plain(fleet.OpenPath))
-	requireUnused(t, inside, asked.Add(cordonBound))
+	requireUnused(t, cordonedServers, cordonedAt.Add(cordonBound))
 }
 
 // Guards against a caller waiting for servers that are all in cordoned domains.
@@ -220,7 +220,7 @@
 // Another writer leaves cordon rows without a failure domain, or with an unknown one. They
 // must not affect the known domains.
 func TestInvalidCordonRowsAreIgnored(t *testing.T) {
-	s, inside := twoDomainSystem(t)
+	s, cordonedServers := twoDomainSystem(t)
 	n := s.gateway("vm-1")
 	n.waitForAllServers()
 	s.fleet.Store.PutBytes("op", "evacuate/", []byte("{}"))
@@ -229,7 +229,7 @@
 	requestAllKinds(t, []*testGateway{n}, 500*time.Millisecond)
 	n.waitForAllServers()
 	s.fleet.Store.PutBytes("op", "evacuate/"+cordonedDomain, []byte("\xff{"))
-	asked := time.Now()
+	cordonedAt := time.Now()
 	requestAllKinds(t, []*testGateway{n}, 500*time.Millisecond)
-	requireUnused(t, inside, asked.Add(cordonTarget))
+	requireUnused(t, cordonedServers, cordonedAt.Add(cordonTarget))
 }
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -135,19 +135,19 @@
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 	}
-	var cut *testGateway
+	var cutOff *testGateway
 	gateways[0].eventually(func() bool {
 		i := slices.IndexFunc(gateways, func(n *testGateway) bool { return len(activeReaders([]*testGateway{n})) == 0 })
 		if i >= 0 {
-			cut = gateways[i]
+			cutOff = gateways[i]
 		}
 		return i >= 0
 	}, "one gateway gets its tables from the others")
 	s.restoreStore(c)
-	cut.door.SetFault(fleet.Reset)
+	cutOff.door.SetFault(fleet.Reset)
 	s.fleet.Configure("third")
-	cut.eventually(func() bool { return cut.statusWithKey("third") == http.StatusOK }, "the third key")
-	require.Equal(t, http.StatusUnauthorized, cut.statusWithKey("second"))
+	cutOff.eventually(func() bool { return cutOff.statusWithKey("third") == http.StatusOK }, "the third key")
+	require.Equal(t, http.StatusUnauthorized, cutOff.statusWithKey("second"))
 }
 
 // A gateway starts while the store, restored from a copy, still has a key that was revoked.
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -43,15 +43,15 @@
 	s.linkMbps = 200
 	prefixes := extraPrefixes(2600 + 1400)
 	s.fleet.Configure(fleet.Key, prefixes[:2600]...)
-	wide := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
-	thin, _ := s.gatewayOnLink("vm-c", 10)
-	waitUntilLinked(wide[0], wide[1], thin)
-	thin.door.SetFault(fleet.Reset)
+	fast := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
+	slow, _ := s.gatewayOnLink("vm-c", 10)
+	waitUntilLinked(fast[0], fast[1], slow)
+	slow.door.SetFault(fleet.Reset)
 	s.fleet.Configure(fleet.Key, prefixes...)
-	thin.eventually(func() bool {
-		return thin.do(plain(prefixes[len(prefixes)-1]+"a")).status == http.StatusOK
+	slow.eventually(func() bool {
+		return slow.do(plain(prefixes[len(prefixes)-1]+"a")).status == http.StatusOK
 	}, "the newest version is in force")
-	require.Equal(t, http.StatusOK, thin.do(plain(prefixes[0]+"a")).status)
+	require.Equal(t, http.StatusOK, slow.do(plain(prefixes[0]+"a")).status)
 }
 
 // The peers that announce a version don't answer fetches. The VM reads the whole version
@@ -59,10 +59,10 @@
 func TestVersionIsReadFromTheStoreIfPeersFail(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
-	wide := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
+	announcing := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
 	last := s.gateway("vm-c")
-	waitUntilLinked(wide[0], wide[1], last)
-	for _, n := range wide {
+	waitUntilLinked(announcing[0], announcing[1], last)
+	for _, n := range announcing {
 		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errConfigUnreadable })
 	}
 	s.fleet.Configure(fleet.Key, "/extra/")
@@ -91,13 +91,13 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.linkMbps = 1000
-	wide := s.gateway("vm-a")
+	fast := s.gateway("vm-a")
 	page := func(size int) follow.SharedPage {
 		return follow.SharedPage{Page: follow.Page{Rows: []follow.Row{{Value: make([]byte, size)}}}}
 	}
-	require.False(t, wide.group.exceedsLinks(page(100_000)))
-	thin, _ := s.gatewayOnLink("vm-b", 10)
-	waitUntilLinked(wide, thin)
-	require.True(t, wide.group.exceedsLinks(page(100_000)))
-	require.False(t, wide.group.exceedsLinks(page(10_000)))
+	require.False(t, fast.group.exceedsLinks(page(100_000)))
+	slow, _ := s.gatewayOnLink("vm-b", 10)
+	waitUntilLinked(fast, slow)
+	require.True(t, fast.group.exceedsLinks(page(100_000)))
+	require.False(t, fast.group.exceedsLinks(page(10_000)))
 }
--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -23,22 +23,22 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behaviour{})
 	s.linkMbps = 200
-	wide := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
-	thin, _ := s.gatewayOnLink("vm-c", 10)
-	waitUntilLinked(wide[0], wide[1], thin)
+	fast := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
+	slow, _ := s.gatewayOnLink("vm-c", 10)
+	waitUntilLinked(fast[0], fast[1], slow)
 	prefixes := extraPrefixes(4000)
 	s.fleet.Configure(fleet.Key, prefixes...)
 	grown := time.Now()
 	newest := prefixes[len(prefixes)-1] + "a"
 	var unready, refused atomic.Int64
 	inForce := assert.Eventually(t, func() bool {
-		if !thin.isReady() {
+		if !slow.isReady() {
 			unready.Add(1)
 		}
-		if thin.do(plain(fleet.OncePath)).status != http.StatusOK {
+		if slow.do(plain(fleet.OncePath)).status != http.StatusOK {
 			refused.Add(1)
 		}
-		return thin.do(plain(newest)).status == http.StatusOK
+		return slow.do(plain(newest)).status == http.StatusOK
 	}, 8*time.Second, 10*time.Millisecond, "the newest version is in force")
 	require.Zero(t, unready.Load(), "callers left the VM because of a change")
 	require.Zero(t, refused.Load(), "callers were refused because of a change")
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -30,10 +30,10 @@
 		return p.Address, err
 	}
 	b := fleet.Behaviour{Delay: 20 * time.Millisecond}
-	parted := s.server(fleet.DeskService, b)
+	partitioned := s.server(fleet.DeskService, b)
 	s.server(fleet.DeskService, b)
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(parted.Seen()) > 0 }, "both serve")
+	n.eventually(func() bool { return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(partitioned.Seen()) > 0 }, "both serve")
 	proxies[0].Set(soak.Silent)
 	for range 5 {
 		a := n.do(plain(fleet.OncePath))
@@ -51,19 +51,19 @@
 	}
 	require.LessOrEqual(t, lost, 3)
 	proxies[0].Set(soak.Pass)
-	seen := len(parted.Seen())
+	seen := len(partitioned.Seen())
 	// A server that has failed is only tried again when the others are busy.
 	var callers sync.WaitGroup
 	until := time.Now().Add(8 * time.Second)
 	for range concurrentCallers {
 		callers.Go(func() {
-			for time.Now().Before(until) && len(parted.Seen()) < seen+concurrentCallers {
+			for time.Now().Before(until) && len(partitioned.Seen()) < seen+concurrentCallers {
 				n.do(plain(fleet.SafePath))
 			}
 		})
 	}
 	callers.Wait()
-	require.GreaterOrEqual(t, len(parted.Seen()), seen+concurrentCallers, "not used again")
+	require.GreaterOrEqual(t, len(partitioned.Seen()), seen+concurrentCallers, "not used again")
 }
 
 // concurrentCallers is how many callers send requests at once: more than one server answers
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -40,26 +40,26 @@
 	at []time.Time
 }
 
-func (e *crashLog) note(*fleet.Server) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.at = append(e.at, time.Now())
+func (l *crashLog) record(*fleet.Server) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.at = append(l.at, time.Now())
 }
 
-func (e *crashLog) times() []time.Time {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return slices.Clone(e.at)
+func (l *crashLog) times() []time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.at)
 }
 
 // startCrashingEngines starts engines that crash under crashing requests.
 func (s *system) startCrashingEngines(n int) *crashLog {
-	e := &crashLog{}
-	s.fleet.Ended = e.note
+	log := &crashLog{}
+	s.fleet.Ended = log.record
 	for range n {
 		s.server(fleet.ModelService, crashingEngine)
 	}
-	return e
+	return log
 }
 
 // arrivalTimes lists when servers got requests whose body contains a text.
@@ -83,12 +83,12 @@
 	return status
 }
 
-// repeat sends a body to the gateways in turn, every interval for lasts, and returns the
+// repeat sends a body to the gateways in turn, every interval for duration, and returns the
 // statuses. Each attempt has an ID of its own.
-func repeat(t *testing.T, gateways []*testGateway, body string, interval, lasts time.Duration) (statuses []int) {
+func repeat(t *testing.T, gateways []*testGateway, body string, interval, duration time.Duration) (statuses []int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for i, begun := 0, time.Now(); time.Since(begun) < lasts; i++ {
+	for i, begun := 0, time.Now(); time.Since(begun) < duration; i++ {
 		n := gateways[i%len(gateways)]
 		wg.Go(func() {
 			status := n.generate(fleet.CheckPath, body)
@@ -113,9 +113,9 @@
 	repeat(t, gateways, crashingBody, 150*time.Millisecond, 6*time.Second)
 	at := crashes.times()
 	require.GreaterOrEqual(t, len(at), 3)
-	require.LessOrEqual(t, len(at), 3+maxExtraServers, "crashes in all")
-	for _, reached := range s.arrivalTimes(crashingBody) {
-		require.Less(t, reached.Sub(at[2]), quarantineTarget, "sent on after the third crash")
+	require.LessOrEqual(t, len(at), 3+maxExtraServers, "total number of crashes")
+	for _, sentAt := range s.arrivalTimes(crashingBody) {
+		require.Less(t, sentAt.Sub(at[2]), quarantineTarget, "sent on after the third crash")
 	}
 }
 
@@ -130,13 +130,13 @@
 	for _, n := range first {
 		n.Close()
 	}
-	known := len(crashes.times())
+	crashesBefore := len(crashes.times())
 	later := []*testGateway{s.gateway("vm-3"), s.gateway("vm-4")}
 	started := time.Now()
 	statuses := repeat(t, later, crashingBody, 100*time.Millisecond, 2*time.Second)
-	require.Equal(t, known, len(crashes.times()), "engines crashed again")
-	for _, reached := range s.arrivalTimes(crashingBody) {
-		require.True(t, reached.Before(started), "sent on by a gateway that started later")
+	require.Equal(t, crashesBefore, len(crashes.times()), "engines crashed again")
+	for _, sentAt := range s.arrivalTimes(crashingBody) {
+		require.True(t, sentAt.Before(started), "sent on by a gateway that started later")
 	}
 	require.NotContains(t, statuses, http.StatusOK)
 }
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -22,12 +22,12 @@
 	for range 3 {
 		require.NotEqual(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
 	}
-	again, err := s.fleet.Restart(desk)
+	restarted, err := s.fleet.Restart(desk)
 	require.NoError(t, err)
 	begun := time.Now()
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 	require.Less(t, time.Since(begun), time.Second)
-	require.NotEmpty(t, again.Seen())
+	require.NotEmpty(t, restarted.Seen())
 }
 
 // A server becomes unreachable without a reset and starts again under its id. Its stream
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -73,13 +73,13 @@
 	for begun := time.Now(); time.Since(begun) < watched; time.Sleep(20 * time.Millisecond) {
 		require.Less(t, oldestConfigAge(gateways), DefaultOptions().FeedTimeout+500*time.Millisecond)
 	}
-	callers := 0
+	calling := 0
 	for i, n := range gateways {
 		if n.door.Calls() > before[i] {
-			callers++
+			calling++
 		}
 	}
-	require.LessOrEqual(t, callers, 2)
+	require.LessOrEqual(t, calling, 2)
 }
 
 // A server starts to leave, and the operator revokes a key. Gateways that are linked to no
@@ -115,31 +115,31 @@
 	_, gateways := startPartialMesh(t)
 	readers := activeReaders(gateways)
 	require.Len(t, readers, 2)
-	var left []*testGateway
+	var remaining []*testGateway
 	for _, n := range gateways {
 		if n == readers[0] || n == readers[1] {
 			n.Close()
 			continue
 		}
-		left = append(left, n)
+		remaining = append(remaining, n)
 	}
 	before := make(map[*testGateway]int)
-	for _, n := range left {
+	for _, n := range remaining {
 		before[n] = n.door.Calls()
 	}
 	for begun := time.Now(); time.Since(begun) < 4*time.Second; time.Sleep(20 * time.Millisecond) {
-		require.Less(t, oldestConfigAge(left), testBounds.Revoke)
-		require.Equal(t, http.StatusOK, left[0].do(plain(fleet.OncePath)).status)
+		require.Less(t, oldestConfigAge(remaining), testBounds.Revoke)
+		require.Equal(t, http.StatusOK, remaining[0].do(plain(fleet.OncePath)).status)
 	}
-	require.Len(t, activeReaders(left), 2)
-	callers := 0
-	for _, n := range left {
+	require.Len(t, activeReaders(remaining), 2)
+	calling := 0
+	for _, n := range remaining {
 		if n.door.Calls() > before[n] {
-			callers++
+			calling++
 		}
 	}
-	t.Logf("%d of %d gateways call", callers, len(left))
-	require.LessOrEqual(t, callers, manyGateways/2, "of %d gateways", len(left))
+	t.Logf("%d of %d gateways call", calling, len(remaining))
+	require.LessOrEqual(t, calling, manyGateways/2, "of %d gateways", len(remaining))
 }
 
 // A gateway starts among others and gets its tables from them; it only reads the list of
