--- a/cmd/kingcup-standin/main.go
+++ b/cmd/kingcup-standin/main.go
@@ -46,9 +46,9 @@
 			Step: *step, Memory: uint64(*memory), Resumes: *resumes, ChecksTerm: *checks,
 			Retain: *retain, Models: models(), Nonce: uint64(os.Getpid()),
 		})
-		_, err = servers.Engine(e, *address)
+		_, err = servers.ServeEngine(e, *address)
 	case "service":
-		_, err = servers.Service(services.New(), *address)
+		_, err = servers.ServeService(services.New(), *address)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "kingcup-standin:", err)
@@ -71,7 +71,7 @@
 	if objects == "" {
 		objects = "127.0.0.1:0"
 	}
-	_, _, err := servers.Table(t, address, objects)
+	_, _, err := servers.ServeTable(t, address, objects)
 	return err
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -31,19 +31,19 @@
 
 // Quarantine shows and lifts verdicts on requests under which servers end.
 type Quarantine interface {
-	Held() []Held
+	Held() []QuarantinedRequest
 	// Lift ends the verdict on a request; false if there is none by that name.
 	Lift(content string) bool
 }
 
-// Held is a request that is not sent to servers.
-type Held struct {
+// QuarantinedRequest is a request that is not sent to servers.
+type QuarantinedRequest struct {
 	Content string `json:"content"`
 	Team    string `json:"team"`
-	// Ends names the lives of the servers that ended under it, as the log does.
-	Ends []string `json:"ends"`
-	// LeftSeconds is how long it is held yet.
-	LeftSeconds int `json:"left_seconds"`
+	// Crashes names the lives of the servers that ended under it, as the log does.
+	Crashes []string `json:"ends"`
+	// RemainingSeconds is how long it is held yet.
+	RemainingSeconds int `json:"left_seconds"`
 }
 
 // Server is safe for concurrent use.
@@ -107,7 +107,7 @@
 	w.Flush()
 }
 
-func held(ctx *fasthttp.RequestCtx, list []Held) {
+func held(ctx *fasthttp.RequestCtx, list []QuarantinedRequest) {
 	if string(ctx.QueryArgs().Peek("format")) == "json" {
 		ctx.SetContentType("application/json")
 		json.NewEncoder(ctx).Encode(list)
@@ -116,7 +116,7 @@
 	w := tabwriter.NewWriter(ctx, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTENT\tTEAM\tLEFT\tENDS")
 	for _, h := range list {
-		fmt.Fprintf(w, "%s\t%s\t%ds\t%s\n", h.Content, h.Team, h.LeftSeconds, strings.Join(h.Ends, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%ds\t%s\n", h.Content, h.Team, h.RemainingSeconds, strings.Join(h.Crashes, ", "))
 	}
 	w.Flush()
 }
--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -22,22 +22,22 @@
 
 // AgentOptions are the settings of an agent.
 type AgentOptions struct {
-	Common
-	Services      []string
-	BytesPerToken int
-	BufferBytes   int
-	OrphanGrace   time.Duration
-	Retain        time.Duration
-	EngineGrace   time.Duration
-	Policy        sched.Config
+	CommonOptions
+	Services          []string
+	BytesPerToken     int
+	BufferBytes       int
+	OrphanGracePeriod time.Duration
+	RetentionPeriod   time.Duration
+	EngineGracePeriod time.Duration
+	Policy            sched.Config
 }
 
-// DefaultAgent fills in the settings that a test or the all-in-one program
+// DefaultAgentOptions fills in the settings that a test or the all-in-one program
 // does not care about.
-func DefaultAgent(c Common) AgentOptions {
+func DefaultAgentOptions(c CommonOptions) AgentOptions {
 	return AgentOptions{
-		Common: c, BytesPerToken: 4, BufferBytes: 256 << 10,
-		OrphanGrace: 15 * time.Second, Retain: time.Minute, EngineGrace: 10 * time.Second,
+		CommonOptions: c, BytesPerToken: 4, BufferBytes: 256 << 10,
+		OrphanGracePeriod: 15 * time.Second, RetentionPeriod: time.Minute, EngineGracePeriod: 10 * time.Second,
 	}
 }
 
@@ -68,15 +68,15 @@
 // answered.
 func StartAgent(ctx context.Context, o AgentOptions, b Backend, p Platform, network wire.Network, log logrus.FieldLogger) (*Agent, error) {
 	c := dig.New()
-	if err := provide(c, o.Common, p, log, network); err != nil {
+	if err := provide(c, o.CommonOptions, p, log, network); err != nil {
 		return nil, err
 	}
 	err := provideAll(c, []any{
-		func(p Platform) *lease.Fence { return lease.NewFence(p.Table, entry.OrderLease(o.Name)) },
+		func(p Platform) *lease.Fence { return lease.NewFence(p.Table, entry.OrderLeaseName(o.Name)) },
 		func(s *confsync.Syncer, fence *lease.Fence, log logrus.FieldLogger, rec *metrics.Recorder) *agent.Agent {
 			return agent.New(agent.Config{
 				Identity: o.Identity(), BytesPerToken: o.BytesPerToken, BufferBytes: o.BufferBytes,
-				OrphanGracePeriod: o.OrphanGrace, RetentionPeriod: o.Retain, EngineGracePeriod: o.EngineGrace,
+				OrphanGracePeriod: o.OrphanGracePeriod, RetentionPeriod: o.RetentionPeriod, EngineGracePeriod: o.EngineGracePeriod,
 				TickInterval: agentTick, Workers: agentWorkers, Policy: o.Policy, Services: o.Services,
 			}, agent.Deps{Engine: b.Engine, Service: b.Service, Sync: s, Fence: fence, Log: log, Observer: rec})
 		},
@@ -103,7 +103,7 @@
 	if err != nil {
 		return errors.Wrap(err, "inner address")
 	}
-	rec.Policy(r.Agent.Stats)
+	rec.ExportScheduler(r.Agent.Stats)
 	r.inner = wire.NewServer(inner, r.Agent.Handle)
 	ready := func() bool { return !r.Agent.Leaving() && r.Sync.Ready() }
 	if r.admin, err = startAdmin(o.AdminAddress, network, rec, ready, &r.wg); err != nil {
--- a/internal/changewire/changewire_test.go
+++ b/internal/changewire/changewire_test.go
@@ -62,11 +62,11 @@
 	head, parts, err := Encode(ch, atOnce)
 	require.NoError(t, err)
 	require.Len(t, parts, int(head.GetParts()))
-	access, err := Access(head)
+	access, err := DecodeHead(head)
 	require.NoError(t, err)
 	u := begun(t, access)
 	for _, part := range parts {
-		require.NoError(t, Add(u, part))
+		require.NoError(t, ApplyPart(u, part))
 	}
 	return u.Change
 }
@@ -136,10 +136,10 @@
 func BenchmarkDecode(b *testing.B) {
 	head, parts, _ := Encode(drawn(1400), atOnce)
 	for b.Loop() {
-		ch, _ := Access(head)
+		ch, _ := DecodeHead(head)
 		u := begun(b, ch)
 		for _, part := range parts {
-			Add(u, part)
+			ApplyPart(u, part)
 		}
 	}
 }
@@ -152,16 +152,16 @@
 	corpus.Add(head.GetAccess(), parts[1])
 	corpus.Add([]byte{}, []byte{})
 	corpus.Add([]byte{0x03, 0x00}, parts[0])
-	corpus.Grow()
+	corpus.AddMutations()
 	f.Fuzz(func(t *testing.T, access, part []byte) {
-		ch, err := Access(&peerv1.Change{Version: 2, Access: access})
+		ch, err := DecodeHead(&peerv1.Change{Version: 2, Access: access})
 		if err != nil {
 			return
 		}
 		r := routing.NewReplica()
 		u, err := r.Begin(ch)
 		require.NoError(t, err)
-		if Add(u, part) == nil {
+		if ApplyPart(u, part) == nil {
 			r.Commit(u)
 		}
 	})
--- a/internal/confsync/confsync_test.go
+++ b/internal/confsync/confsync_test.go
@@ -31,7 +31,7 @@
 		flush := http.NewResponseController(w)
 		for len(value) > 0 {
 			n := min(len(value), 4<<10)
-			link.Pass(n)
+			link.Transfer(n)
 			if _, err := w.Write(value[:n]); err != nil {
 				return
 			}
@@ -64,7 +64,7 @@
 	const thinMbps = 1
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := New(Config{Poll: poll, Stale: time.Minute}, replica, conf.NewStore(table, slowObjects(t, table, standin.NewLink(thinMbps))), log)
+	s := New(Config{PollInterval: poll, StaleAfter: time.Minute}, replica, conf.NewStore(table, slowObjects(t, table, standin.NewLink(thinMbps))), log)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go s.Run(ctx)
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -86,12 +86,12 @@
 	return app.Platform{Table: s.Table, Objects: s.Table, VMs: s.Table}
 }
 
-func common(o Options, name string, i int, inner string) app.Common {
+func common(o Options, name string, i int, inner string) app.CommonOptions {
 	level := "error"
 	if o.Verbose {
 		level = "debug"
 	}
-	return app.Common{
+	return app.CommonOptions{
 		Name: name, FailureDomain: domains[i%len(domains)], InnerAddress: inner,
 		ConfigPoll: time.Second, ConfigStale: 30 * time.Second, LogLevel: level, LogFormat: "text",
 	}
@@ -102,11 +102,11 @@
 	if err != nil {
 		return err
 	}
-	opts := app.DefaultAgent(common(o, name, i, inner))
+	opts := app.DefaultAgentOptions(common(o, name, i, inner))
 	if b.Service != nil {
 		opts.Services = []string{serves}
 	}
-	a, err := app.StartAgent(context.Background(), opts, b, s.platform(), wire.TCP{}, app.NewLog(opts.Common))
+	a, err := app.StartAgent(context.Background(), opts, b, s.platform(), wire.TCP{}, app.NewLog(opts.CommonOptions))
 	if err != nil {
 		return err
 	}
@@ -126,12 +126,12 @@
 	if err != nil {
 		return err
 	}
-	opts := app.DefaultEntry(common(o, fmt.Sprintf("entry-%d", i), i, inner))
+	opts := app.DefaultEntryOptions(common(o, fmt.Sprintf("entry-%d", i), i, inner))
 	opts.CallerAddress = "127.0.0.1:0"
 	opts.AdminAddress = admin
-	opts.Heartbeat = 200 * time.Millisecond
-	opts.ListEvery = time.Second
-	var log logrus.FieldLogger = app.NewLog(opts.Common)
+	opts.HeartbeatInterval = 200 * time.Millisecond
+	opts.ListInterval = time.Second
+	var log logrus.FieldLogger = app.NewLog(opts.CommonOptions)
 	s.Table.PutVM(vmlist.VM{Name: opts.Name, Address: inner, FailureDomain: opts.FailureDomain, Role: vmlist.RoleEntry})
 	e, err := app.StartEntry(opts, s.platform(), wire.TCP{}, log)
 	if err != nil {
@@ -139,7 +139,7 @@
 	}
 	s.entries = append(s.entries, e)
 	s.admin = admin
-	conn, err := app.DialGRPC(e.Callers)
+	conn, err := app.DialGRPC(e.CallerAddress)
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 }
 
 // CallerAddress is where callers and operators connect.
-func (s *System) CallerAddress() string { return s.entries[len(s.entries)-1].Callers }
+func (s *System) CallerAddress() string { return s.entries[len(s.entries)-1].CallerAddress }
 
 // AdminAddress is where metrics and reports are served.
 func (s *System) AdminAddress() string { return s.admin }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -26,21 +26,21 @@
 	}
 }
 
-// ListPerVM stretches the time between two looks at the list with its length.
+// ListIntervalPerVM stretches the time between two looks at the list with its length.
 // The list of the target size has some 80 KB; read every 5 s, it would take the
 // whole of a node's bound for control. Heartbeats tell of leaving servers
 // meanwhile, so only the discovery of new ones slows down, to half a minute.
-const ListPerVM = 25 * time.Millisecond
+const ListIntervalPerVM = 25 * time.Millisecond
 
 func (e *Entry) listPause() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.cfg.ListEvery, time.Duration(len(e.listed))*ListPerVM)
+	return max(e.cfg.ListInterval, time.Duration(len(e.listed))*ListIntervalPerVM)
 }
 
 // Refresh reads the VM list once and watches the peers it gives.
 func (e *Entry) Refresh(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, e.cfg.ListEvery)
+	ctx, cancel := context.WithTimeout(ctx, e.cfg.ListInterval)
 	defer cancel()
 	vms, err := e.vms.ListVMs(ctx)
 	if err != nil {
@@ -55,7 +55,7 @@
 	e.listed = listed
 	e.writers = chooseWriters(listed)
 	e.mu.Unlock()
-	e.links.Set(e.choose(listed))
+	e.links.SetPeers(e.choose(listed))
 }
 
 // choose picks the peers to watch: for each model a bounded subset of the
@@ -80,7 +80,7 @@
 			names[it.Name] = true
 		}
 	}
-	add(entries, e.cfg.Peers)
+	add(entries, e.cfg.EntryLinks)
 	for _, name := range chooseWriters(listed) {
 		if name != e.cfg.Identity.Name {
 			names[name] = true
@@ -138,13 +138,13 @@
 		Models:          hb.GetModels(),
 		Adapters:        hb.GetAdapters(),
 		Leaving:         hb.GetLeaving() || vm.Leaving,
-		Connected:       st.Connected && st.Age < staleBeat,
-		Age:             st.Age,
+		Connected:       st.Connected && st.HeartbeatAge < staleBeat,
+		Age:             st.HeartbeatAge,
 		Running:         int(hb.GetLoad().GetRunning()),
 		Queued:          int(hb.GetLoad().GetQueued()),
 		MemoryForecast:  hb.GetLoad().GetMemoryForecast(),
 		MemoryTotal:     hb.GetLoad().GetMemoryCapacity(),
-		SentSinceReport: st.Sent,
+		SentSinceReport: st.SentSinceHeartbeat,
 	}, true
 }
 
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -111,7 +111,7 @@
 // would leave a change that nobody can read. With a witness in a second domain
 // a peer can pass it on, whatever single domain is lost.
 func (e *Entry) spread(ctx context.Context, version uint64) *kingcupv1.ApplyResponse {
-	ctx, cancel := context.WithTimeout(ctx, e.cfg.SpreadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, e.cfg.PropagationTimeout)
 	defer cancel()
 	links := e.links.All()
 	held := make(chan *link.Link, len(links))
@@ -193,7 +193,7 @@
 	st := l.Status()
 	hb := st.Heartbeat
 	out.Connected = st.Connected
-	out.HeartbeatAgeMs = uint64(st.Age.Milliseconds())
+	out.HeartbeatAgeMs = uint64(st.HeartbeatAge.Milliseconds())
 	if hb == nil {
 		return out
 	}
@@ -221,7 +221,7 @@
 	if req.GetVerb() == kingcupv1.OrderVerb_ORDER_VERB_UNSPECIFIED || req.GetModel() == "" {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_INVALID, 0, "an order needs a verb and a model")
 	}
-	name := OrderLease(req.GetBackendServer())
+	name := OrderLeaseName(req.GetBackendServer())
 	held, err := e.leases.Acquire(ctx, name)
 	if err != nil {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_CONFLICT, storeRetry, "%v", err)
@@ -238,8 +238,8 @@
 	return &kingcupv1.OrderResponse{Term: held.Term, Outcome: kingcupv1.Outcome_OUTCOME_ANSWERED}, nil
 }
 
-// OrderLease is the name of the lease that orders to a backend server need.
-func OrderLease(server string) string {
+// OrderLeaseName is the name of the lease that orders to a backend server need.
+func OrderLeaseName(server string) string {
 	return "order/" + server
 }
 
--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -60,7 +60,7 @@
 // limitWindow after a time.
 func maxArrivals(srv *fleet.Server, from time.Time) (maxCount int) {
 	var at []time.Time
-	for _, a := range srv.Arrived() {
+	for _, a := range srv.Arrivals() {
 		if !a.At.Before(from) {
 			at = append(at, a.At)
 		}
@@ -79,10 +79,10 @@
 func TestLimitedServersGetTheirLimitFromAllGateways(t *testing.T) {
 	s := newSystem(t)
 	limits := map[*fleet.Server]float64{
-		s.server(fleet.DeskService, fleet.Behaviour{}): 2.3,
-		s.server(fleet.DeskService, fleet.Behaviour{}): 3.9,
+		s.server(fleet.DeskService, fleet.Behavior{}): 2.3,
+		s.server(fleet.DeskService, fleet.Behavior{}): 3.9,
 	}
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range gateways {
 		n.eventually(func() bool {
@@ -91,7 +91,7 @@
 	}
 	callRepeatedly(gateways, 1, time.Second, plain(fleet.OncePath))
 	for srv, limit := range limits {
-		srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(limit)})
+		srv.SetBehavior(fleet.Behavior{Headers: fleet.RateLimitHeaders(limit)})
 	}
 	limitedAt := time.Now()
 	_, refused := callRepeatedly(gateways, 1, limitWindow+time.Second, plain(fleet.OncePath))
@@ -107,7 +107,7 @@
 // requests. The store has no information about rate limits.
 func TestRateLimitIsPropagatedAtOnce(t *testing.T) {
 	s := newSystem(t)
-	srv := s.server(fleet.DeskService, fleet.Behaviour{})
+	srv := s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range gateways {
 		n.eventually(func() bool {
@@ -124,10 +124,10 @@
 		}
 		t.Fatalf("not known to all within %v", propagationTarget)
 	}
-	srv.SetBehaviour(fleet.Behaviour{Says: fleet.NamesLimit(20)})
+	srv.SetBehavior(fleet.Behavior{Headers: fleet.RateLimitHeaders(20)})
 	require.Equal(t, http.StatusOK, gateways[0].do(plain(fleet.OncePath)).status)
 	waitKnown(1)
-	srv.SetBehaviour(fleet.Behaviour{})
+	srv.SetBehavior(fleet.Behavior{})
 	gateways[0].eventually(func() bool {
 		gateways[0].do(plain(fleet.OncePath))
 		return gateways[0].registry.CountRateLimited() == 0
@@ -137,7 +137,7 @@
 
 // countArrivals counts the requests that reached a server after a time.
 func countArrivals(srv *fleet.Server, from time.Time) (n int) {
-	for _, a := range srv.Arrived() {
+	for _, a := range srv.Arrivals() {
 		if a.At.After(from) {
 			n++
 		}
@@ -150,8 +150,8 @@
 // the server is ready.
 func TestServerThatSaysItIsLeavingGetsNothingNew(t *testing.T) {
 	s := newSystem(t)
-	leaves := s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	leaves := s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range gateways {
 		n.eventually(func() bool {
@@ -159,18 +159,18 @@
 		}, "listed")
 	}
 	s.fleet.Store.SetFault(fleet.Reset)
-	leaves.Say(fleet.SaysLeaving())
-	before := len(leaves.Arrived())
+	leaves.SetHeaders(fleet.LeavingHeaders())
+	before := len(leaves.Arrivals())
 	gateways[0].eventually(func() bool {
 		require.Equal(t, http.StatusOK, gateways[0].do(plain(fleet.OpenPath)).status)
-		return len(leaves.Arrived()) > before
+		return len(leaves.Arrivals()) > before
 	}, "the server got a request")
 	reportedAt := time.Now()
 	requestAll(t, gateways[:1], propagationTarget, plain(fleet.OpenPath))
 	require.Zero(t, countArrivals(leaves, reportedAt), "from the gateway that got the response")
 	requestAll(t, gateways, time.Second, plain(fleet.OpenPath))
 	require.Zero(t, countArrivals(leaves, reportedAt.Add(propagationTarget)), "from any")
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	leaves.Heartbeat()
 	requestAll(t, gateways, time.Second, plain(fleet.OpenPath))
 	require.Zero(t, countArrivals(leaves, reportedAt.Add(propagationTarget)), "after a stale entry")
@@ -182,25 +182,25 @@
 func TestServerThatAsksForBackoffGetsNoRequests(t *testing.T) {
 	const backoff = 2 * time.Second
 	s := newSystem(t)
-	busy := s.server(fleet.DeskService, fleet.Behaviour{Full: true, Says: fleet.AsksForRest(backoff)})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	busy := s.server(fleet.DeskService, fleet.Behavior{RejectAll: true, Headers: fleet.BackoffHeaders(backoff)})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i, n := range gateways {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 		c := plain(fleet.OncePath).with("X-Kingcupplank-Attempt-Id", fmt.Sprint("of vm-", i+1))
-		before := len(busy.Arrived())
+		before := len(busy.Arrivals())
 		n.eventually(func() bool {
 			require.Equal(t, http.StatusOK, n.do(c).status)
-			return len(busy.Arrived()) > before
+			return len(busy.Arrivals()) > before
 		}, "refused")
-		refusedAt := busy.Arrived()[before].At
+		refusedAt := busy.Arrivals()[before].At
 		requestAll(t, []*testGateway{n}, backoff-time.Since(refusedAt)-100*time.Millisecond, c)
-		for _, a := range busy.Arrived()[before+1:] {
+		for _, a := range busy.Arrivals()[before+1:] {
 			require.False(t, a.At.Sub(refusedAt) < backoff, "got a request %v after it refused one", a.At.Sub(refusedAt))
 		}
 	}
-	busy.SetBehaviour(fleet.Behaviour{})
-	served := len(busy.Seen())
+	busy.SetBehavior(fleet.Behavior{})
+	served := len(busy.Executions())
 	requestAll(t, gateways, backoff, plain(fleet.OncePath))
-	require.Greater(t, len(busy.Seen()), served, "used again")
+	require.Greater(t, len(busy.Executions()), served, "used again")
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -17,7 +17,7 @@
 
 // benchGateway starts two gateways and the servers of a service, and returns the first
 // gateway.
-func benchGateway(b *testing.B, service string, behaviour fleet.Behaviour) *testGateway {
+func benchGateway(b *testing.B, service string, behaviour fleet.Behavior) *testGateway {
 	s := newSystem(b)
 	for range benchServers {
 		s.server(service, behaviour)
@@ -59,12 +59,12 @@
 // BenchmarkPlainRequest measures a plain request and its response, including the simulated
 // callers and servers.
 func BenchmarkPlainRequest(b *testing.B) {
-	runRequests(b, benchGateway(b, fleet.DeskService, fleet.Behaviour{}), plain(fleet.SafePath))
+	runRequests(b, benchGateway(b, fleet.DeskService, fleet.Behavior{}), plain(fleet.SafePath))
 }
 
 // BenchmarkGeneration measures a generation of 100 events, including the simulated callers
 // and servers.
 func BenchmarkGeneration(b *testing.B) {
-	n := benchGateway(b, fleet.ModelService, fleet.Behaviour{Events: 100, EventEvery: time.Millisecond})
+	n := benchGateway(b, fleet.ModelService, fleet.Behavior{Events: 100, EventInterval: time.Millisecond})
 	runRequests(b, n, generation(fleet.PlanPath))
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -176,7 +176,7 @@
 	if head.GetVersion() == head.GetBase() {
 		return nil
 	}
-	ch, err := changewire.Access(head)
+	ch, err := changewire.DecodeHead(head)
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 	if t.update == nil {
 		return changewire.ErrMalformed
 	}
-	return changewire.Add(t.update, part)
+	return changewire.ApplyPart(t.update, part)
 }
 
 // Errors of a fetch.
@@ -208,7 +208,7 @@
 	if !ok {
 		return nil, nil, errTableUnknown
 	}
-	if s.sink.Unreadable() {
+	if s.sink.IsNewestUnreadable() {
 		return nil, nil, errConfigUnreadable
 	}
 	if s.replica.Version() < req.GetVersion() {
@@ -237,7 +237,7 @@
 	if ch == nil {
 		return encodedChange{head: &peerv1.Change{Base: version, Version: version}}, nil
 	}
-	head, parts, err := changewire.Encode(ch, wait.Breathe)
+	head, parts, err := changewire.Encode(ch, wait.YieldCPU)
 	if err != nil {
 		return encodedChange{}, err
 	}
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -26,15 +26,15 @@
 // in cordonedDomain.
 func twoDomainSystem(t *testing.T) (s *system, cordonedServers []*fleet.Server) {
 	s = newSystem(t)
-	add := func(service, zone string, b fleet.Behaviour) *fleet.Server {
+	add := func(service, zone string, b fleet.Behavior) *fleet.Server {
 		srv, err := s.fleet.Add(service, zone, b)
 		require.NoError(t, err)
 		return srv
 	}
-	short := fleet.Behaviour{Events: 3, EventEvery: time.Millisecond}
+	short := fleet.Behavior{Events: 3, EventInterval: time.Millisecond}
 	for range 2 {
-		cordonedServers = append(cordonedServers, add(fleet.DeskService, cordonedDomain, fleet.Behaviour{}), add(fleet.ModelService, cordonedDomain, short))
-		add(fleet.DeskService, otherDomain, fleet.Behaviour{})
+		cordonedServers = append(cordonedServers, add(fleet.DeskService, cordonedDomain, fleet.Behavior{}), add(fleet.ModelService, cordonedDomain, short))
+		add(fleet.DeskService, otherDomain, fleet.Behavior{})
 		add(fleet.ModelService, otherDomain, short)
 	}
 	return s, cordonedServers
@@ -70,7 +70,7 @@
 func requireUnused(t *testing.T, servers []*fleet.Server, since time.Time) {
 	t.Helper()
 	for _, srv := range servers {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			require.False(t, seen.At.After(since), "%s got %s %v after the bound", srv.ID, seen.Target, seen.At.Sub(since))
 		}
 	}
@@ -80,7 +80,7 @@
 func requireUsed(t *testing.T, servers []*fleet.Server, since time.Time) {
 	t.Helper()
 	for _, srv := range servers {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if seen.At.After(since) {
 				return
 			}
@@ -147,13 +147,13 @@
 	for _, n := range gateways {
 		n.waitForAllServers()
 	}
-	copied := s.fleet.Store.Copy()
+	copied := s.fleet.Store.Backup()
 	s.fleet.Cordon(cordonedDomain)
 	cordonedAt := time.Now()
 	requestAllKinds(t, gateways, cordonTarget)
 	s.restoreStore(copied)
 	requestAllKinds(t, gateways, time.Second)
-	s.fleet.Rewrite(func() { time.Sleep(50 * time.Millisecond) })
+	s.fleet.RewriteRows(func() { time.Sleep(50 * time.Millisecond) })
 	requestAllKinds(t, gateways, 500*time.Millisecond)
 	requireUnused(t, cordonedServers, cordonedAt.Add(cordonTarget))
 	s.fleet.Uncordon(cordonedDomain)
@@ -170,7 +170,7 @@
 	for _, n := range gateways {
 		n.waitForAllServers()
 	}
-	s.fleet.Store.SetSlow("op", 2*time.Second)
+	s.fleet.Store.SetReadDelay("op", 2*time.Second)
 	s.fleet.Store.Compact()
 	s.fleet.Cordon(cordonedDomain)
 	cordonedAt := time.Now()
@@ -182,8 +182,8 @@
 // Guards against a caller waiting for servers that are all in cordoned domains.
 func TestServiceInCordonedDomainsIsRefusedAtOnce(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.ModelService, fleet.Behaviour{Events: 3})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.ModelService, fleet.Behavior{Events: 3})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Cordon("zone-1")
@@ -205,7 +205,7 @@
 func TestStreamInACordonedDomainContinues(t *testing.T) {
 	s := newSystem(t)
 	const events = 60
-	srv := s.server(fleet.ModelService, fleet.Behaviour{Events: events, EventEvery: 20 * time.Millisecond})
+	srv := s.server(fleet.ModelService, fleet.Behavior{Events: events, EventInterval: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -49,31 +49,31 @@
 	if *drillGateways == manyGateways {
 		s.peerLinks = fewLinks
 	}
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	var gateways []*testGateway
-	var copied *fleet.Copy
+	var copied *fleet.Backup
 	kept := *drillGateways * *drillKeptPercent / 100
 	for i := range *drillGateways {
 		if i == kept {
-			copied = s.fleet.Store.Copy()
+			copied = s.fleet.Store.Backup()
 		}
 		gateways = append(gateways, s.gateway(fmt.Sprintf("vm-%03d", i)))
 	}
 	if copied == nil {
-		copied = s.fleet.Store.Copy()
+		copied = s.fleet.Store.Backup()
 	}
 	s.fleet.Configure("second")
 	time.Sleep(readersSettleTime)
 	outage := countStoreCalls(gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillOutage)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	restore := countStoreCalls(gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillOutage)
 		s.fleet.Store.Restore(copied)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	t.Logf("%d gateways: %d calls after an outage, %d after a restore that lost %d rows", len(gateways), outage, restore, len(gateways)-kept)
 	require.LessOrEqual(t, restore, 2*outage+len(gateways)-kept)
@@ -105,7 +105,7 @@
 	for _, n := range gateways {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				status, _, err := fleet.CallAs(ctx, n.callers, fleet.OncePath, fleet.As{ID: fleet.NextID(), Key: "second"})
+				status, _, err := fleet.CallWith(ctx, n.callers, fleet.OncePath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"})
 				if ctx.Err() != nil {
 					return
 				}
@@ -120,7 +120,7 @@
 		})
 		wg.Go(func() {
 			last := time.Time{}
-			fleet.StreamAs(ctx, n.callers, fleet.PlanPath, fleet.As{ID: fleet.NextID(), Key: "second"}, func(string) {
+			fleet.StreamWith(ctx, n.callers, fleet.PlanPath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"}, func(string) {
 				mu.Lock()
 				defer mu.Unlock()
 				if now := time.Now(); !last.IsZero() {
@@ -141,15 +141,15 @@
 func TestRestoreAffectsCallersNoMoreThanAnOutage(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	var gateways []*testGateway
 	for i := range 4 {
 		gateways = append(gateways, s.gateway(fmt.Sprint("vm-", i)))
 	}
-	copied := s.fleet.Store.Copy()
-	desk := s.server(fleet.DeskService, fleet.Behaviour{})
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	copied := s.fleet.Store.Backup()
+	desk := s.server(fleet.DeskService, fleet.Behavior{})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	s.fleet.Configure("second")
 	for _, n := range gateways {
 		n.eventually(func() bool {
@@ -159,13 +159,13 @@
 	outage := measureCallers(t, gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillOutage)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	restore := measureCallers(t, gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillOutage)
 		s.fleet.Store.Restore(copied)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 		time.Sleep(drillOutage)
 		desk.Heartbeat()
 		engine.Heartbeat()
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -16,11 +16,11 @@
 const restoreOutage = 300 * time.Millisecond
 
 // restoreStore has an outage of the store that ends with its restore from a copy.
-func (s *system) restoreStore(c *fleet.Copy) {
+func (s *system) restoreStore(c *fleet.Backup) {
 	s.fleet.Store.SetFault(fleet.Reset)
 	time.Sleep(restoreOutage)
 	s.fleet.Store.Restore(c)
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 }
 
 // statusWithKey returns the status of a plain request with a key.
@@ -35,9 +35,9 @@
 // usual time, not only once the revisions exceed those from before the restore.
 func TestConfigurationAfterStoreRestore(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -65,27 +65,27 @@
 // the one that joined, and not to the one that left, whatever the copy says.
 func TestServersAfterStoreRestore(t *testing.T) {
 	s := newSystem(t)
-	leaving := s.server(fleet.DeskService, fleet.Behaviour{})
+	leaving := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.statusWithKey(fleet.Key) == http.StatusOK }, "served")
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
-	joined := s.server(fleet.DeskService, fleet.Behaviour{})
-	n.eventually(func() bool { n.statusWithKey(fleet.Key); return len(joined.Seen()) > 0 }, "the server that joined")
-	leaving.Leave()
+	joined := s.server(fleet.DeskService, fleet.Behavior{})
+	n.eventually(func() bool { n.statusWithKey(fleet.Key); return len(joined.Executions()) > 0 }, "the server that joined")
+	leaving.RemoveEntry()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has left")
-	seen := len(leaving.Seen())
+	seen := len(leaving.Executions())
 	s.restoreStore(c)
 	time.AfterFunc(time.Second, func() {
-		leaving.Leave()
+		leaving.RemoveEntry()
 		joined.Heartbeat()
 	})
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(10 * time.Millisecond) {
 		require.Equal(t, http.StatusOK, n.statusWithKey(fleet.Key))
 	}
-	require.Equal(t, seen, len(leaving.Seen()), "sent to a server that has left")
+	require.Equal(t, seen, len(leaving.Executions()), "sent to a server that has left")
 }
 
 // The rows that gateways write themselves are lost with the store's last seconds: those by
@@ -94,7 +94,7 @@
 func TestOwnRowsAreRewrittenAfterStoreRestore(t *testing.T) {
 	s := newSystem(t)
 	crashes := s.startCrashingEngines(5)
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i := 0; len(crashes.times()) < 3; i++ {
 		gateways[i%2].generate(fleet.PlanPath, crashingBody)
@@ -125,9 +125,9 @@
 // has seen before, must be in force there as well, and a revoked key stays refused.
 func TestGatewayWithoutStoreLearnsNewEraFromPeers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -154,9 +154,9 @@
 // The other gateways know the newer version; this one must not accept that key.
 func TestStartingGatewayRefusesRevokedKeysOfRestoredStore(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
@@ -176,9 +176,9 @@
 // version.
 func TestGatewayThatStartsTrustsNoKeyBeforePeersAnswer(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
@@ -201,10 +201,10 @@
 // continue to their end.
 func TestStreamsContinueThroughStoreRestore(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
-	c := s.fleet.Store.Copy()
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 150, EventEvery: 20 * time.Millisecond})
+	c := s.fleet.Store.Backup()
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 150, EventInterval: 20 * time.Millisecond})
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan response, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
@@ -221,8 +221,8 @@
 // operator has written again.
 func TestAllGatewaysStartDuringStoreRestore(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	c := s.fleet.Store.Copy()
+	s.server(fleet.DeskService, fleet.Behavior{})
+	c := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -236,7 +236,7 @@
 	}
 	time.Sleep(restoreOutage)
 	s.fleet.Store.Restore(c)
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	s.fleet.Configure("third")
 	written := time.Now()
 	for _, n := range gateways {
@@ -252,9 +252,9 @@
 // written in between is lost.
 func TestRepeatedStoreRestores(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
@@ -282,12 +282,12 @@
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(restoreOutage)
 		restore()
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 		calls := s.fleet.Store.Calls()
 		time.Sleep(5 * time.Second)
 		return s.fleet.Store.Calls() - calls
 	}
-	c := s.fleet.Store.Copy()
+	c := s.fleet.Store.Backup()
 	outage := callsAfter(func() {})
 	restored := callsAfter(func() { s.fleet.Store.Restore(c) })
 	t.Logf("calls in 5 s: %d after an outage, %d after a restore", outage, restored)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -344,7 +344,7 @@
 func (g *Gateway) Stop() {
 	begun := time.Now()
 	g.stopping.Store(true)
-	g.callers.Stop()
+	g.callers.StartDraining()
 	g.group.announceStop()
 	g.relay.SetShutdown(begun.Add(g.settings.Load().Bounds.Shutdown-killMargin), begun.Add(g.opts.ShutdownDelay-lastAcceptMargin))
 	g.log.WithField("in_progress", g.relay.InProgress()).Info("stopping")
@@ -356,7 +356,7 @@
 		}
 	}
 	unfinished := g.relay.InProgress()
-	g.callers.Finish(lastWriteTimeout)
+	g.callers.Shutdown(lastWriteTimeout)
 	g.cancel()
 	g.log.WithField("in_progress", unfinished).Info("stopped")
 }
@@ -373,7 +373,7 @@
 	}
 	g.registry.SetDomainRegions(platform.Regions)
 	g.store.SetAddress(platform.Store)
-	g.store.SetLink(platform.LinkMbps)
+	g.store.SetBandwidth(platform.LinkMbps)
 	g.relay.Configure(relayConfig(platform))
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(platform.MemoryBytes)))
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -14,14 +14,14 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-var slowStream = fleet.Behaviour{Events: 60, EventEvery: 20 * time.Millisecond}
+var slowStream = fleet.Behavior{Events: 60, EventInterval: 20 * time.Millisecond}
 
 // Each kind of request reaches a server, with the headers that a server may see and no
 // others.
 func TestEachKindIsServed(t *testing.T) {
 	s := newSystem(t)
-	desk := s.server(fleet.DeskService, fleet.Behaviour{})
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 3})
+	desk := s.server(fleet.DeskService, fleet.Behavior{})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 3})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 
@@ -29,7 +29,7 @@
 	require.Equal(t, http.StatusOK, r.status)
 	require.Equal(t, "answer of "+desk.ID, r.body)
 	require.Equal(t, "seal-"+desk.ID, r.header.Get("X-Kingcupplank-Response-Seal"))
-	seen := desk.Seen()
+	seen := desk.Executions()
 	last := seen[len(seen)-1]
 	require.Equal(t, fleet.SafePath+"?q=%2F1", last.Target)
 	require.Equal(t, "b", last.Body)
@@ -42,14 +42,14 @@
 	r = n.do(generation(fleet.PlanPath))
 	require.NoError(t, r.err)
 	require.Equal(t, eventsText(1, 3), r.body)
-	require.Equal(t, "m", engine.Seen()[0].Header.Get("X-Kingcupplank-Model-Id"))
+	require.Equal(t, "m", engine.Executions()[0].Header.Get("X-Kingcupplank-Model-Id"))
 }
 
 // A header that callers may not set must not reach a server: the request could reserve, pin
 // or take over KV cache, or resume another request's run.
 func TestForgedHeadersStayOutside(t *testing.T) {
 	s := newSystem(t)
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 2})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 2})
 	n := s.gateway("vm-1")
 	forged := []string{"X-Kingcupplank-Kv-Hold", "X-Kingcupplank-Pin-Ms", "X-Kingcupplank-Kv-Backup", "Kv-From", "Kv-Fetch", "X-Kingcupplank-Expect-Version"}
 	r := generation(fleet.PlanPath).with("Connection", "X-Kingcupplank-Model-Id")
@@ -57,7 +57,7 @@
 		r = r.with(name, "forged")
 	}
 	n.eventually(func() bool { return n.do(r).status == http.StatusOK }, "served")
-	h := engine.Seen()[0].Header
+	h := engine.Executions()[0].Header
 	for _, name := range forged {
 		require.Empty(t, h.Get(name), name)
 	}
@@ -67,7 +67,7 @@
 // An invalid request gets the right status and doesn't affect other requests.
 func TestWrongRequests(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	for name, c := range map[string]struct {
@@ -103,14 +103,14 @@
 	n.eventually(func() bool { return first.Running() == 1 }, "running")
 	second := s.server(fleet.ModelService, b)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
-	first.Drain(true)
+	first.StartDraining(true)
 	time.AfterFunc(700*time.Millisecond, first.Kill)
 	r := <-got
 	require.NoError(t, r.err)
 	require.Equal(t, eventsText(1, b.Events), r.body)
 	require.Equal(t, "seal-"+first.ID, r.header.Get("X-Kingcupplank-Response-Seal"))
-	require.Len(t, second.Seen(), 1)
-	require.NotEmpty(t, second.Seen()[0].Header.Get("Kv-From"))
+	require.Len(t, second.Executions(), 1)
+	require.NotEmpty(t, second.Executions()[0].Header.Get("Kv-From"))
 }
 
 // The same while the store is unavailable: only the engine itself reports that it is
@@ -128,7 +128,7 @@
 	s.server(fleet.ModelService, b)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
 	s.fleet.Store.SetFault(fleet.Reset)
-	first.Drain(false)
+	first.StartDraining(false)
 	time.AfterFunc(3*time.Second, first.Kill)
 	r := <-got
 	require.NoError(t, r.err)
@@ -139,19 +139,19 @@
 // requests from then on.
 func TestLeavingServersGetNothingNew(t *testing.T) {
 	s := newSystem(t)
-	a := s.server(fleet.DeskService, fleet.Behaviour{})
-	b := s.server(fleet.DeskService, fleet.Behaviour{})
-	c := s.server(fleet.DeskService, fleet.Behaviour{})
+	a := s.server(fleet.DeskService, fleet.Behavior{})
+	b := s.server(fleet.DeskService, fleet.Behavior{})
+	c := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
-	a.Drain(true)
-	b.Leave()
+	a.StartDraining(true)
+	b.RemoveEntry()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "left")
 	for range 20 {
 		require.Equal(t, "answer of "+c.ID, n.do(plain(fleet.OncePath)).body)
 	}
-	require.Empty(t, a.Seen())
-	require.Empty(t, b.Seen())
+	require.Empty(t, a.Executions())
+	require.Empty(t, b.Executions())
 }
 
 // The store compacts its history while a gateway cannot reach it, and servers leave in that
@@ -159,15 +159,15 @@
 // of the feed mentions them.
 func TestChangesDuringLostFeedHistoryAreApplied(t *testing.T) {
 	s := newSystem(t)
-	a := s.server(fleet.DeskService, fleet.Behaviour{})
-	b := s.server(fleet.DeskService, fleet.Behaviour{})
+	a := s.server(fleet.DeskService, fleet.Behavior{})
+	b := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 	n.door.SetFault(fleet.Busy)
 	time.Sleep(1500 * time.Millisecond)
-	a.Drain(true)
+	a.StartDraining(true)
 	s.fleet.Store.Compact()
-	n.door.SetFault(fleet.Sound)
+	n.door.SetFault(fleet.NoFault)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "seen")
 	require.Equal(t, "answer of "+b.ID, n.do(plain(fleet.OncePath)).body)
 }
@@ -176,13 +176,13 @@
 // use, also in the two seconds in which they register again.
 func TestServersStayInUseWhenEntriesExpireInAnOutage(t *testing.T) {
 	s := newSystem(t)
-	a := s.server(fleet.DeskService, fleet.Behaviour{})
+	a := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OpenPath)).status == http.StatusOK }, "served")
 	s.fleet.Store.SetFault(fleet.Busy)
 	time.Sleep(3 * time.Second)
-	a.Leave()
-	s.fleet.Store.SetFault(fleet.Sound)
+	a.RemoveEntry()
+	s.fleet.Store.SetFault(fleet.NoFault)
 	n.eventually(n.isReady, "ready again")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 0 }, "removed")
@@ -192,7 +192,7 @@
 // store. The peer passes the revocation on, and the key is refused here within the bound.
 func TestPeerPropagatesKeyRevocation(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	a.eventually(func() bool { return len(a.group.links.LiveStates()) == 1 && len(b.group.links.LiveStates()) == 1 }, "linked")
 	a.eventually(func() bool { return a.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
@@ -213,7 +213,7 @@
 // could outlive its bound; once the store is back they are trusted at once.
 func TestKeysAreNotTrustedThroughAnOutage(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Store.SetFault(fleet.Silent)
@@ -222,7 +222,7 @@
 	r := n.do(plain(fleet.OncePath))
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.NotEmpty(t, r.header.Get("Retry-After"))
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	back := time.Now()
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 	require.Less(t, time.Since(back), 2500*time.Millisecond)
@@ -231,7 +231,7 @@
 // A new version with an additional route is in force at every gateway within seconds.
 func TestNewVersionIsInForceEverywhere(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	require.Equal(t, http.StatusNotFound, gateways[0].do(plain("/extra/a")).status)
 	s.fleet.Configure(fleet.Key, "/extra/")
@@ -260,7 +260,7 @@
 // working on the request.
 func TestServerStopsWhenTheCallerLeaves(t *testing.T) {
 	s := newSystem(t)
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
@@ -270,7 +270,7 @@
 	require.Eventually(t, func() bool { return engine.Running() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
 	n.eventually(func() bool { return n.relay.InProgress() == 0 }, "no request in progress")
 
-	engine.SetBehaviour(fleet.Behaviour{Delay: time.Minute})
+	engine.SetBehavior(fleet.Behavior{Delay: time.Minute})
 	c = n.dial()
 	c.send(generation(fleet.PlanPath))
 	n.eventually(func() bool { return engine.Waiting() == 1 }, "waiting")
@@ -282,7 +282,7 @@
 // that doesn't claim that the request was not run.
 func TestFinalAnswerAtTheRoutesTimeout(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{Delay: time.Minute})
+	s.server(fleet.DeskService, fleet.Behavior{Delay: time.Minute})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 	begun := time.Now()
@@ -309,11 +309,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSystem(t)
-			s.server(fleet.DeskService, fleet.Behaviour{Raw: func(c net.Conn, _ *http.Request) { raw(c) }})
+			s.server(fleet.DeskService, fleet.Behavior{Raw: func(c net.Conn, _ *http.Request) { raw(c) }})
 			n := s.gateway("vm-1")
 			n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "listed")
 			require.Equal(t, http.StatusBadGateway, n.do(plain(fleet.OncePath)).status)
-			good := s.server(fleet.DeskService, fleet.Behaviour{})
+			good := s.server(fleet.DeskService, fleet.Behavior{})
 			n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
 			for range 10 {
 				r := n.do(plain(fleet.SafePath))
@@ -331,7 +331,7 @@
 	answer := func(id, body string) string {
 		return "HTTP/1.1 200 OK\r\nX-Kingcupplank-Attempt-Id: " + id + "\r\nX-Kingcupplank-Response-Seal: s\r\nContent-Length: 3\r\n\r\n" + body
 	}
-	s.server(fleet.DeskService, fleet.Behaviour{Raw: func(c net.Conn, r *http.Request) {
+	s.server(fleet.DeskService, fleet.Behavior{Raw: func(c net.Conn, r *http.Request) {
 		id := r.Header.Get("X-Kingcupplank-Attempt-Id")
 		c.Write([]byte(answer(id, "one")))
 		buf := make([]byte, 4096)
@@ -355,7 +355,7 @@
 func TestShutdownCompletesRequestsInProgress(t *testing.T) {
 	s := newSystem(t)
 	engine := s.server(fleet.ModelService, slowStream)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	kept := n.dial()
@@ -384,7 +384,7 @@
 // delaying callers. The peers only get its revision, and fetch the change by other means.
 func TestLongPagesAreNotPassedOn(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 1
 	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	for _, n := range gateways {
@@ -405,10 +405,10 @@
 // runs. Both take effect without a restart.
 func TestReloadedSettingsTakeEffect(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
-	door, err := s.fleet.Store.Open()
+	door, err := s.fleet.Store.AddEndpoint()
 	require.NoError(t, err)
 	changed := *n.settings.Load()
 	changed.Store, changed.Bounds.Revoke = door.Address, 2*time.Second
@@ -424,7 +424,7 @@
 // and the request no longer counts as in progress.
 func TestIncompleteRequestBodyTimesOut(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	c := n.dial()
@@ -439,8 +439,8 @@
 // for lack of a server. So it is only ready when it has read both.
 func TestGatewayIsReadyOnceItKnowsTheServers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.fleet.Store.SetSlow("servers", 400*time.Millisecond)
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.fleet.Store.SetReadDelay("servers", 400*time.Millisecond)
 	n := s.gateway("vm-1")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
 }
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -39,7 +39,7 @@
 // nothing can have come from there.
 func TestThinVMNeedsNoRowFromTheStore(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 200
 	prefixes := extraPrefixes(2600 + 1400)
 	s.fleet.Configure(fleet.Key, prefixes[:2600]...)
@@ -58,7 +58,7 @@
 // from the store itself, and no caller is refused meanwhile.
 func TestVersionIsReadFromTheStoreIfPeersFail(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	announcing := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
 	last := s.gateway("vm-c")
 	waitUntilLinked(announcing[0], announcing[1], last)
@@ -74,7 +74,7 @@
 // force there for the newest: keys are not trusted beyond their bound.
 func TestUnreadableVersionIsNotConfirmedByPeers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	waitUntilLinked(gateways...)
 	s.fleet.Store.PutBytes("op", "config", []byte("{"))
@@ -89,7 +89,7 @@
 // reads it at its own pace.
 func TestPagesAreShortEnoughForTheThinnestLink(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 1000
 	fast := s.gateway("vm-a")
 	page := func(size int) follow.SharedPage {
--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -21,7 +21,7 @@
 // version, while a grown configuration arrives.
 func TestGrownConfigurationIsInForceOnThinVMs(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 200
 	fast := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
 	slow, _ := s.gatewayOnLink("vm-c", 10)
@@ -51,19 +51,19 @@
 // needs.
 func TestLoneVMReadsAGrownConfigurationOnce(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	lone, link := s.gatewayOnLink("vm-a", 40)
-	before := link.Passed()
+	before := link.Transferred()
 	prefixes := extraPrefixes(16000)
 	s.fleet.Configure(fleet.Key, prefixes...)
-	size := int64(s.fleet.Store.Size("op", "config"))
+	size := int64(s.fleet.Store.EncodedSize("op", "config"))
 	// Responses without changes have some hundred bytes.
-	lone.eventually(func() bool { return link.Passed()-before > size/100 }, "the row begins to come in")
+	lone.eventually(func() bool { return link.Transferred()-before > size/100 }, "the row begins to come in")
 	begun := time.Now()
-	lone.eventually(func() bool { return link.Passed()-before > size }, "the row has come in")
+	lone.eventually(func() bool { return link.Transferred()-before > size }, "the row has come in")
 	// busy is the extra time that a busy machine may take.
 	const busy = 700 * time.Millisecond
-	require.Less(t, time.Since(begun), link.Takes(size*5/4)+busy)
+	require.Less(t, time.Since(begun), link.TransferTime(size*5/4)+busy)
 	lone.eventually(func() bool { return lone.do(plain(prefixes[0]+"a")).status == http.StatusOK }, "the newest version is in force")
-	require.LessOrEqual(t, float64(link.Passed()-before), 1.2*float64(size), "bytes read again")
+	require.LessOrEqual(t, float64(link.Transferred()-before), 1.2*float64(size), "bytes read again")
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -36,7 +36,7 @@
 	return s
 }
 
-func (s *system) server(service string, b fleet.Behaviour) *fleet.Server {
+func (s *system) server(service string, b fleet.Behavior) *fleet.Server {
 	s.t.Helper()
 	srv, err := s.fleet.Add(service, "zone-1", b)
 	require.NoError(s.t, err)
@@ -50,7 +50,7 @@
 	t       testing.TB
 	callers string
 	ready   string
-	door    *fleet.Door
+	door    *fleet.Endpoint
 }
 
 // testBounds are short to keep the tests short.
@@ -63,16 +63,16 @@
 // runtime's memory limit is one per process.
 const testMemory = 8 << 30
 
-func (s *system) settings(name string) (*settings.Settings, *fleet.Door) {
+func (s *system) settings(name string) (*settings.Settings, *fleet.Endpoint) {
 	s.t.Helper()
-	door, err := s.fleet.Store.Open()
+	door, err := s.fleet.Store.AddEndpoint()
 	require.NoError(s.t, err)
-	ip, port, err := net.SplitHostPort(standin.OwnAddress())
+	ip, port, err := net.SplitHostPort(standin.UniqueAddress())
 	require.NoError(s.t, err)
 	peers, err := strconv.Atoi(port)
 	require.NoError(s.t, err)
 	return &settings.Settings{
-		VM: name, FailureDomain: "zone-1", IP: ip, Callers: standin.OwnAddress(), Ready: standin.OwnAddress(),
+		VM: name, FailureDomain: "zone-1", IP: ip, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(),
 		PeerPorts: [2]int{peers, peers}, Store: door.Address, MemoryBytes: testMemory, MaxFiles: 1000, LinkMbps: s.linkMbps,
 		ServerHeartbeat: time.Second, Bounds: testBounds,
 	}, door
@@ -95,7 +95,7 @@
 	return s.start(set, door), link
 }
 
-func (s *system) start(set *settings.Settings, door *fleet.Door) *testGateway {
+func (s *system) start(set *settings.Settings, door *fleet.Endpoint) *testGateway {
 	s.t.Helper()
 	n := s.launch(set, door)
 	n.eventually(n.isReady, "ready")
@@ -103,7 +103,7 @@
 }
 
 // launch starts a gateway without waiting until it is ready.
-func (s *system) launch(set *settings.Settings, door *fleet.Door) *testGateway {
+func (s *system) launch(set *settings.Settings, door *fleet.Endpoint) *testGateway {
 	s.t.Helper()
 	log := logging.New(io.Discard, logrus.InfoLevel)
 	opts := DefaultOptions()
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -21,7 +21,7 @@
 func TestServerBehindAPartitionCostsFewRequests(t *testing.T) {
 	s := newSystem(t)
 	var proxies []*soak.Proxy
-	s.fleet.Via = func(address string) (string, error) {
+	s.fleet.AddProxy = func(address string) (string, error) {
 		p, err := soak.NewProxy(address)
 		if err == nil {
 			proxies = append(proxies, p)
@@ -29,11 +29,13 @@
 		}
 		return p.Address, err
 	}
-	b := fleet.Behaviour{Delay: 20 * time.Millisecond}
+	b := fleet.Behavior{Delay: 20 * time.Millisecond}
 	partitioned := s.server(fleet.DeskService, b)
 	s.server(fleet.DeskService, b)
 	n := s.gateway("vm-1")
-	n.eventually(func() bool { return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(partitioned.Seen()) > 0 }, "both serve")
+	n.eventually(func() bool {
+		return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(partitioned.Executions()) > 0
+	}, "both serve")
 	proxies[0].Set(soak.Silent)
 	for range 5 {
 		a := n.do(plain(fleet.OncePath))
@@ -51,19 +53,19 @@
 	}
 	require.LessOrEqual(t, lost, 3)
 	proxies[0].Set(soak.Pass)
-	seen := len(partitioned.Seen())
+	seen := len(partitioned.Executions())
 	// A server that has failed is only tried again when the others are busy.
 	var callers sync.WaitGroup
 	until := time.Now().Add(8 * time.Second)
 	for range concurrentCallers {
 		callers.Go(func() {
-			for time.Now().Before(until) && len(partitioned.Seen()) < seen+concurrentCallers {
+			for time.Now().Before(until) && len(partitioned.Executions()) < seen+concurrentCallers {
 				n.do(plain(fleet.SafePath))
 			}
 		})
 	}
 	callers.Wait()
-	require.GreaterOrEqual(t, len(partitioned.Seen()), seen+concurrentCallers, "not used again")
+	require.GreaterOrEqual(t, len(partitioned.Executions()), seen+concurrentCallers, "not used again")
 }
 
 // concurrentCallers is how many callers send requests at once: more than one server answers
@@ -74,7 +76,7 @@
 // again. None of them may be ready, or serve a caller, with the version before.
 func TestWholeRestartServesTheNewestVersion(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	names := []string{"vm-a", "vm-b", "vm-c"}
 	var gateways []*testGateway
 	for _, name := range names {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -74,7 +74,7 @@
 	g.quarantine = newSharedQuarantine(g)
 	g.setFetchHandler(g.serveFetch)
 	g.cordons = cordon.New(g.applyCordons)
-	g.config = &configSharing{group: g, replica: replica, sink: operator.NewSink(replica, g.cordons, clock.SinceBoot, wait.Breathe, log)}
+	g.config = &configSharing{group: g, replica: replica, sink: operator.NewSink(replica, g.cordons, clock.SinceBoot, wait.YieldCPU, log)}
 	var d net.Dialer
 	g.links = peers.New(self, peers.Deps{
 		Dial:  func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) },
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -323,7 +323,7 @@
 type adminQuarantine struct{ *sharedQuarantine }
 
 // Held implements admin.Quarantine.
-func (q adminQuarantine) Held() (out []admin.Held) {
+func (q adminQuarantine) Held() (out []admin.QuarantinedRequest) {
 	now, known := q.group.role.storeTime()
 	if !known {
 		return nil
@@ -332,7 +332,7 @@
 	defer q.mu.Unlock()
 	for _, r := range q.tracker.List(1) {
 		if left, quarantined := q.tracker.Quarantined(r.ID, now); quarantined {
-			out = append(out, admin.Held{Content: r.String(), Team: r.Team, Ends: describeCrashes(r), LeftSeconds: int(left.Seconds())})
+			out = append(out, admin.QuarantinedRequest{Content: r.String(), Team: r.Team, Crashes: describeCrashes(r), RemainingSeconds: int(left.Seconds())})
 		}
 	}
 	return out
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -29,9 +29,9 @@
 
 // crashingEngine is an engine that crashes under crashing requests, shortly after their
 // first event.
-var crashingEngine = fleet.Behaviour{
-	Events: 5, EventEvery: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
-	EndsUnder: crashingBody, EndsAfter: 50 * time.Millisecond,
+var crashingEngine = fleet.Behavior{
+	Events: 5, EventInterval: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
+	CrashOn: crashingBody, CrashDelay: 50 * time.Millisecond,
 }
 
 // crashLog records when engines crashed under requests.
@@ -55,7 +55,7 @@
 // startCrashingEngines starts engines that crash under crashing requests.
 func (s *system) startCrashingEngines(n int) *crashLog {
 	log := &crashLog{}
-	s.fleet.Ended = log.record
+	s.fleet.OnCrash = log.record
 	for range n {
 		s.server(fleet.ModelService, crashingEngine)
 	}
@@ -65,7 +65,7 @@
 // arrivalTimes lists when servers got requests whose body contains a text.
 func (s *system) arrivalTimes(text string) (at []time.Time) {
 	for _, srv := range s.fleet.Servers() {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if strings.Contains(seen.Body, text) {
 				at = append(at, seen.At)
 			}
@@ -77,9 +77,9 @@
 
 // generate sends a generation with a body as a new attempt, and returns the status.
 func (n *testGateway) generate(path, body string) int {
-	as := fleet.As{ID: fleet.NextID(), Key: fleet.Key, Body: body}
+	as := fleet.CallerRequest{ID: fleet.NextID(), Key: fleet.Key, Body: body}
 	// The error that cuts a response off doesn't matter here.
-	status, _ := fleet.StreamAs(context.Background(), n.callers, path, as, func(string) {})
+	status, _ := fleet.StreamWith(context.Background(), n.callers, path, as, func(string) {})
 	return status
 }
 
@@ -177,7 +177,7 @@
 		require.Equal(t, content, adminQuarantine{n.group.quarantine}.Held()[0].Content)
 	}
 	for _, srv := range s.fleet.Servers() {
-		srv.SetBehaviour(fleet.Behaviour{Events: 3})
+		srv.SetBehavior(fleet.Behavior{Events: 3})
 	}
 	require.False(t, adminQuarantine{gateways[0].group.quarantine}.Lift("no such content"))
 	require.True(t, adminQuarantine{gateways[0].group.quarantine}.Lift(content))
@@ -216,7 +216,7 @@
 	sent, served := 0, 0
 	for i, begun := 0, time.Now(); time.Since(begun) < 10*time.Second; i++ {
 		at := crashes.times()
-		counts := len(at) >= 3 && time.Since(at[2]) > s.fleet.BackAfter+quarantineTarget
+		counts := len(at) >= 3 && time.Since(at[2]) > s.fleet.ReplacementDelay+quarantineTarget
 		wg.Go(func() {
 			ok := gateways[i%3].generate(fleet.CheckPath, fmt.Sprint("own-", i)) == http.StatusOK
 			mu.Lock()
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -19,7 +19,7 @@
 // request there.
 func TestGatewaysWithQueuesTakeTurns(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.ModelService, fleet.Behaviour{})
+	s.server(fleet.ModelService, fleet.Behavior{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	require.Nil(t, a.group.Turns(fleet.ModelService, 0))
 	a.group.ReportQueue(fleet.ModelService, flow.Contender{Waiting: 3, Rank: 1, WaitingAtRank: 3})
@@ -52,7 +52,7 @@
 // used there, so that all of them can tell that it is above its share.
 func TestGatewaysShareTeamUsage(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.ModelService, fleet.Behaviour{})
+	s.server(fleet.ModelService, fleet.Behavior{})
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	a.group.ReportUsage(fleet.ModelService, []flow.Usage{{Team: "large", Amount: 5000}})
 	b.eventually(func() bool {
@@ -69,8 +69,8 @@
 // gateway must avoid the server without losing requests of its own.
 func TestLostRequestsAreReportedToPeers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b"), s.gateway("vm-c")}
 	for _, n := range gateways {
 		n.eventually(func() bool {
@@ -106,8 +106,8 @@
 // first one that does reports it to the others.
 func TestDownServerIsReportedToPeers(t *testing.T) {
 	s := newSystem(t)
-	down := s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	down := s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
 	for _, n := range gateways {
 		n.eventually(func() bool {
@@ -132,7 +132,7 @@
 func TestReportOfALeavingServerReachesAll(t *testing.T) {
 	s := newSystem(t)
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	for _, n := range gateways {
 		n.eventually(func() bool {
 			return len(n.group.links.LiveStates()) == 2 && n.registry.CountReady(fleet.ModelService) == 1
@@ -144,7 +144,7 @@
 	s.fleet.Store.SetFault(fleet.Busy)
 	gateways[0].eventually(gateways[0].directory.IsUnavailable, "the store is unavailable")
 	left := time.Now()
-	engine.Drain(true)
+	engine.StartDraining(true)
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 0 }, "reported")
 	}
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -15,7 +15,7 @@
 // its entry appears, on new connections.
 func TestServerThatStartsAgainServesAtOnce(t *testing.T) {
 	s := newSystem(t)
-	desk := s.server(fleet.DeskService, fleet.Behaviour{})
+	desk := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	desk.Kill()
@@ -27,7 +27,7 @@
 	begun := time.Now()
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 	require.Less(t, time.Since(begun), time.Second)
-	require.NotEmpty(t, restarted.Seen())
+	require.NotEmpty(t, restarted.Executions())
 }
 
 // A server becomes unreachable without a reset and starts again under its id. Its stream
@@ -36,12 +36,12 @@
 // keep-alive probes give up.
 func TestStreamOfAnEarlierIncarnationEnds(t *testing.T) {
 	s := newSystem(t)
-	engine := s.server(fleet.ModelService, fleet.Behaviour{Events: 1000, EventEvery: 20 * time.Millisecond})
+	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	n := s.gateway("vm-1")
 	done := make(chan response, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
-	engine.Darken()
+	engine.Hang()
 	_, err := s.fleet.Restart(engine)
 	require.NoError(t, err)
 	select {
@@ -56,14 +56,14 @@
 // server is available, and are served again after the server's next heartbeat.
 func TestServerWithInvalidEntryGetsNoRequests(t *testing.T) {
 	s := newSystem(t)
-	desk := s.server(fleet.DeskService, fleet.Behaviour{})
+	desk := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
 	s.fleet.Store.PutBytes("servers", desk.ID, []byte(`{"service":"desk","state":"gone fishing"}`))
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusServiceUnavailable }, "refused")
-	seen := len(desk.Seen())
+	seen := len(desk.Executions())
 	require.Equal(t, http.StatusServiceUnavailable, n.do(plain(fleet.OncePath)).status)
-	require.Len(t, desk.Seen(), seen)
+	require.Len(t, desk.Executions(), seen)
 	desk.Heartbeat()
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 }
@@ -72,7 +72,7 @@
 // engine with the standby copy of the run's KV cache, and nothing twice.
 func TestLongAnswerOutlivesAKilledEngine(t *testing.T) {
 	s := newSystem(t)
-	b := fleet.Behaviour{Events: 60, EventEvery: 20 * time.Millisecond}
+	b := fleet.Behavior{Events: 60, EventInterval: 20 * time.Millisecond}
 	engines := []*fleet.Server{s.server(fleet.ModelService, b), s.server(fleet.ModelService, b)}
 	n := s.gateway("vm-1")
 	done := make(chan response, 1)
@@ -98,7 +98,7 @@
 // give up.
 func TestLongAnswerOutlivesASilentEngine(t *testing.T) {
 	s := newSystem(t)
-	b := fleet.Behaviour{Events: 60, EventEvery: 20 * time.Millisecond}
+	b := fleet.Behavior{Events: 60, EventInterval: 20 * time.Millisecond}
 	engines := []*fleet.Server{s.server(fleet.ModelService, b), s.server(fleet.ModelService, b)}
 	n := s.gateway("vm-1")
 	begun := time.Now()
@@ -107,7 +107,7 @@
 	time.Sleep(300 * time.Millisecond)
 	for _, e := range engines {
 		if e.Running() == 1 {
-			e.Darken()
+			e.Hang()
 			break
 		}
 	}
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 		parts = append(parts, part)
-		wait.Breathe()
+		wait.YieldCPU()
 	}
 	return parts, nil
 }
@@ -157,7 +157,7 @@
 func (g *group) positionMessages() (out []*peerv1.Position) {
 	for table, f := range g.followers {
 		p, ok := f.Position()
-		if !ok || table == g.config.table() && g.config.sink.Unreadable() {
+		if !ok || table == g.config.table() && g.config.sink.IsNewestUnreadable() {
 			continue
 		}
 		out = append(out, &peerv1.Position{Table: table, Changed: p.Changed.Wire(), Revision: p.Revision.Wire(), ClockMs: p.Clock.Milliseconds()})
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -27,8 +27,8 @@
 func startPartialMesh(t *testing.T) (*system, []*testGateway) {
 	s := newSystem(t)
 	s.peerLinks = fewLinks
-	s.server(fleet.DeskService, fleet.Behaviour{})
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	var gateways []*testGateway
 	for i := range manyGateways {
 		gateways = append(gateways, s.gateway(fmt.Sprintf("vm-%02d", i)))
@@ -94,12 +94,12 @@
 			n.door.SetFault(fleet.Reset)
 		}
 	}
-	leaving := s.server(fleet.DeskService, fleet.Behaviour{})
+	leaving := s.server(fleet.DeskService, fleet.Behavior{})
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 3 }, "listed")
 	}
 	begun := time.Now()
-	leaving.Drain(true)
+	leaving.StartDraining(true)
 	s.fleet.Configure("another key")
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "left")
@@ -164,7 +164,7 @@
 	time.Sleep(outage)
 	calls := s.fleet.Store.Calls() - before
 	require.Less(t, calls, 40*int(outage.Seconds()), "two tables, 20 tries a second in all")
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 	}
@@ -179,7 +179,7 @@
 // to a peer that reports a position ahead.
 func TestPeerAheadIsAskedBesideStaleAnnouncers(t *testing.T) {
 	s := newSystem(t)
-	s.server(fleet.DeskService, fleet.Behaviour{})
+	s.server(fleet.DeskService, fleet.Behavior{})
 	stale := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
 	ahead, last := s.gateway("vm-c"), s.gateway("vm-d")
 	waitUntilLinked(stale[0], stale[1], ahead, last)
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -74,9 +74,9 @@
 	return v.dial(ctx, v.from, address)
 }
 
-// Part breaks the connections between places for which parted is true, and
+// Partition breaks the connections between places for which parted is true, and
 // refuses new ones until it is called with nil.
-func (n *Network) Part(parted func(a, b string) bool) {
+func (n *Network) Partition(parted func(a, b string) bool) {
 	n.mu.Lock()
 	n.parted = parted
 	var broken []*conn
@@ -122,8 +122,8 @@
 	return nil, errors.Wrap(ErrRefused, address)
 }
 
-// Cut breaks all connections to an address and refuses new ones until Heal.
-func (n *Network) Cut(address string) {
+// Disconnect breaks all connections to an address and refuses new ones until Heal.
+func (n *Network) Disconnect(address string) {
 	n.mu.Lock()
 	h := n.host(address)
 	h.cut = true
@@ -144,8 +144,8 @@
 	n.host(address).stalled = true
 }
 
-// Heal ends a cut and a stall.
-func (n *Network) Heal(address string) {
+// Restore ends a cut and a stall.
+func (n *Network) Restore(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := n.host(address)
--- a/internal/proof/config_test.go
+++ b/internal/proof/config_test.go
@@ -102,7 +102,7 @@
 			}
 		})
 	}
-	s.table.LoseAnswers(1, 2)
+	s.table.LoseCommitResponses(1, 2)
 	wg.Wait()
 	time.Sleep(7 * time.Second)
 	close(stop)
@@ -202,7 +202,7 @@
 		require.True(t, s.entries[0].Entry.Ready())
 		s.table.SetOutage(true)
 		for _, n := range s.nodes {
-			s.net.Cut(n.opts.InnerAddress)
+			s.net.Disconnect(n.opts.InnerAddress)
 		}
 		time.Sleep(25 * time.Second)
 		require.False(t, s.entries[0].Entry.Ready())
@@ -248,7 +248,7 @@
 			virtual(t, func(t *testing.T) {
 				s := newSystem(t, setup{entries: 2, servers: 1, checksTerm: checks})
 				defer s.close()
-				paused, err := lease.NewManager(s.table, "paused", 5*time.Second).Acquire(t.Context(), entry.OrderLease("server-0"))
+				paused, err := lease.NewManager(s.table, "paused", 5*time.Second).Acquire(t.Context(), entry.OrderLeaseName("server-0"))
 				require.NoError(t, err)
 				time.Sleep(6 * time.Second)
 				require.False(t, paused.Valid(time.Now()))
@@ -272,7 +272,7 @@
 			s := newSystem(t, setup{entries: 2, servers: 1})
 			defer s.close()
 			before := s.entries[0].Sync.Replica().Version()
-			s.table.LoseAnswers(lost.before, lost.after)
+			s.table.LoseCommitResponses(lost.before, lost.after)
 			out := s.change(0, before, "lost", 3)
 			require.Equal(t, casOut{kingcupv1.Outcome_OUTCOME_ANSWERED, before + 1}, out)
 			time.Sleep(7 * time.Second)
@@ -292,14 +292,14 @@
 		for _, n := range s.nodes {
 			if n.opts.FailureDomain != domains[0] {
 				others = append(others, n.opts.InnerAddress)
-				s.net.Cut(n.opts.InnerAddress)
+				s.net.Disconnect(n.opts.InnerAddress)
 			}
 		}
 		resp, err := s.operator(0).Apply(t.Context(), &kingcupv1.ApplyRequest{ChangeId: "x", Puts: []*kingcupv1.Row{teamRow(team, 9)}})
 		require.NoError(t, err)
 		require.False(t, resp.GetSpread())
 		for _, address := range others {
-			s.net.Heal(address)
+			s.net.Restore(address)
 		}
 		time.Sleep(7 * time.Second)
 		for _, n := range s.nodes {
--- a/internal/proof/process_test.go
+++ b/internal/proof/process_test.go
@@ -68,7 +68,7 @@
 	conns []grpc.ClientConnInterface
 }
 
-func freePort(*testing.T) string { return standin.OwnAddress() }
+func freePort(*testing.T) string { return standin.UniqueAddress() }
 
 func newProcesses(t *testing.T) *processes {
 	dir, err := binaries()
@@ -139,7 +139,7 @@
 	}
 	p.configure(conns)
 	p.conns = conns
-	return client.New(client.Options{Refusals: 100, Resumes: 200, ResumeEvery: 50 * time.Millisecond}, conns...)
+	return client.New(client.Options{MaxRetries: 100, MaxResumes: 200, ResumeInterval: 50 * time.Millisecond}, conns...)
 }
 
 // until repeats f until it succeeds; the bound only ends a broken run.
@@ -239,7 +239,7 @@
 	frozen := make(chan error, 1)
 	go func() { frozen <- order(0, "old") }()
 	until(t, "lease taken", func() bool {
-		term, err := lease.ReadTerm(t.Context(), p.tableClient(), entry.OrderLease("server-0"))
+		term, err := lease.ReadTerm(t.Context(), p.tableClient(), entry.OrderLeaseName("server-0"))
 		return err == nil && term == 1
 	})
 	p.signal("entry-0", syscall.SIGSTOP)
--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -28,8 +28,8 @@
 // nameLimit has a server say that it takes few requests.
 func nameLimit(s *Soak, _ context.Context) (string, func()) {
 	srv, limit := s.drawServer(), float64(s.intN(40))
-	srv.Say(fleet.NamesLimit(limit))
-	return fmt.Sprintf("limit of %v a second at %s", limit, srv.ID), func() { srv.Say(nil) }
+	srv.SetHeaders(fleet.RateLimitHeaders(limit))
+	return fmt.Sprintf("limit of %v a second at %s", limit, srv.ID), func() { srv.SetHeaders(nil) }
 }
 
 // sayLeaving has a server say in its answers only that it is leaving, and end some time later.
@@ -38,10 +38,10 @@
 	if srv == nil {
 		return "nothing to end", nil
 	}
-	srv.Say(fleet.SaysLeaving())
+	srv.SetHeaders(fleet.LeavingHeaders())
 	return srv.ID + " says that it is leaving", func() {
 		srv.Kill()
-		srv.Leave()
+		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
@@ -49,7 +49,7 @@
 // tire has a server turn requests away and ask for rest.
 func tire(s *Soak, _ context.Context) (string, func()) {
 	srv, rest := s.drawServer(), s.duration(shortest, longest)
-	undo := srv.Tire(rest)
+	undo := srv.RejectWithBackoff(rest)
 	return fmt.Sprintf("%s asks for %v of rest", srv.ID, rest.Round(time.Millisecond)), undo
 }
 
@@ -73,9 +73,9 @@
 	}
 	limited, leaving, tired := fresh[0], fresh[1], fresh[2]
 	s.press(ctx, adviceBound)
-	limited.Say(fleet.NamesLimit(calmLimit))
-	leaving.Say(fleet.SaysLeaving())
-	tired.Tire(calmRest)
+	limited.SetHeaders(fleet.RateLimitHeaders(calmLimit))
+	leaving.SetHeaders(fleet.LeavingHeaders())
+	tired.RejectWithBackoff(calmRest)
 	named := time.Now()
 	victim := s.nodes[0]
 	time.AfterFunc(adviceBound, func() {
@@ -83,15 +83,15 @@
 		victim.signal(syscall.SIGKILL)
 		victim.restart(ctx, s.Binary, longest)
 	})
-	time.AfterFunc(2*adviceBound, func() { s.fleet.Store.SetFault(fleet.Sound) })
+	time.AfterFunc(2*adviceBound, func() { s.fleet.Store.SetFault(fleet.NoFault) })
 	via := s.press(ctx, adviceBound+limitWindow)
 	if got, most := mostIn(limited, named.Add(adviceBound)), 1.5*calmLimit*limitWindow.Seconds()+5; float64(got) > most {
 		faults = append(faults, fmt.Sprintf("%s names a limit of %v a second and got %d requests in %v", limited.ID, calmLimit, got, limitWindow))
 	}
-	if len(leaving.Arrived()) == 0 {
+	if len(leaving.Arrivals()) == 0 {
 		faults = append(faults, leaving.ID+" was never asked")
 	}
-	for _, a := range leaving.Arrived() {
+	for _, a := range leaving.Arrivals() {
 		// A gateway that starts again knows nothing at first.
 		if late := a.At.Sub(named); late > adviceBound && via[a.ID] != victim {
 			faults = append(faults, fmt.Sprintf("%s got %s %v after it said that it was leaving", leaving.ID, a.ID, late))
@@ -104,7 +104,7 @@
 // rest that it was asked for.
 func checkRest(tired *fleet.Server, via map[string]*gateway, restarted *gateway) (faults []string) {
 	turned := make(map[*gateway]time.Time)
-	for _, a := range tired.Arrived() {
+	for _, a := range tired.Arrivals() {
 		g := via[a.ID]
 		if g == nil || g == restarted {
 			continue
@@ -138,7 +138,7 @@
 
 // mostIn is the most that reached a server in any limitWindow from a time on.
 func mostIn(srv *fleet.Server, from time.Time) (most int) {
-	at := slices.DeleteFunc(srv.Arrived(), func(a fleet.Arrival) bool { return a.At.Before(from) })
+	at := slices.DeleteFunc(srv.Arrivals(), func(a fleet.Arrival) bool { return a.At.Before(from) })
 	for first, i := 0, 0; i < len(at); i++ {
 		for at[i].At.Sub(at[first].At) >= limitWindow {
 			first++
--- a/internal/soak/emptied.go
+++ b/internal/soak/emptied.go
@@ -31,10 +31,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
-		if srv.Zone != emptiedZone {
+		if srv.FailureDomain != emptiedZone {
 			continue
 		}
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if late := seen.At.Sub(asked); late > emptyBound {
 				faults = append(faults, fmt.Sprintf("%s got %s %v after its zone was emptied", srv.ID, seen.ID, late))
 			}
@@ -52,7 +52,7 @@
 	key := s.key
 	s.mu.Unlock()
 	id := fleet.NextID()
-	fleet.CallAs(ctx, g.node.Callers, fleet.SafePath, fleet.As{ID: id, Key: key})
+	fleet.CallWith(ctx, g.node.Callers, fleet.SafePath, fleet.CallerRequest{ID: id, Key: key})
 	go s.generate(g, "after the faults")
 	return id
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -11,7 +11,7 @@
 
 // Attempt is a caller's request and what came of it.
 type Attempt struct {
-	As     fleet.As
+	As     fleet.CallerRequest
 	Path   string
 	Sent   time.Time
 	Status int
@@ -56,14 +56,14 @@
 	defer h.mu.Unlock()
 	ran := make(map[string]*runs)
 	for _, s := range servers {
-		for _, seen := range s.Seen() {
+		for _, seen := range s.Executions() {
 			r := ran[seen.ID]
 			if r == nil {
 				r = &runs{}
 				ran[seen.ID] = r
 			}
 			r.servers = append(r.servers, s.ID)
-			if !seen.Continued {
+			if !seen.FromCopy {
 				r.begun++
 			}
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -126,7 +126,7 @@
 }
 
 func (s *Soak) start() error {
-	s.fleet.Via, s.fleet.Ended, s.fleet.Began = s.via, s.ended, s.began
+	s.fleet.AddProxy, s.fleet.OnCrash, s.fleet.OnReplacement = s.via, s.ended, s.began
 	for range 3 {
 		if _, err := s.add(fleet.ModelService); err != nil {
 			return err
@@ -176,9 +176,9 @@
 func (s *Soak) add(service string) (*fleet.Server, error) { return s.addIn(service, s.zone()) }
 
 func (s *Soak) addIn(service, zone string) (*fleet.Server, error) {
-	b := fleet.Behaviour{}
+	b := fleet.Behavior{}
 	if service == fleet.ModelService {
-		b = fleet.Behaviour{Events: streamEvents, EventEvery: eventEvery, CopyTime: copyTime, EndsUnder: harmfulBody, EndsAfter: endsAfter}
+		b = fleet.Behavior{Events: streamEvents, EventInterval: eventEvery, CopyTime: copyTime, CrashOn: harmfulBody, CrashDelay: endsAfter}
 	}
 	srv, err := s.fleet.Add(service, zone, b)
 	if err != nil {
@@ -202,7 +202,7 @@
 }
 
 func (s *Soak) addGateway(i int) error {
-	door, err := s.fleet.Store.Open()
+	door, err := s.fleet.Store.AddEndpoint()
 	if err != nil {
 		return err
 	}
@@ -235,7 +235,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cmd := exec.Command(binary, "-metrics-port", "0", "-leave", "300ms")
-	cmd.Env = append(os.Environ(), fleet.BootVariable+"="+g.path, "GORACE=halt_on_error=1")
+	cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+g.path, "GORACE=halt_on_error=1")
 	cmd.Stdout, cmd.Stderr = g.log, g.log
 	if err := cmd.Start(); err != nil {
 		return err
@@ -307,12 +307,12 @@
 	s.mu.Lock()
 	key := s.key
 	s.mu.Unlock()
-	a := Attempt{As: fleet.As{ID: fleet.NextID(), Key: key}, Path: path, Sent: time.Now()}
+	a := Attempt{As: fleet.CallerRequest{ID: fleet.NextID(), Key: key}, Path: path, Sent: time.Now()}
 	var err error
 	if a.stream() {
-		a.Status, err = fleet.StreamAs(ctx, g.node.Callers, path, a.As, func(e string) { a.Events = append(a.Events, e) })
+		a.Status, err = fleet.StreamWith(ctx, g.node.Callers, path, a.As, func(e string) { a.Events = append(a.Events, e) })
 	} else {
-		a.Status, a.Body, err = fleet.CallAs(ctx, g.node.Callers, path, a.As)
+		a.Status, a.Body, err = fleet.CallWith(ctx, g.node.Callers, path, a.As)
 	}
 	a.Whole = err == nil
 	s.history.add(a)
@@ -322,7 +322,7 @@
 // settled waits until every gateway serves every kind of request, also on the route that
 // was added last.
 func (s *Soak) settled(ctx context.Context, when string) error {
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	deadline := time.Now().Add(settleTime)
 	s.mu.Lock()
 	for _, p := range s.proxies {
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -24,13 +24,13 @@
 // NewNode gives a gateway addresses of its own.
 func NewNode(name, store string) Node {
 	return Node{
-		Name: name, Callers: standin.OwnAddress(), Ready: standin.OwnAddress(), Peers: standin.OwnAddress(),
+		Name: name, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(), Peers: standin.UniqueAddress(),
 		Store: store, RevokeMs: 5000, LinkMbps: 1000,
 	}
 }
 
-// BootVariable names the settings file to a process.
-const BootVariable = "KINGCUPPLANK_BOOT"
+// SettingsVariable names the settings file to a process.
+const SettingsVariable = "KINGCUPPLANK_BOOT"
 
 // WriteSettings writes the node's settings file.
 func (n Node) WriteSettings(path string) error {
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Seen is a request as a server got it.
-type Seen struct {
+// Execution is a request as a server got it.
+type Execution struct {
 	ID, Method, Target, Body string
 	Header                   http.Header
 	At                       time.Time
-	// Continued says that the request went on from a copy of its run.
-	Continued bool
+	// FromCopy says that the request went on from a copy of its run.
+	FromCopy bool
 }
 
 // Arrival is a request that reached a server, whether it ran or was refused.
@@ -30,9 +30,9 @@
 
 // Server is a backend server: a plain service, or a model engine if Events is set.
 type Server struct {
-	ID, Service, Address, Zone string
-	// Born is the Unix millisecond of its start.
-	Born int64
+	ID, Service, Address, FailureDomain string
+	// StartTime is the Unix millisecond of its start.
+	StartTime int64
 
 	store    *Store
 	http     *http.Server
@@ -44,13 +44,13 @@
 
 	mu sync.Mutex
 	// seen are the requests that it ran, arrived all that were sent to it.
-	seen    []Seen
+	seen    []Execution
 	arrived []Arrival
 	runs    map[string]*run
 	// copies are runs' memories that were moved here or stay after a stop, by
 	// handle.
 	copies map[string]string
-	behave Behaviour
+	behave Behavior
 	state  string
 	// coldUntil is when the server is warm.
 	coldUntil time.Time
@@ -63,32 +63,32 @@
 	waiting atomic.Int64
 }
 
-// Behaviour is how a server answers.
-type Behaviour struct {
+// Behavior is how a server answers.
+type Behavior struct {
 	// Delay is the time before an answer's head.
 	Delay time.Duration
 	// Status replaces 200.
 	Status int
-	// Full refuses everything as not run.
-	Full bool
-	// Says are headers of every answer, refusals too.
-	Says http.Header
+	// RejectAll refuses everything as not run.
+	RejectAll bool
+	// Headers are headers of every answer, refusals too.
+	Headers http.Header
 	// Events is the number of events of a stream, EventEvery the time between two.
-	Events     int
-	EventEvery time.Duration
+	Events        int
+	EventInterval time.Duration
 	// CopyTime is how long a copy of a run takes.
 	CopyTime time.Duration
-	// EndsUnder, if set, has the server end EndsAfter the first byte of its answer to a
+	// CrashOn, if set, has the server end EndsAfter the first byte of its answer to a
 	// request whose body contains it; see Fleet.End.
-	EndsUnder string
-	EndsAfter time.Duration
+	CrashOn    string
+	CrashDelay time.Duration
 	// Raw, if set, answers in the server's place, on the bare connection.
 	Raw func(c net.Conn, r *http.Request)
 }
 
 // endless is the behaviour towards a request that is not answered whole before the server
 // ends under it.
-func (b Behaviour) endless() Behaviour {
+func (b Behavior) endless() Behavior {
 	if b.Events > 0 {
 		b.Events = math.MaxInt
 	} else {
@@ -107,26 +107,26 @@
 func (u *run) halt() { u.once.Do(func() { close(u.stop) }) }
 
 // newServer starts a server and announces it.
-func newServer(f *Fleet, service, zone, id string, b Behaviour) (*Server, error) {
+func newServer(f *Fleet, service, zone, id string, b Behavior) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	address := l.Addr().String()
-	if f.Via != nil {
-		if address, err = f.Via(address); err != nil {
+	if f.AddProxy != nil {
+		if address, err = f.AddProxy(address); err != nil {
 			l.Close()
 			return nil, err
 		}
 	}
-	s := &Server{ID: id, Service: service, Address: address, Zone: zone, Born: time.Now().UnixMilli(), behave: b}
+	s := &Server{ID: id, Service: service, Address: address, FailureDomain: zone, StartTime: time.Now().UnixMilli(), behave: b}
 	s.serve(f, l)
 	return s, nil
 }
 
 // serve begins a life of the server: it knows of no run and no copy.
 func (s *Server) serve(f *Fleet, l net.Listener) {
-	s.store, s.listener, s.peers, s.end = f.Store, l, f.byAddress, f.End
+	s.store, s.listener, s.peers, s.end = f.Store, l, f.byAddress, f.Crash
 	s.runs, s.copies = make(map[string]*run), make(map[string]string)
 	s.state, s.dark = "ready", make(chan struct{})
 	mux := http.NewServeMux()
@@ -146,28 +146,28 @@
 	state, cold := s.state, max(0, time.Until(s.coldUntil))
 	s.mu.Unlock()
 	s.store.Put("servers", s.ID, map[string]any{
-		"service": s.Service, "address": s.Address, "zone": s.Zone, "version": "v1", "slots": 8,
-		"state": state, "coldRemainingMs": cold.Milliseconds(), "sequence": 1, "born": s.Born,
+		"service": s.Service, "address": s.Address, "zone": s.FailureDomain, "version": "v1", "slots": 8,
+		"state": state, "coldRemainingMs": cold.Milliseconds(), "sequence": 1, "born": s.StartTime,
 	})
 }
 
-// Chill makes the server cold for some time from now on; its entry says so.
-func (s *Server) Chill(d time.Duration) {
+// SetColdFor makes the server cold for some time from now on; its entry says so.
+func (s *Server) SetColdFor(d time.Duration) {
 	s.mu.Lock()
 	s.coldUntil = time.Now().Add(d)
 	s.mu.Unlock()
 	s.announce()
 }
 
-// SetBehaviour changes how the server answers from now on.
-func (s *Server) SetBehaviour(b Behaviour) {
+// SetBehavior changes how the server answers from now on.
+func (s *Server) SetBehavior(b Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behave = b
 }
 
-// Drain says that the server is leaving; told says whether its entry does.
-func (s *Server) Drain(told bool) {
+// StartDraining says that the server is leaving; told says whether its entry does.
+func (s *Server) StartDraining(told bool) {
 	s.mu.Lock()
 	s.state = "draining"
 	s.mu.Unlock()
@@ -179,8 +179,8 @@
 // Heartbeat writes the server's entry anew.
 func (s *Server) Heartbeat() { s.announce() }
 
-// Leave drops the server's entry, without another word.
-func (s *Server) Leave() {
+// RemoveEntry drops the server's entry, without another word.
+func (s *Server) RemoveEntry() {
 	s.left.Store(true)
 	s.store.Remove("servers", s.ID)
 }
@@ -202,22 +202,22 @@
 	s.http.Close()
 }
 
-// Darken has the server fall silent: it takes no connection and brings no event, and
+// Hang has the server fall silent: it takes no connection and brings no event, and
 // the connections that it has stay open.
-func (s *Server) Darken() {
+func (s *Server) Hang() {
 	close(s.dark)
 	s.listener.Close()
 }
 
-// Seen lists the requests that the server ran.
-func (s *Server) Seen() []Seen {
+// Executions lists the requests that the server ran.
+func (s *Server) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Seen(nil), s.seen...)
+	return append([]Execution(nil), s.seen...)
 }
 
-// Arrived lists the requests that reached the server, but for those meant for another one.
-func (s *Server) Arrived() []Arrival {
+// Arrivals lists the requests that reached the server, but for those meant for another one.
+func (s *Server) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Arrival(nil), s.arrived...)
@@ -247,8 +247,8 @@
 		return
 	}
 	s.arrive(r)
-	maps.Copy(w.Header(), b.Says)
-	if b.Full {
+	maps.Copy(w.Header(), b.Headers)
+	if b.RejectAll {
 		w.Header().Set("X-Kingcupplank-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -263,9 +263,9 @@
 	}
 	fmt.Sscan(r.Header.Get("Last-Event-Id"), &from)
 	s.mu.Lock()
-	s.seen = append(s.seen, Seen{
+	s.seen = append(s.seen, Execution{
 		ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), Method: r.Method, Target: r.RequestURI,
-		Body: string(body), Header: r.Header.Clone(), At: time.Now(), Continued: r.Header.Get("Kv-From") != "",
+		Body: string(body), Header: r.Header.Clone(), At: time.Now(), FromCopy: r.Header.Get("Kv-From") != "",
 	})
 	s.mu.Unlock()
 	if b.Raw != nil {
@@ -276,8 +276,8 @@
 		}
 		return
 	}
-	if b.EndsUnder != "" && strings.Contains(string(body), b.EndsUnder) {
-		time.AfterFunc(b.Delay+b.EndsAfter, func() { s.end(s) })
+	if b.CrashOn != "" && strings.Contains(string(body), b.CrashOn) {
+		time.AfterFunc(b.Delay+b.CrashDelay, func() { s.end(s) })
 		b = b.endless()
 	}
 	s.answer(w, r, b, from)
@@ -289,7 +289,7 @@
 	s.arrived = append(s.arrived, Arrival{ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), At: time.Now()})
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behaviour, from int) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behavior, from int) {
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
 	select {
@@ -311,7 +311,7 @@
 	s.stream(w, r, b, from)
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, b Behaviour, from int) {
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, b Behavior, from int) {
 	id := r.Header.Get("X-Kingcupplank-Attempt-Id")
 	if backup := s.peers(r.Header.Get("X-Kingcupplank-Kv-Backup")); backup != nil {
 		backup.keep(id)
@@ -345,7 +345,7 @@
 			return
 		case <-r.Context().Done():
 			return
-		case <-time.After(b.EventEvery):
+		case <-time.After(b.EventInterval):
 		}
 	}
 }
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -34,8 +34,8 @@
 
 // The faults of a store.
 const (
-	// Sound answers.
-	Sound Fault = iota
+	// NoFault answers.
+	NoFault Fault = iota
 	// Busy answers 503.
 	Busy
 	// Silent does not answer.
@@ -44,8 +44,8 @@
 	Reset
 )
 
-// Door is an address of the store with faults of its own, as one VM meets them.
-type Door struct {
+// Endpoint is an address of the store with faults of its own, as one VM meets them.
+type Endpoint struct {
 	Address string
 
 	store *Store
@@ -70,7 +70,7 @@
 	// era rises each time that the store comes back from a copy; 0 says nothing of it.
 	era     uint64
 	changed chan struct{}
-	doors   []*Door
+	doors   []*Endpoint
 	calls   int
 	// slow is how long reading a table takes.
 	slow map[string]time.Duration
@@ -90,13 +90,13 @@
 	return s
 }
 
-// Open starts a door on loopback.
-func (s *Store) Open() (*Door, error) {
+// AddEndpoint starts a door on loopback.
+func (s *Store) AddEndpoint() (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{Address: l.Addr().String(), store: s}
+	d := &Endpoint{Address: l.Addr().String(), store: s}
 	d.http = &http.Server{Handler: d}
 	s.mu.Lock()
 	s.doors = append(s.doors, d)
@@ -116,28 +116,28 @@
 }
 
 // SetFault changes what happens to calls, also to those that wait.
-func (d *Door) SetFault(f Fault) {
+func (d *Endpoint) SetFault(f Fault) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	d.fault = f
 }
 
 // Calls is how many calls have come through the door.
-func (d *Door) Calls() int {
+func (d *Endpoint) Calls() int {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	return d.calls
 }
 
 // SetLink gives the answers a link with a rate.
-func (d *Door) SetLink(l *standin.Link) {
+func (d *Endpoint) SetLink(l *standin.Link) {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	d.link = l
 }
 
-// SetSlow changes how long reading a table takes.
-func (s *Store) SetSlow(table string, d time.Duration) {
+// SetReadDelay changes how long reading a table takes.
+func (s *Store) SetReadDelay(table string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow[table] = d
@@ -152,8 +152,8 @@
 	}
 }
 
-// Size is how many bytes a row takes in an answer.
-func (s *Store) Size(table, key string) int {
+// EncodedSize is how many bytes a row takes in an answer.
+func (s *Store) EncodedSize(table, key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return base64.StdEncoding.EncodedLen(len(s.rows[id(table, "", key)].Data))
@@ -173,22 +173,22 @@
 	s.history, s.oldest = nil, s.version
 }
 
-// Copy is what the store held at some time.
-type Copy struct {
+// Backup is what the store held at some time.
+type Backup struct {
 	rows    map[string]Row
 	version uint64
 }
 
-// Copy makes a copy of the store.
-func (s *Store) Copy() *Copy {
+// Backup makes a copy of the store.
+func (s *Store) Backup() *Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &Copy{rows: maps.Clone(s.rows), version: s.version}
+	return &Backup{rows: maps.Clone(s.rows), version: s.version}
 }
 
 // Restore has the store come back from a copy: what was written since is gone, and its
 // versions are given out again.
-func (s *Store) Restore(c *Copy) {
+func (s *Store) Restore(c *Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows, s.version = maps.Clone(c.rows), c.version
@@ -258,7 +258,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := d.store
 	s.mu.Lock()
 	s.calls++
@@ -323,7 +323,7 @@
 func (l *linked) Write(p []byte) (n int, err error) {
 	for len(p) > 0 && err == nil {
 		part := p[:min(len(p), segment)]
-		l.link.Pass(len(part))
+		l.link.Transfer(len(part))
 		var wrote int
 		wrote, err = l.ResponseWriter.Write(part)
 		n, p = n+wrote, p[len(part):]
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -23,8 +23,8 @@
 // it does. A writer that a busy machine wakes late would see a thinner link.
 const catchUp = 20 * time.Millisecond
 
-// Pass waits until n bytes have passed.
-func (l *Link) Pass(n int) {
+// Transfer waits until n bytes have passed.
+func (l *Link) Transfer(n int) {
 	l.mu.Lock()
 	if earliest := time.Now().Add(-catchUp); l.free.Before(earliest) {
 		l.free = earliest
@@ -36,14 +36,14 @@
 	time.Sleep(time.Until(until))
 }
 
-// Passed counts the bytes so far.
-func (l *Link) Passed() int64 {
+// Transferred counts the bytes so far.
+func (l *Link) Transferred() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.passed
 }
 
-// Takes is how long n bytes need on a link that nothing else uses.
-func (l *Link) Takes(n int64) time.Duration {
+// TransferTime is how long n bytes need on a link that nothing else uses.
+func (l *Link) TransferTime(n int64) time.Duration {
 	return time.Duration(float64(n) / l.bytesPerSecond * float64(time.Second))
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -36,9 +36,9 @@
 	s.wg.Wait()
 }
 
-// Table serves the table service and VM list by gRPC and the object store by
+// ServeTable serves the table service and VM list by gRPC and the object store by
 // HTTP, and returns both addresses.
-func (s *Servers) Table(t *tables.Table, address, httpAddress string) (string, string, error) {
+func (s *Servers) ServeTable(t *tables.Table, address, httpAddress string) (string, string, error) {
 	rpc, err := s.grpc(address, func(g *grpc.Server) { platformv1.RegisterTableServiceServer(g, &tables.Server{Table: t}) })
 	if err != nil {
 		return "", "", err
@@ -47,13 +47,13 @@
 	return rpc, web, err
 }
 
-// Engine serves a model engine and returns its address.
-func (s *Servers) Engine(e engine.Engine, address string) (string, error) {
+// ServeEngine serves a model engine and returns its address.
+func (s *Servers) ServeEngine(e engine.Engine, address string) (string, error) {
 	return s.grpc(address, func(g *grpc.Server) { platformv1.RegisterEngineServiceServer(g, &engines.Server{Engine: e}) })
 }
 
-// Service serves a plain service and returns its address.
-func (s *Servers) Service(svc *services.Service, address string) (string, error) {
+// ServeService serves a plain service and returns its address.
+func (s *Servers) ServeService(svc *services.Service, address string) (string, error) {
 	return s.http(address, svc.HTTP)
 }
 
@@ -94,10 +94,10 @@
 // nextPort counts the ports that this process has given out.
 var nextPort atomic.Int64
 
-// OwnAddress is a loopback address that nothing else serves: its IP number is made
+// UniqueAddress is a loopback address that nothing else serves: its IP number is made
 // from the process id. A port found free on a shared address can be taken by
 // another process before it is served.
-func OwnAddress() string {
+func UniqueAddress() string {
 	const first = 20000
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&63, pid>>8&255, pid&255, first+nextPort.Add(1))
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -41,11 +41,11 @@
 
 const openTimeout = 5 * time.Second
 
-// Protocol is the version in every Open; a peer with another one is refused.
-const Protocol = 1
+// ProtocolVersion is the version in every Open; a peer with another one is refused.
+const ProtocolVersion = 1
 
-// ErrProtocol is the refusal of a peer with another version.
-var ErrProtocol = errors.New("peer speaks another protocol version")
+// ErrProtocolVersion is the refusal of a peer with another version.
+var ErrProtocolVersion = errors.New("peer speaks another protocol version")
 
 // Identity is what a process says of itself in every Open.
 type Identity struct {
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, false, errors.Wrap(err, "open stream")
 	}
-	open.Protocol = Protocol
+	open.Protocol = ProtocolVersion
 	open.Peer = s.id.Name
 	open.FailureDomain = s.id.FailureDomain
 	st = newStream(conn)
@@ -162,17 +162,17 @@
 	return s.in.Read(msg)
 }
 
-// RecvWithin reads one frame into msg and gives up when nothing has come in for silence.
+// RecvWithIdleTimeout reads one frame into msg and gives up when nothing has come in for silence.
 // A frame may be a whole configuration: a bound on its time would be one on its size, and
 // over a thin link each try would be given up midway and begun anew.
-func (s *Stream) RecvWithin(msg proto.Message, silence time.Duration) error {
+func (s *Stream) RecvWithIdleTimeout(msg proto.Message, silence time.Duration) error {
 	s.silence.Store(int64(silence))
 	defer s.silence.Store(0)
 	return s.in.Read(msg)
 }
 
-// Fail sends err as the stream's answer.
-func (s *Stream) Fail(err error) error {
+// SendFailure sends err as the stream's answer.
+func (s *Stream) SendFailure(err error) error {
 	return s.Send(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: failure.FromError(err).Proto()}})
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -46,11 +46,11 @@
 // A peer sends a malformed frame, an oversized one, or speaks another version.
 // It must get one clear refusal that says "not run".
 func TestBadPeersAreRefused(t *testing.T) {
-	other, err := proto.Marshal(&innerv1.Open{Protocol: Protocol + 1})
+	other, err := proto.Marshal(&innerv1.Open{Protocol: ProtocolVersion + 1})
 	require.NoError(t, err)
 	for name, raw := range map[string][]byte{
 		"malformed": append(header(3), 0xff, 0xff, 0xff),
-		"oversized": header(mux.MaxFrame + 1),
+		"oversized": header(mux.MaxFrameBytes + 1),
 		"version":   append(header(uint32(len(other))), other...),
 	} {
 		f := talk(t, raw)
@@ -64,7 +64,7 @@
 // the peer falls silent in the middle, the reader must know soon.
 func TestLongFrameIsReadWhileItComesIn(t *testing.T) {
 	const silence, parts = 300 * time.Millisecond, 25
-	frame, err := mux.Frame(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: &kingcupv1.Failure{Detail: string(make([]byte, 5000))}}})
+	frame, err := mux.EncodeFrame(&innerv1.Reply{Kind: &innerv1.Reply_Failure{Failure: &kingcupv1.Failure{Detail: string(make([]byte, 5000))}}})
 	require.NoError(t, err)
 	network := memnet.New()
 	l, err := network.Listen("server")
@@ -87,7 +87,7 @@
 	for version, whole := range []bool{true, false} {
 		st, _, err := sess.Open(&innerv1.Open{Kind: &innerv1.Open_ConfigPull{ConfigPull: &innerv1.ConfigPull{HaveVersion: uint64(version)}}})
 		require.NoError(t, err)
-		err = st.RecvWithin(&innerv1.Reply{}, silence)
+		err = st.RecvWithIdleTimeout(&innerv1.Reply{}, silence)
 		require.Equal(t, whole, err == nil, "version %d: %v", version, err)
 		st.Close()
 	}
