--- a/internal/gateway/advice_test.go
+++ b/internal/gateway/advice_test.go
@@ -114,7 +114,7 @@
 			return n.registry.CountReady(fleet.DeskService) == 1 && len(n.group.links.LiveStates()) == 2
 		}, "listed")
 	}
-	gateways[2].door.SetFault(fleet.Reset)
+	gateways[2].endpoint.SetFault(fleet.Reset)
 	waitKnown := func(limited int) {
 		t.Helper()
 		for begun := time.Now(); time.Since(begun) < propagationTarget; time.Sleep(5 * time.Millisecond) {
--- a/internal/gateway/cordons_test.go
+++ b/internal/gateway/cordons_test.go
@@ -118,7 +118,7 @@
 		n.waitForAllServers()
 		n.eventually(func() bool { return len(n.group.links.LiveStates()) == 1 }, "linked")
 	}
-	gateways[1].door.SetFault(fleet.Busy)
+	gateways[1].endpoint.SetFault(fleet.Busy)
 	time.Sleep(time.Second)
 	s.fleet.Cordon(cordonedDomain)
 	cordonedAt := time.Now()
@@ -147,11 +147,11 @@
 	for _, n := range gateways {
 		n.waitForAllServers()
 	}
-	copied := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	s.fleet.Cordon(cordonedDomain)
 	cordonedAt := time.Now()
 	requestAllKinds(t, gateways, cordonTarget)
-	s.restoreStore(copied)
+	s.restoreStore(backup)
 	requestAllKinds(t, gateways, time.Second)
 	s.fleet.RewriteRows(func() { time.Sleep(50 * time.Millisecond) })
 	requestAllKinds(t, gateways, 500*time.Millisecond)
--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -31,11 +31,11 @@
 	event()
 	before := 0
 	for _, n := range gateways {
-		before += n.door.Calls()
+		before += n.endpoint.Calls()
 	}
 	time.Sleep(drillWindow)
 	for _, n := range gateways {
-		calls += n.door.Calls()
+		calls += n.endpoint.Calls()
 	}
 	return calls - before
 }
@@ -51,16 +51,16 @@
 	}
 	s.server(fleet.DeskService, fleet.Behavior{})
 	var gateways []*testGateway
-	var copied *fleet.Backup
+	var backup *fleet.Backup
 	kept := *drillGateways * *drillKeptPercent / 100
 	for i := range *drillGateways {
 		if i == kept {
-			copied = s.fleet.Store.Backup()
+			backup = s.fleet.Store.Backup()
 		}
 		gateways = append(gateways, s.gateway(fmt.Sprintf("vm-%03d", i)))
 	}
-	if copied == nil {
-		copied = s.fleet.Store.Backup()
+	if backup == nil {
+		backup = s.fleet.Store.Backup()
 	}
 	s.fleet.Configure("second")
 	time.Sleep(readersSettleTime)
@@ -72,7 +72,7 @@
 	restore := countStoreCalls(gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillOutage)
-		s.fleet.Store.Restore(copied)
+		s.fleet.Store.Restore(backup)
 		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	t.Logf("%d gateways: %d calls after an outage, %d after a restore that lost %d rows", len(gateways), outage, restore, len(gateways)-kept)
@@ -147,7 +147,7 @@
 	for i := range 4 {
 		gateways = append(gateways, s.gateway(fmt.Sprint("vm-", i)))
 	}
-	copied := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	desk := s.server(fleet.DeskService, fleet.Behavior{})
 	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	s.fleet.Configure("second")
@@ -164,7 +164,7 @@
 	restore := measureCallers(t, gateways, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillOutage)
-		s.fleet.Store.Restore(copied)
+		s.fleet.Store.Restore(backup)
 		s.fleet.Store.SetFault(fleet.NoFault)
 		time.Sleep(drillOutage)
 		desk.Heartbeat()
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -16,10 +16,10 @@
 const restoreOutage = 300 * time.Millisecond
 
 // restoreStore has an outage of the store that ends with its restore from a copy.
-func (s *system) restoreStore(c *fleet.Backup) {
+func (s *system) restoreStore(backup *fleet.Backup) {
 	s.fleet.Store.SetFault(fleet.Reset)
 	time.Sleep(restoreOutage)
-	s.fleet.Store.Restore(c)
+	s.fleet.Store.Restore(backup)
 	s.fleet.Store.SetFault(fleet.NoFault)
 }
 
@@ -37,7 +37,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -45,7 +45,7 @@
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 	}
-	s.restoreStore(c)
+	s.restoreStore(backup)
 	for begun := time.Now(); time.Since(begun) < time.Second; time.Sleep(20 * time.Millisecond) {
 		for _, n := range gateways {
 			require.Equal(t, http.StatusUnauthorized, n.statusWithKey(fleet.Key), "a revoked key")
@@ -68,7 +68,7 @@
 	leaving := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.statusWithKey(fleet.Key) == http.StatusOK }, "served")
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -77,7 +77,7 @@
 	leaving.RemoveEntry()
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "one has left")
 	seen := len(leaving.Executions())
-	s.restoreStore(c)
+	s.restoreStore(backup)
 	time.AfterFunc(time.Second, func() {
 		leaving.RemoveEntry()
 		joined.Heartbeat()
@@ -94,7 +94,7 @@
 func TestOwnRowsAreRewrittenAfterStoreRestore(t *testing.T) {
 	s := newSystem(t)
 	crashes := s.startCrashingEngines(5)
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	for i := 0; len(crashes.times()) < 3; i++ {
 		gateways[i%2].generate(fleet.PlanPath, crashingBody)
@@ -107,7 +107,7 @@
 		}
 		return recordKey != "" && s.fleet.Store.Row(membersTable, recordKey) != nil
 	}, "the quarantine record is in the store")
-	s.restoreStore(c)
+	s.restoreStore(backup)
 	back := time.Now()
 	gateways[0].eventually(func() bool {
 		for _, key := range []string{"vm-1", "vm-2", recordKey} {
@@ -127,7 +127,7 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2"), s.gateway("vm-3")}
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -143,8 +143,8 @@
 		}
 		return i >= 0
 	}, "one gateway gets its tables from the others")
-	s.restoreStore(c)
-	cutOff.door.SetFault(fleet.Reset)
+	s.restoreStore(backup)
+	cutOff.endpoint.SetFault(fleet.Reset)
 	s.fleet.Configure("third")
 	cutOff.eventually(func() bool { return cutOff.statusWithKey("third") == http.StatusOK }, "the third key")
 	require.Equal(t, http.StatusUnauthorized, cutOff.statusWithKey("second"))
@@ -156,12 +156,12 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 	}
-	s.restoreStore(c)
+	s.restoreStore(backup)
 	late := s.gateway("vm-3")
 	begun := time.Now()
 	for time.Since(begun) < time.Second {
@@ -178,13 +178,13 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errTableUnknown })
 	}
-	s.restoreStore(c)
+	s.restoreStore(backup)
 	late := s.launch(s.settings("vm-3"))
 	for begun := time.Now(); time.Since(begun) < 3*configCheckTimeout; time.Sleep(5 * time.Millisecond) {
 		require.NotEqual(t, http.StatusOK, late.statusWithKey(fleet.Key), "after %v", time.Since(begun))
@@ -203,13 +203,13 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 150, EventInterval: 20 * time.Millisecond})
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan response, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
 	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
-	s.restoreStore(c)
+	s.restoreStore(backup)
 	time.AfterFunc(time.Second, engine.Heartbeat)
 	a := <-done
 	require.NoError(t, a.err)
@@ -222,7 +222,7 @@
 func TestAllGatewaysStartDuringStoreRestore(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	for range 20 {
 		s.fleet.Store.Put("other", "row", 1)
 	}
@@ -230,12 +230,12 @@
 	s.fleet.Store.SetFault(fleet.Reset)
 	var gateways []*testGateway
 	for _, name := range []string{"vm-1", "vm-2", "vm-3", "vm-4"} {
-		set, door := s.settings(name)
-		door.SetFault(fleet.Reset)
-		gateways = append(gateways, s.launch(set, door))
+		platform, endpoint := s.settings(name)
+		endpoint.SetFault(fleet.Reset)
+		gateways = append(gateways, s.launch(platform, endpoint))
 	}
 	time.Sleep(restoreOutage)
-	s.fleet.Store.Restore(c)
+	s.fleet.Store.Restore(backup)
 	s.fleet.Store.SetFault(fleet.NoFault)
 	s.fleet.Configure("third")
 	written := time.Now()
@@ -254,13 +254,13 @@
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	s.fleet.Configure("second")
 	for _, n := range gateways {
 		n.eventually(func() bool { return n.statusWithKey("second") == http.StatusOK }, "the second key")
 	}
 	for range 3 {
-		s.fleet.Store.Restore(c)
+		s.fleet.Store.Restore(backup)
 		s.fleet.Store.Put("other", "row", 1)
 		time.Sleep(30 * time.Millisecond)
 	}
@@ -287,9 +287,9 @@
 		time.Sleep(5 * time.Second)
 		return s.fleet.Store.Calls() - calls
 	}
-	c := s.fleet.Store.Backup()
+	backup := s.fleet.Store.Backup()
 	outage := callsAfter(func() {})
-	restored := callsAfter(func() { s.fleet.Store.Restore(c) })
+	restored := callsAfter(func() { s.fleet.Store.Restore(backup) })
 	t.Logf("calls in 5 s: %d after an outage, %d after a restore", outage, restored)
 	require.LessOrEqual(t, restored, 2*outage)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -163,11 +163,11 @@
 	b := s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 2 }, "listed")
-	n.door.SetFault(fleet.Busy)
+	n.endpoint.SetFault(fleet.Busy)
 	time.Sleep(1500 * time.Millisecond)
 	a.StartDraining(true)
 	s.fleet.Store.Compact()
-	n.door.SetFault(fleet.NoFault)
+	n.endpoint.SetFault(fleet.NoFault)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "seen")
 	require.Equal(t, "answer of "+b.ID, n.do(plain(fleet.OncePath)).body)
 }
@@ -196,7 +196,7 @@
 	a, b := s.gateway("vm-a"), s.gateway("vm-b")
 	a.eventually(func() bool { return len(a.group.links.LiveStates()) == 1 && len(b.group.links.LiveStates()) == 1 }, "linked")
 	a.eventually(func() bool { return a.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
-	a.door.SetFault(fleet.Busy)
+	a.endpoint.SetFault(fleet.Busy)
 	time.Sleep(time.Second)
 	require.Equal(t, http.StatusOK, a.do(plain(fleet.OncePath)).status)
 	written := time.Now()
@@ -408,15 +408,15 @@
 	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
-	door, err := s.fleet.Store.AddEndpoint()
+	endpoint, err := s.fleet.Store.AddEndpoint()
 	require.NoError(t, err)
 	changed := *n.settings.Load()
-	changed.Store, changed.Bounds.Revoke = door.Address, 2*time.Second
+	changed.Store, changed.Bounds.Revoke = endpoint.Address, 2*time.Second
 	n.Reload(&changed)
-	n.door.SetFault(fleet.Reset)
+	n.endpoint.SetFault(fleet.Reset)
 	time.Sleep(3 * time.Second)
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
-	door.SetFault(fleet.Reset)
+	endpoint.SetFault(fleet.Reset)
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusServiceUnavailable }, "the new bound is in force")
 }
 
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -46,7 +46,7 @@
 	fast := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
 	slow, _ := s.gatewayOnLink("vm-c", 10)
 	waitUntilLinked(fast[0], fast[1], slow)
-	slow.door.SetFault(fleet.Reset)
+	slow.endpoint.SetFault(fleet.Reset)
 	s.fleet.Configure(fleet.Key, prefixes...)
 	slow.eventually(func() bool {
 		return slow.do(plain(prefixes[len(prefixes)-1]+"a")).status == http.StatusOK
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -43,14 +43,14 @@
 	return srv
 }
 
-// testGateway is a running gateway. door is its own entrance to the store, where faults can
-// be injected for this gateway only.
+// testGateway is a running gateway. endpoint is its own endpoint of the store, where faults
+// can be injected for this gateway only.
 type testGateway struct {
 	*Gateway
-	t       testing.TB
-	callers string
-	ready   string
-	door    *fleet.Endpoint
+	t        testing.TB
+	callers  string
+	ready    string
+	endpoint *fleet.Endpoint
 }
 
 // testBounds are short to keep the tests short.
@@ -65,7 +65,7 @@
 
 func (s *system) settings(name string) (*settings.Settings, *fleet.Endpoint) {
 	s.t.Helper()
-	door, err := s.fleet.Store.AddEndpoint()
+	endpoint, err := s.fleet.Store.AddEndpoint()
 	require.NoError(s.t, err)
 	ip, port, err := net.SplitHostPort(standin.UniqueAddress())
 	require.NoError(s.t, err)
@@ -73,37 +73,37 @@
 	require.NoError(s.t, err)
 	return &settings.Settings{
 		VM: name, FailureDomain: "zone-1", IP: ip, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(),
-		PeerPorts: [2]int{peers, peers}, Store: door.Address, MemoryBytes: testMemory, MaxFiles: 1000, LinkMbps: s.linkMbps,
+		PeerPorts: [2]int{peers, peers}, Store: endpoint.Address, MemoryBytes: testMemory, MaxFiles: 1000, LinkMbps: s.linkMbps,
 		ServerHeartbeat: time.Second, Bounds: testBounds,
-	}, door
+	}, endpoint
 }
 
 // gateway starts a gateway and waits until it is ready.
 func (s *system) gateway(name string) *testGateway {
 	s.t.Helper()
-	set, door := s.settings(name)
-	return s.start(set, door)
+	platform, endpoint := s.settings(name)
+	return s.start(platform, endpoint)
 }
 
 // gatewayOnLink starts a gateway whose connection to the store has a bandwidth in Mbit/s.
 func (s *system) gatewayOnLink(name string, mbps float64) (*testGateway, *standin.Link) {
 	s.t.Helper()
-	set, door := s.settings(name)
+	platform, endpoint := s.settings(name)
 	link := standin.NewLink(mbps)
-	door.SetLink(link)
-	set.LinkMbps = mbps
-	return s.start(set, door), link
+	endpoint.SetLink(link)
+	platform.LinkMbps = mbps
+	return s.start(platform, endpoint), link
 }
 
-func (s *system) start(set *settings.Settings, door *fleet.Endpoint) *testGateway {
+func (s *system) start(platform *settings.Settings, endpoint *fleet.Endpoint) *testGateway {
 	s.t.Helper()
-	n := s.launch(set, door)
+	n := s.launch(platform, endpoint)
 	n.eventually(n.isReady, "ready")
 	return n
 }
 
 // launch starts a gateway without waiting until it is ready.
-func (s *system) launch(set *settings.Settings, door *fleet.Endpoint) *testGateway {
+func (s *system) launch(platform *settings.Settings, endpoint *fleet.Endpoint) *testGateway {
 	s.t.Helper()
 	log := logging.New(io.Discard, logrus.InfoLevel)
 	opts := DefaultOptions()
@@ -111,9 +111,9 @@
 	if s.peerLinks > 0 {
 		opts.MaxPeerLinks = s.peerLinks
 	}
-	g, err := Start(opts, set, log)
+	g, err := Start(opts, platform, log)
 	require.NoError(s.t, err)
-	n := &testGateway{Gateway: g, t: s.t, callers: set.Callers, ready: set.Ready, door: door}
+	n := &testGateway{Gateway: g, t: s.t, callers: platform.Callers, ready: platform.Ready, endpoint: endpoint}
 	s.t.Cleanup(func() { n.Close() })
 	return n
 }
@@ -195,7 +195,7 @@
 	require.NoError(c.t, err)
 }
 
-// response is what a caller received. err is set if the response is missing or incomplete.
+// response is what a caller received. err is platform if the response is missing or incomplete.
 type response struct {
 	status int
 	header http.Header
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -67,7 +67,7 @@
 	_, gateways := startPartialMesh(t)
 	before := make([]int, len(gateways))
 	for i, n := range gateways {
-		before[i] = n.door.Calls()
+		before[i] = n.endpoint.Calls()
 	}
 	const watched = 3 * time.Second
 	for begun := time.Now(); time.Since(begun) < watched; time.Sleep(20 * time.Millisecond) {
@@ -75,7 +75,7 @@
 	}
 	calling := 0
 	for i, n := range gateways {
-		if n.door.Calls() > before[i] {
+		if n.endpoint.Calls() > before[i] {
 			calling++
 		}
 	}
@@ -91,7 +91,7 @@
 	require.Len(t, readers, 2)
 	for _, n := range gateways {
 		if n != readers[0] && n != readers[1] {
-			n.door.SetFault(fleet.Reset)
+			n.endpoint.SetFault(fleet.Reset)
 		}
 	}
 	leaving := s.server(fleet.DeskService, fleet.Behavior{})
@@ -125,7 +125,7 @@
 	}
 	before := make(map[*testGateway]int)
 	for _, n := range remaining {
-		before[n] = n.door.Calls()
+		before[n] = n.endpoint.Calls()
 	}
 	for begun := time.Now(); time.Since(begun) < 4*time.Second; time.Sleep(20 * time.Millisecond) {
 		require.Less(t, oldestConfigAge(remaining), testBounds.Revoke)
@@ -134,7 +134,7 @@
 	require.Len(t, activeReaders(remaining), 2)
 	calling := 0
 	for _, n := range remaining {
-		if n.door.Calls() > before[n] {
+		if n.endpoint.Calls() > before[n] {
 			calling++
 		}
 	}
@@ -150,7 +150,7 @@
 	n := s.gateway("vm-new")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
 	time.Sleep(readersSettleTime)
-	require.LessOrEqual(t, n.door.Calls(), 2, "its row, and the rows of the others")
+	require.LessOrEqual(t, n.endpoint.Calls(), 2, "its row, and the rows of the others")
 }
 
 // The store is unavailable to all gateways, and then available again. Gateways that are
@@ -189,7 +189,7 @@
 	for _, n := range append(stale, ahead) {
 		n.group.setFetchHandler(func(*peerv1.Fetch) (*peerv1.Change, [][]byte, error) { return nil, nil, errConfigUnreadable })
 	}
-	last.door.SetFault(fleet.Reset)
+	last.endpoint.SetFault(fleet.Reset)
 	s.fleet.Configure(fleet.Key, "/extra/")
 	known := func() bool { return slices.Contains(last.group.peersAhead(operator.Table, false), "vm-c") }
 	last.eventually(known, "vm-c reports a position ahead")
