--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -208,7 +208,7 @@
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "the engine is known")
 	done := make(chan response, 1)
 	go func() { done <- n.do(generation(fleet.PlanPath)) }()
-	n.eventually(func() bool { return engine.Running() == 1 }, "the stream runs")
+	n.eventually(func() bool { return engine.RunningStreams() == 1 }, "the stream runs")
 	s.restoreStore(backup)
 	time.AfterFunc(time.Second, engine.Heartbeat)
 	a := <-done
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -100,7 +100,7 @@
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	got := make(chan response, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
-	n.eventually(func() bool { return first.Running() == 1 }, "running")
+	n.eventually(func() bool { return first.RunningStreams() == 1 }, "running")
 	second := s.server(fleet.ModelService, b)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
 	first.StartDraining(true)
@@ -124,7 +124,7 @@
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	got := make(chan response, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
-	n.eventually(func() bool { return first.Running() == 1 }, "running")
+	n.eventually(func() bool { return first.RunningStreams() == 1 }, "running")
 	s.server(fleet.ModelService, b)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 2 }, "second listed")
 	s.fleet.Store.SetFault(fleet.Reset)
@@ -265,17 +265,17 @@
 	n.eventually(func() bool { return n.registry.CountReady(fleet.ModelService) == 1 }, "listed")
 	c := n.dial()
 	c.send(generation(fleet.PlanPath))
-	n.eventually(func() bool { return engine.Running() == 1 }, "running")
+	n.eventually(func() bool { return engine.RunningStreams() == 1 }, "running")
 	c.Close()
-	require.Eventually(t, func() bool { return engine.Running() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return engine.RunningStreams() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
 	n.eventually(func() bool { return n.relay.InProgress() == 0 }, "no request in progress")
 
 	engine.SetBehavior(fleet.Behavior{Delay: time.Minute})
 	c = n.dial()
 	c.send(generation(fleet.PlanPath))
-	n.eventually(func() bool { return engine.Waiting() == 1 }, "waiting")
+	n.eventually(func() bool { return engine.InProgress() == 1 }, "waiting")
 	c.Close()
-	require.Eventually(t, func() bool { return engine.Waiting() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return engine.InProgress() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
 }
 
 // A server hangs. The caller gets its final response at the route's timeout, with a status
@@ -363,7 +363,7 @@
 	require.Equal(t, http.StatusOK, kept.read().status)
 	got := make(chan response, 1)
 	go func() { got <- n.do(generation(fleet.PlanPath)) }()
-	n.eventually(func() bool { return engine.Running() == 1 }, "running")
+	n.eventually(func() bool { return engine.RunningStreams() == 1 }, "running")
 	stopped := make(chan struct{})
 	go func() {
 		n.Stop()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -195,7 +195,7 @@
 	require.NoError(c.t, err)
 }
 
-// response is what a caller received. err is platform if the response is missing or incomplete.
+// response is what a caller received. err is set if the response is missing or incomplete.
 type response struct {
 	status int
 	header http.Header
--- a/internal/gateway/queues_test.go
+++ b/internal/gateway/queues_test.go
@@ -140,7 +140,7 @@
 	}
 	c := gateways[0].dial()
 	c.send(generation(fleet.PlanPath))
-	gateways[0].eventually(func() bool { return engine.Running() == 1 }, "running")
+	gateways[0].eventually(func() bool { return engine.RunningStreams() == 1 }, "running")
 	s.fleet.Store.SetFault(fleet.Busy)
 	gateways[0].eventually(gateways[0].directory.IsUnavailable, "the store is unavailable")
 	left := time.Now()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -74,7 +74,7 @@
 
 // gateway is a gateway's process and its proxy towards the store.
 type gateway struct {
-	node  fleet.Node
+	node  fleet.VMSettings
 	door  *Proxy
 	path  string
 	log   *os.File
@@ -211,13 +211,13 @@
 		return err
 	}
 	name := fmt.Sprintf("vm-%d", i)
-	g := &gateway{node: fleet.NewNode(name, proxy.Address), door: proxy, path: filepath.Join(s.Dir, name+".json")}
+	g := &gateway{node: fleet.NewVMSettings(name, proxy.Address), door: proxy, path: filepath.Join(s.Dir, name+".json")}
 	if i%thinEvery == 0 {
 		g.node.LinkMbps = thinMbps
 		door.SetLink(standin.NewLink(thinMbps))
 	}
 	g.node.RevokeMs = int(revokeBound.Milliseconds())
-	if err := g.node.WriteSettings(g.path); err != nil {
+	if err := g.node.WriteFile(g.path); err != nil {
 		return err
 	}
 	if g.log, err = os.Create(filepath.Join(s.Dir, name+".log")); err != nil {
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -9,8 +9,8 @@
 	"kingcupplank.example/kingcup/internal/standin"
 )
 
-// Node is what the platform tells a gateway's process.
-type Node struct {
+// VMSettings is what the platform tells a gateway's process.
+type VMSettings struct {
 	Name string
 	// Callers, Ready and Peers are the addresses that the gateway serves.
 	Callers, Ready, Peers string
@@ -21,9 +21,9 @@
 	LinkMbps float64
 }
 
-// NewNode gives a gateway addresses of its own.
-func NewNode(name, store string) Node {
-	return Node{
+// NewVMSettings gives a gateway addresses of its own.
+func NewVMSettings(name, store string) VMSettings {
+	return VMSettings{
 		Name: name, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(), Peers: standin.UniqueAddress(),
 		Store: store, RevokeMs: 5000, LinkMbps: 1000,
 	}
@@ -32,8 +32,8 @@
 // SettingsVariable names the settings file to a process.
 const SettingsVariable = "KINGCUPPLANK_BOOT"
 
-// WriteSettings writes the node's settings file.
-func (n Node) WriteSettings(path string) error {
+// WriteFile writes the node's settings file.
+func (n VMSettings) WriteFile(path string) error {
 	ip, port, err := net.SplitHostPort(n.Peers)
 	if err != nil {
 		return err
