--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -52,7 +52,7 @@
 		}
 	}
 	require.LessOrEqual(t, lost, 3)
-	proxies[0].Set(soak.Pass)
+	proxies[0].Set(soak.PassThrough)
 	seen := len(partitioned.Executions())
 	// A server that has failed is only tried again when the others are busy.
 	var callers sync.WaitGroup
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -63,7 +63,7 @@
 	}
 	g, m := s.drawNode(), Mode(1+s.intN(int(modes)-1))
 	g.door.Set(m)
-	return fmt.Sprintf("store mode %d for %s", m, g.node.Name), func() { g.door.Set(Pass) }
+	return fmt.Sprintf("store mode %d for %s", m, g.node.Name), func() { g.door.Set(PassThrough) }
 }
 
 // harmServer harms the connections of a server.
@@ -73,7 +73,7 @@
 	s.mu.Unlock()
 	m := Mode(1 + s.intN(int(modes)-1))
 	p.Set(m)
-	return fmt.Sprintf("connections to %s mode %d", p.target, m), func() { p.Set(Pass) }
+	return fmt.Sprintf("connections to %s mode %d", p.target, m), func() { p.Set(PassThrough) }
 }
 
 func kill(s *Soak, ctx context.Context) (string, func()) {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -14,8 +14,8 @@
 
 // The modes.
 const (
-	// Pass lets everything through.
-	Pass Mode = iota
+	// PassThrough lets everything through.
+	PassThrough Mode = iota
 	// Slow delays bytes.
 	Slow
 	// Silent holds all bytes back, without closing anything.
