--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -16,8 +16,8 @@
 const (
 	// PassThrough lets everything through.
 	PassThrough Mode = iota
-	// Slow delays bytes.
-	Slow
+	// SlowDown delays bytes.
+	SlowDown
 	// Silent holds all bytes back, without closing anything.
 	Silent
 	// OneWay holds back what comes from the target.
@@ -146,7 +146,7 @@
 // hold waits while the mode holds bytes back.
 func (p *Proxy) hold(answers bool) {
 	p.mu.Lock()
-	slow := p.mode == Slow
+	slow := p.mode == SlowDown
 	for p.mode == Silent || p.mode == OneWay && answers {
 		p.cond.Wait()
 	}
