--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -36,7 +36,7 @@
 	n.eventually(func() bool {
 		return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(partitioned.Executions()) > 0
 	}, "both serve")
-	proxies[0].Set(soak.Silent)
+	proxies[0].Set(soak.HoldAll)
 	for range 5 {
 		a := n.do(plain(fleet.OncePath))
 		require.NotContains(t, []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}, a.status, "the request may have run")
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -18,8 +18,8 @@
 	PassThrough Mode = iota
 	// SlowDown delays bytes.
 	SlowDown
-	// Silent holds all bytes back, without closing anything.
-	Silent
+	// HoldAll holds all bytes back, without closing anything.
+	HoldAll
 	// OneWay holds back what comes from the target.
 	OneWay
 	// Reset breaks connections, old and new.
@@ -147,7 +147,7 @@
 func (p *Proxy) hold(answers bool) {
 	p.mu.Lock()
 	slow := p.mode == SlowDown
-	for p.mode == Silent || p.mode == OneWay && answers {
+	for p.mode == HoldAll || p.mode == OneWay && answers {
 		p.cond.Wait()
 	}
 	p.mu.Unlock()
