--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -20,8 +20,8 @@
 	SlowDown
 	// HoldAll holds all bytes back, without closing anything.
 	HoldAll
-	// OneWay holds back what comes from the target.
-	OneWay
+	// HoldResponses holds back what comes from the target.
+	HoldResponses
 	// Reset breaks connections, old and new.
 	Reset
 	modes
@@ -147,7 +147,7 @@
 func (p *Proxy) hold(answers bool) {
 	p.mu.Lock()
 	slow := p.mode == SlowDown
-	for p.mode == HoldAll || p.mode == OneWay && answers {
+	for p.mode == HoldAll || p.mode == HoldResponses && answers {
 		p.cond.Wait()
 	}
 	p.mu.Unlock()
