--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -22,8 +22,8 @@
 	HoldAll
 	// HoldResponses holds back what comes from the target.
 	HoldResponses
-	// Reset breaks connections, old and new.
-	Reset
+	// ResetConnections breaks connections, old and new.
+	ResetConnections
 	modes
 )
 
@@ -59,7 +59,7 @@
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	p.mode = m
-	if m == Reset {
+	if m == ResetConnections {
 		p.breakAll()
 	}
 	p.mu.Unlock()
@@ -77,7 +77,7 @@
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
-	p.Set(Reset)
+	p.Set(ResetConnections)
 }
 
 func (p *Proxy) accept() {
@@ -111,7 +111,7 @@
 	for _, c := range conns {
 		p.conns[c] = true
 	}
-	if p.mode == Reset {
+	if p.mode == ResetConnections {
 		p.breakAll()
 		return false
 	}
