--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -36,7 +36,7 @@
 	n.eventually(func() bool {
 		return n.do(plain(fleet.SafePath)).status == http.StatusOK && len(partitioned.Executions()) > 0
 	}, "both serve")
-	proxies[0].Set(soak.HoldAll)
+	proxies[0].SetMode(soak.HoldAll)
 	for range 5 {
 		a := n.do(plain(fleet.OncePath))
 		require.NotContains(t, []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}, a.status, "the request may have run")
@@ -52,7 +52,7 @@
 		}
 	}
 	require.LessOrEqual(t, lost, 3)
-	proxies[0].Set(soak.PassThrough)
+	proxies[0].SetMode(soak.PassThrough)
 	seen := len(partitioned.Executions())
 	// A server that has failed is only tried again when the others are busy.
 	var callers sync.WaitGroup
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -62,8 +62,8 @@
 		return fmt.Sprintf("store fault %d for all", f), func() { s.fleet.Store.SetFault(fleet.NoFault) }
 	}
 	g, m := s.drawNode(), Mode(1+s.intN(int(modes)-1))
-	g.door.Set(m)
-	return fmt.Sprintf("store mode %d for %s", m, g.node.Name), func() { g.door.Set(PassThrough) }
+	g.door.SetMode(m)
+	return fmt.Sprintf("store mode %d for %s", m, g.node.Name), func() { g.door.SetMode(PassThrough) }
 }
 
 // harmServer harms the connections of a server.
@@ -72,8 +72,8 @@
 	p := s.proxies[s.rng.IntN(len(s.proxies))]
 	s.mu.Unlock()
 	m := Mode(1 + s.intN(int(modes)-1))
-	p.Set(m)
-	return fmt.Sprintf("connections to %s mode %d", p.target, m), func() { p.Set(PassThrough) }
+	p.SetMode(m)
+	return fmt.Sprintf("connections to %s mode %d", p.target, m), func() { p.SetMode(PassThrough) }
 }
 
 func kill(s *Soak, ctx context.Context) (string, func()) {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -55,8 +55,8 @@
 	return p, nil
 }
 
-// Set changes the mode of all connections.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode of all connections.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	p.mode = m
 	if m == ResetConnections {
@@ -77,7 +77,7 @@
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
-	p.Set(ResetConnections)
+	p.SetMode(ResetConnections)
 }
 
 func (p *Proxy) accept() {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -326,7 +326,7 @@
 	deadline := time.Now().Add(settleTime)
 	s.mu.Lock()
 	for _, p := range s.proxies {
-		p.Set(PassThrough)
+		p.SetMode(PassThrough)
 	}
 	served := slices.Clone(paths)
 	if s.newest != "" {
