--- a/internal/standin/engines/engine.go
+++ b/internal/standin/engines/engine.go
@@ -1,7 +1,8 @@
-// Package engines is a stand-in model engine: continuous batching with a step
-// time, memory in tokens that can fill up mid-decode, preemption of the lowest
-// priority, streams that outlive their reader, resume from a prefix, fenced or
-// unfenced orders, and a log of what ran for history checks.
+// Package engines is a stand-in for a model engine. It simulates continuous
+// batching with a step time, memory in tokens that can fill up during decoding,
+// preemption of the lowest priority, streams that outlive their readers, resume
+// from a prefix, and orders with or without fencing by term. It logs executions
+// for checks of the history.
 package engines
 
 import (
@@ -24,20 +25,20 @@
 type Config struct {
 	// Step is the time between two tokens of a stream.
 	Step time.Duration
-	// Memory is the capacity in tokens of context.
+	// Memory is the capacity for prompts and output. A byte of a prompt counts as a token.
 	Memory uint64
-	// Resumes says whether the engine continues a generation from a prefix.
+	// Resumes says whether the engine can continue a generation from a prefix.
 	Resumes bool
-	// ChecksTerm says whether orders with an old term are refused.
+	// ChecksTerm says whether orders with a stale term are rejected.
 	ChecksTerm bool
-	// Retain is how long a stream outlives its last reader.
+	// Retain is how long a stream is kept without a reader.
 	Retain time.Duration
 	Models []string
-	// Nonce makes generations differ between engines that do not resume.
+	// Nonce makes the output differ between engines that cannot resume.
 	Nonce uint64
 }
 
-// Run is one line of the execution log.
+// Run is an entry of the execution log.
 type Run struct {
 	ID, Team, RequestID string
 	Attempt             uint32
@@ -51,64 +52,64 @@
 	wg     sync.WaitGroup
 
 	mu          sync.Mutex
-	cond        *sync.Cond
+	changed     *sync.Cond
 	streams     map[string]*stream
 	log         []Run
 	orders      []engine.Order
-	term        uint64
+	highestTerm uint64
 	preemptions uint64
-	runs        uint64
-	dead        bool
+	runCount    uint64
+	killed      bool
 	models      []string
 	adapters    []string
 }
 
 type stream struct {
-	req      engine.Request
-	seed     uint64
-	length   int
-	tokens   [][]byte
-	digest   engine.Digest
-	done     bool
-	gone     bool
-	paused   bool
-	readers  int
-	orphaned time.Time
-	arrival  uint64
+	req           engine.Request
+	seed          uint64
+	length        int
+	tokens        [][]byte
+	digest        engine.Digest
+	done          bool
+	removed       bool
+	paused        bool
+	readers       int
+	orphanedAt    time.Time
+	arrivalNumber uint64
 }
 
 func (s *stream) memory() uint64 {
 	return uint64(len(s.req.Prompt) + len(s.tokens))
 }
 
-// New starts an engine; Kill ends it.
+// New starts an engine; Kill stops it.
 func New(cfg Config) *Engine {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Engine{cfg: cfg, cancel: cancel, streams: make(map[string]*stream), models: slices.Clone(cfg.Models)}
-	e.cond = sync.NewCond(&e.mu)
+	e.changed = sync.NewCond(&e.mu)
 	e.wg.Go(func() { e.run(ctx) })
 	return e
 }
 
-// Kill ends the engine as a crash does: all streams are lost at once.
+// Kill stops the engine as a crash does: all streams are lost at once.
 func (e *Engine) Kill() {
 	e.mu.Lock()
-	e.dead = true
+	e.killed = true
 	e.streams = make(map[string]*stream)
-	e.cond.Broadcast()
+	e.changed.Broadcast()
 	e.mu.Unlock()
 	e.cancel()
 	e.wg.Wait()
 }
 
-// Log is what the engine has run so far.
+// Log returns the generations that the engine has started so far.
 func (e *Engine) Log() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.log)
 }
 
-// Orders are the orders that the engine obeyed, in order.
+// Orders returns the orders that the engine accepted, in order of arrival.
 func (e *Engine) Orders() []engine.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,13 +117,13 @@
 }
 
 func (e *Engine) run(ctx context.Context) {
-	tick := time.NewTicker(e.cfg.Step)
-	defer tick.Stop()
+	ticker := time.NewTicker(e.cfg.Step)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			e.step(now)
 		}
 	}
@@ -131,27 +132,27 @@
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.makeRoom()
+	e.updatePreemption()
 	for id, s := range e.streams {
-		if e.expired(s, now) {
-			s.gone = true
+		if e.isExpired(s, now) {
+			s.removed = true
 			delete(e.streams, id)
 			continue
 		}
 		if !s.done && !s.paused {
-			s.emit()
+			s.appendToken()
 		}
 	}
-	e.cond.Broadcast()
+	e.changed.Broadcast()
 }
 
-func (e *Engine) expired(s *stream, now time.Time) bool {
-	return s.readers == 0 && now.Sub(s.orphaned) > e.cfg.Retain
+func (e *Engine) isExpired(s *stream, now time.Time) bool {
+	return s.readers == 0 && now.Sub(s.orphanedAt) > e.cfg.Retain
 }
 
-// makeRoom pauses the lowest priority, latest arrival while memory is over
-// capacity, and resumes paused streams in arrival order while they fit.
-func (e *Engine) makeRoom() {
+// updatePreemption adds up the memory of unfinished streams by falling priority, then arrival.
+// Streams that fit run; the others are paused, which counts as a preemption if they ran.
+func (e *Engine) updatePreemption() {
 	active := make([]*stream, 0, len(e.streams))
 	used := uint64(0)
 	for _, s := range e.streams {
@@ -164,7 +165,7 @@
 		if a.req.Priority != b.req.Priority {
 			return int(b.req.Priority) - int(a.req.Priority)
 		}
-		return int(a.arrival) - int(b.arrival)
+		return int(a.arrivalNumber) - int(b.arrivalNumber)
 	})
 	for _, s := range active {
 		used += s.memory() + 1
@@ -176,7 +177,7 @@
 	}
 }
 
-func (s *stream) emit() {
+func (s *stream) appendToken() {
 	i := len(s.tokens)
 	if i >= s.length {
 		s.done = true
@@ -187,8 +188,8 @@
 	s.digest.Add(text)
 }
 
-// tokenText derives a token from the seed, so that two generations differ and
-// the same generation is equal wherever it runs.
+// tokenText derives a token from the seed and its index, so that generations
+// differ, and the same generation gives the same tokens at any engine.
 func tokenText(seed uint64, i int) []byte {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
@@ -198,9 +199,10 @@
 	return strconv.AppendUint([]byte{' '}, h.Sum64()%100000, 36)
 }
 
-// lengthOf is the output length: "tokens=N" in front of the prompt sets it,
-// otherwise it is lognormal, derived from the prompt.
-func lengthOf(req engine.Request) int {
+// outputLength returns the output length in tokens, at most MaxTokens if that is set. A
+// prompt that begins with "tokens=N" sets it; otherwise it is lognormal, derived from
+// the request id and the prompt.
+func outputLength(req engine.Request) int {
 	n := 0
 	if rest, ok := strings.CutPrefix(string(req.Prompt), "tokens="); ok {
 		digits, _, _ := strings.Cut(rest, " ")
@@ -209,13 +211,13 @@
 	if n <= 0 {
 		n = lognormal(hash(req.RequestID, string(req.Prompt)))
 	}
-	if m := int(req.MaxTokens); m > 0 && n > m {
-		n = m
+	if limit := int(req.MaxTokens); limit > 0 && n > limit {
+		n = limit
 	}
 	return n
 }
 
-// lognormal maps a hash to a length with median 120 and sigma 1.
+// lognormal maps a hash to a length in tokens with median 120 and sigma 1.
 func lognormal(h uint64) int {
 	u := (float64(h>>11) + 0.5) / (1 << 53)
 	return 1 + int(120*math.Exp(math.Sqrt2*math.Erfinv(2*u-1)))
@@ -230,12 +232,12 @@
 	return h.Sum64()
 }
 
-// Generate implements engine.Engine. The stream goes on when ctx ends, until
-// it is cancelled or has had no reader for the retention time.
+// Generate implements engine.Engine. When ctx ends, the stream continues until
+// it is cancelled or has had no reader for Config.Retain.
 func (e *Engine) Generate(ctx context.Context, req engine.Request) (engine.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.killed {
 		return nil, engine.ErrLost
 	}
 	if len(req.Prefix) > 0 && !e.cfg.Resumes {
@@ -244,23 +246,23 @@
 	if !slices.Contains(e.models, req.Model) {
 		return nil, errors.Wrapf(engine.ErrRejected, "model %q is not loaded", req.Model)
 	}
-	if old := e.streams[req.ID]; old != nil {
-		if old.req.Attempt >= req.Attempt {
+	if running := e.streams[req.ID]; running != nil {
+		if running.req.Attempt >= req.Attempt {
 			return nil, errors.Wrap(engine.ErrRejected, "attempt is not above the running one")
 		}
-		old.gone = true
+		running.removed = true
 	}
 	s := e.newStream(req)
 	e.streams[req.ID] = s
 	e.log = append(e.log, Run{ID: req.ID, Team: req.Team, RequestID: req.RequestID, Attempt: req.Attempt, Prefix: len(req.Prefix)})
-	return e.reader(ctx, s, uint64(len(req.Prefix))), nil
+	return e.newReader(ctx, s, uint64(len(req.Prefix))), nil
 }
 
 func (e *Engine) newStream(req engine.Request) *stream {
-	e.runs++
-	s := &stream{req: req, length: lengthOf(req), digest: engine.NewDigest(), arrival: e.runs, seed: hash(req.ID)}
+	e.runCount++
+	s := &stream{req: req, length: outputLength(req), digest: engine.NewDigest(), arrivalNumber: e.runCount, seed: hash(req.ID)}
 	if !e.cfg.Resumes {
-		s.seed = hash(req.ID, strconv.FormatUint(e.cfg.Nonce, 10), strconv.FormatUint(e.runs, 10))
+		s.seed = hash(req.ID, strconv.FormatUint(e.cfg.Nonce, 10), strconv.FormatUint(e.runCount, 10))
 	}
 	for _, text := range req.Prefix {
 		s.tokens = append(s.tokens, text)
@@ -273,14 +275,14 @@
 func (e *Engine) Attach(ctx context.Context, id string, next uint64) (engine.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.killed {
 		return nil, engine.ErrLost
 	}
 	s := e.streams[id]
 	if s == nil || next > uint64(len(s.tokens)) {
 		return nil, engine.ErrUnknownStream
 	}
-	return e.reader(ctx, s, next), nil
+	return e.newReader(ctx, s, next), nil
 }
 
 type reader struct {
@@ -290,15 +292,16 @@
 	next uint64
 }
 
-// reader counts a reader of s; e.mu is held.
-func (e *Engine) reader(ctx context.Context, s *stream, next uint64) *reader {
+// newReader returns a reader of s from token next on and counts it until ctx ends. The
+// caller holds e.mu.
+func (e *Engine) newReader(ctx context.Context, s *stream, next uint64) *reader {
 	s.readers++
 	context.AfterFunc(ctx, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		s.readers--
-		s.orphaned = time.Now()
-		e.cond.Broadcast()
+		s.orphanedAt = time.Now()
+		e.changed.Broadcast()
 	})
 	return &reader{ctx: ctx, e: e, s: s, next: next}
 }
@@ -309,12 +312,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for r.next >= uint64(len(s.tokens)) && !s.done {
-		if e.dead || s.gone || r.ctx.Err() != nil {
+		if e.killed || s.removed || r.ctx.Err() != nil {
 			return engine.Token{}, engine.ErrLost
 		}
-		e.cond.Wait()
+		e.changed.Wait()
 	}
-	if e.dead {
+	if e.killed {
 		return engine.Token{}, engine.ErrLost
 	}
 	if r.next < uint64(len(s.tokens)) {
@@ -333,9 +336,9 @@
 	if s == nil || s.req.Attempt != attempt {
 		return engine.ErrUnknownStream
 	}
-	s.gone = true
+	s.removed = true
 	delete(e.streams, id)
-	e.cond.Broadcast()
+	e.changed.Broadcast()
 	return nil
 }
 
@@ -343,7 +346,7 @@
 func (e *Engine) List(context.Context) ([]engine.RunningStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.killed {
 		return nil, engine.ErrLost
 	}
 	var out []engine.RunningStream
@@ -360,10 +363,10 @@
 func (e *Engine) Load(context.Context) (engine.Status, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.killed {
 		return engine.Status{}, engine.ErrLost
 	}
-	l := engine.Status{
+	status := engine.Status{
 		MemoryCapacity: e.cfg.Memory, Preemptions: e.preemptions, ResumesFromPrefix: e.cfg.Resumes,
 		Models: slices.Clone(e.models), Adapters: slices.Clone(e.adapters),
 	}
@@ -371,33 +374,33 @@
 		if s.done {
 			continue
 		}
-		l.Running++
-		l.MemoryUsed += s.memory()
+		status.Running++
+		status.MemoryUsed += s.memory()
 	}
-	return l, nil
+	return status, nil
 }
 
 // Order implements engine.Engine.
 func (e *Engine) Order(_ context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.killed {
 		return engine.ErrLost
 	}
-	if e.cfg.ChecksTerm && o.Term < e.term {
+	if e.cfg.ChecksTerm && o.Term < e.highestTerm {
 		return engine.ErrStaleTerm
 	}
-	e.term = max(e.term, o.Term)
+	e.highestTerm = max(e.highestTerm, o.Term)
 	e.orders = append(e.orders, o)
 	if o.Adapter != "" {
-		e.adapters = toggle(e.adapters, o.Adapter, o.Load)
+		e.adapters = setPresent(e.adapters, o.Adapter, o.Load)
 		return nil
 	}
-	e.models = toggle(e.models, o.Model, o.Load)
+	e.models = setPresent(e.models, o.Model, o.Load)
 	return nil
 }
 
-func toggle(names []string, name string, present bool) []string {
+func setPresent(names []string, name string, present bool) []string {
 	names = slices.DeleteFunc(names, func(n string) bool { return n == name })
 	if present {
 		names = append(names, name)
@@ -405,8 +408,8 @@
 	return names
 }
 
-// ExpectedToken is token i of a generation at an engine that resumes, for checks of
-// what a caller saw.
+// ExpectedToken returns token i of a generation at an engine that can resume, for checks
+// of what a caller received.
 func ExpectedToken(generationID string, i int) []byte {
 	return tokenText(hash(generationID), i)
 }
--- a/internal/standin/engines/server.go
+++ b/internal/standin/engines/server.go
@@ -18,7 +18,7 @@
 	Engine engine.Engine
 }
 
-type sender = grpc.ServerStreamingServer[platformv1.EngineGenerateResponse]
+type responseStream = grpc.ServerStreamingServer[platformv1.EngineGenerateResponse]
 
 func rpcError(err error) error {
 	switch {
@@ -32,7 +32,7 @@
 	return status.Error(codes.Unavailable, err.Error())
 }
 
-func relay(st engine.Stream, out sender) error {
+func forward(st engine.Stream, out responseStream) error {
 	for {
 		t, err := st.Recv()
 		if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // Generate implements EngineService.
-func (s *Server) Generate(req *platformv1.EngineGenerateRequest, out sender) error {
+func (s *Server) Generate(req *platformv1.EngineGenerateRequest, out responseStream) error {
 	st, err := s.Engine.Generate(out.Context(), engine.Request{
 		ID: req.GetId(), Attempt: req.GetAttempt(), Team: req.GetTeam(), RequestID: req.GetRequestId(),
 		Model: req.GetModel(), Adapter: req.GetAdapter(), Prompt: req.GetPrompt(),
@@ -60,16 +60,16 @@
 	if err != nil {
 		return rpcError(err)
 	}
-	return relay(st, out)
+	return forward(st, out)
 }
 
 // Attach implements EngineService.
-func (s *Server) Attach(req *platformv1.EngineAttachRequest, out sender) error {
+func (s *Server) Attach(req *platformv1.EngineAttachRequest, out responseStream) error {
 	st, err := s.Engine.Attach(out.Context(), req.GetId(), req.GetNextIndex())
 	if err != nil {
 		return rpcError(err)
 	}
-	return relay(st, out)
+	return forward(st, out)
 }
 
 // Cancel implements EngineService.
@@ -102,13 +102,13 @@
 
 // Load implements EngineService.
 func (s *Server) Load(ctx context.Context, _ *platformv1.EngineLoadRequest) (*platformv1.EngineLoadResponse, error) {
-	l, err := s.Engine.Load(ctx)
+	load, err := s.Engine.Load(ctx)
 	if err != nil {
 		return nil, rpcError(err)
 	}
 	return &platformv1.EngineLoadResponse{
-		Running: l.Running, MemoryUsed: l.MemoryUsed, MemoryCapacity: l.MemoryCapacity, Preemptions: l.Preemptions,
-		ResumesFromPrefix: l.ResumesFromPrefix, Models: l.Models, Adapters: l.Adapters,
+		Running: load.Running, MemoryUsed: load.MemoryUsed, MemoryCapacity: load.MemoryCapacity, Preemptions: load.Preemptions,
+		ResumesFromPrefix: load.ResumesFromPrefix, Models: load.Models, Adapters: load.Adapters,
 	}, nil
 }
 
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -13,49 +13,50 @@
 	"sync/atomic"
 )
 
-// attempts and servers count those of this process.
-var attempts, servers atomic.Uint64
+// attemptCount and serverCount number the attempts and servers of this process.
+var attemptCount, serverCount atomic.Uint64
 
-// process sets their names apart from those of other processes: a port that a server leaves
-// may be the next one of another system, whose gateways must not take it for theirs.
-var process = strconv.FormatInt(int64(os.Getpid()), 36)
+// processTag makes their ids differ from those of other processes. A port that a stopped server has
+// used may be assigned to a server of another process, whose gateways must not mistake one server
+// for the other.
+var processTag = strconv.FormatInt(int64(os.Getpid()), 36)
 
-// NextID is the id of a caller's next attempt.
-func NextID() string { return fmt.Sprintf("attempt-%s-%d", process, attempts.Add(1)) }
+// NextID returns a new id for a caller's attempt.
+func NextID() string { return fmt.Sprintf("attempt-%s-%d", processTag, attemptCount.Add(1)) }
 
-// CallerRequest makes a caller's request as the holder of a key, under an id.
+// CallerRequest describes a caller's request: its id, API key and body.
 type CallerRequest struct {
 	ID, Key string
-	// Body is the request's, a usual one if empty.
+	// Body is the request body; empty means a default body.
 	Body string
 }
 
-// usualBody is the body of requests whose content does not matter.
-const usualBody = "body"
+// defaultBody is sent where the content of a request does not matter.
+const defaultBody = "body"
 
-// client opens a connection for each request, as callers do that retry.
+// client opens a new connection for each request, as callers that retry do.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 
-func request(ctx context.Context, address, path string, as CallerRequest) (*http.Request, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(cmp.Or(as.Body, usualBody)))
+func newRequest(ctx context.Context, address, path string, spec CallerRequest) (*http.Request, error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(cmp.Or(spec.Body, defaultBody)))
 	if err != nil {
 		return nil, err
 	}
 	r.Host = Host
-	r.Header.Set("X-Api-Key", as.Key)
-	r.Header.Set("X-Kingcupplank-Attempt-Id", as.ID)
+	r.Header.Set("X-Api-Key", spec.Key)
+	r.Header.Set("X-Kingcupplank-Attempt-Id", spec.ID)
 	r.Header.Set("X-Kingcupplank-Deadline-Ms", "20000")
 	return r, nil
 }
 
-// Call makes a caller's plain request to a gateway.
+// Call sends a plain request with the default key to a gateway.
 func Call(ctx context.Context, address, path string) (status int, body string, err error) {
 	return CallWith(ctx, address, path, CallerRequest{ID: NextID(), Key: Key})
 }
 
-// CallWith makes a plain request of a given caller.
-func CallWith(ctx context.Context, address, path string, as CallerRequest) (status int, body string, err error) {
-	r, err := request(ctx, address, path, as)
+// CallWith sends the given plain request to a gateway.
+func CallWith(ctx context.Context, address, path string, spec CallerRequest) (status int, body string, err error) {
+	r, err := newRequest(ctx, address, path, spec)
 	if err != nil {
 		return 0, "", err
 	}
@@ -68,19 +69,19 @@
 	return resp.StatusCode, string(data), err
 }
 
-// Stream makes a caller's generation and hands each event on. A nil error is a
-// whole answer.
-func Stream(ctx context.Context, address, path string, each func(event string)) error {
-	status, err := StreamWith(ctx, address, path, CallerRequest{ID: NextID(), Key: Key}, each)
+// Stream starts a generation with the default key and calls onEvent for each event. A nil
+// error means that the response was complete.
+func Stream(ctx context.Context, address, path string, onEvent func(event string)) error {
+	status, err := StreamWith(ctx, address, path, CallerRequest{ID: NextID(), Key: Key}, onEvent)
 	if err == nil && status != http.StatusOK {
 		return fmt.Errorf("status %d", status)
 	}
 	return err
 }
 
-// StreamWith makes a generation of a given caller; events come with status 200 only.
-func StreamWith(ctx context.Context, address, path string, as CallerRequest, each func(event string)) (status int, err error) {
-	r, err := request(ctx, address, path, as)
+// StreamWith starts the given generation; there are events only with status 200.
+func StreamWith(ctx context.Context, address, path string, spec CallerRequest, onEvent func(event string)) (status int, err error) {
+	r, err := newRequest(ctx, address, path, spec)
 	if err != nil {
 		return 0, err
 	}
@@ -94,9 +95,9 @@
 	if resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, nil
 	}
-	in := bufio.NewReader(resp.Body)
+	reader := bufio.NewReader(resp.Body)
 	for event := ""; ; {
-		line, err := in.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err == io.EOF && event == "" && line == "" {
 			return resp.StatusCode, nil
 		}
@@ -105,7 +106,7 @@
 		}
 		event += line
 		if line == "\n" {
-			each(event)
+			onEvent(event)
 			event = ""
 		}
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Services, hosts, paths and keys of the standard configuration.
+// Services, host, paths, key and team of the standard configuration.
 const (
 	ModelService = "model"
 	DeskService  = "desk"
@@ -23,47 +23,49 @@
 	Team         = "team-1"
 )
 
-// Fleet is a small platform: a store, servers and an operator.
+// Fleet is a stand-in for the platform with a store, servers and an operator.
 type Fleet struct {
 	Store *Store
-	// AddProxy, if set, puts something in front of a new server and returns the address
-	// that the server announces.
+	// AddProxy, if set, starts a proxy in front of a new server and returns the address that
+	// the server announces.
 	AddProxy func(address string) (string, error)
 
-	// ReplacementDelay is how long after an end by a fault of its own a server's place is taken
-	// by a new one, EntryExpiryDelay how long its entry stays.
+	// ReplacementDelay is the time from a server's crash to the start of its replacement,
+	// EntryExpiryDelay the time until its entry is removed.
 	ReplacementDelay, EntryExpiryDelay time.Duration
-	// OnCrash, if set, is told of such an end, OnReplacement of the new server.
+	// OnCrash, if set, is called with a server that has crashed, OnReplacement with its
+	// replacement.
 	OnCrash, OnReplacement func(*Server)
 
-	mu      sync.Mutex
-	closed  bool
-	servers []*Server
-	version int
-	// timeoutMs is the longest wait on the routes of the desk service.
-	timeoutMs int
-	// key is the team's, grown the prefixes that pile up.
-	key   string
-	grown []string
-	// config is the newest version as it was written.
-	config map[string]any
-	// cordoned are the zones that the operator has ever emptied, false for those that were
-	// taken back.
-	cordoned map[string]bool
-	// coldPerS is what cold servers bear, 0 for no bound; regions are where requests of the
-	// desk service may run, nil for all.
-	coldPerS float64
-	regions  []string
+	mu            sync.Mutex
+	closed        bool
+	servers       []*Server
+	configVersion int
+	// deskTimeoutMs is the timeout of the routes to the desk service.
+	deskTimeoutMs int
+	// teamKey is the team's API key. addedPrefixes are the prefixes of the routes that AddRoutes
+	// has added.
+	teamKey       string
+	addedPrefixes []string
+	// lastConfig is the configuration that was written last.
+	lastConfig map[string]any
+	// cordons has every failure domain that the operator has ever cordoned; the value is false
+	// once it was uncordoned.
+	cordons map[string]bool
+	// coldPerS is the limit of requests a second for cold servers, 0 for no limit. deskRegions are the
+	// regions in which requests of the desk service may run, nil for all.
+	coldPerS    float64
+	deskRegions []string
 }
 
-// New starts a platform without servers, with the standard configuration.
+// New returns a platform with the standard configuration and without servers.
 func New() *Fleet {
-	f := &Fleet{Store: NewStore(), cordoned: make(map[string]bool), timeoutMs: 1500, ReplacementDelay: 2 * time.Second, EntryExpiryDelay: 3 * time.Second}
+	f := &Fleet{Store: NewStore(), cordons: make(map[string]bool), deskTimeoutMs: 1500, ReplacementDelay: 2 * time.Second, EntryExpiryDelay: 3 * time.Second}
 	f.Configure(Key)
 	return f
 }
 
-// Close ends everything.
+// Close stops all servers and the store.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,8 +76,8 @@
 	f.Store.Close()
 }
 
-// Crash ends a server as by a fault of its own: its process is gone at once, its entry lapses,
-// and a new one of its kind starts some time later.
+// Crash simulates the crash of a server: it is killed at once, and after a delay each, its entry
+// is removed and a replacement with the same behavior starts.
 func (f *Fleet) Crash(s *Server) {
 	if s.stopped.Load() {
 		return
@@ -94,11 +96,11 @@
 			return
 		}
 		s.mu.Lock()
-		b := s.behave
+		b := s.behavior
 		s.mu.Unlock()
-		again, err := f.Add(s.Service, s.FailureDomain, b)
+		replacement, err := f.Add(s.Service, s.FailureDomain, b)
 		if err == nil && f.OnReplacement != nil {
-			f.OnReplacement(again)
+			f.OnReplacement(replacement)
 		}
 	})
 }
@@ -109,17 +111,17 @@
 	return f.closed
 }
 
-// Servers lists all servers that were ever started.
+// Servers returns all servers ever started, in that order.
 func (f *Fleet) Servers() []*Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.servers)
 }
 
-// Add starts a server.
-func (f *Fleet) Add(service, zone string, b Behavior) (*Server, error) {
-	id := fmt.Sprintf("i-%s-%s-%d", service, process, servers.Add(1))
-	s, err := newServer(f, service, zone, id, b)
+// Add starts a server and announces it.
+func (f *Fleet) Add(service, domain string, b Behavior) (*Server, error) {
+	id := fmt.Sprintf("i-%s-%s-%d", service, processTag, serverCount.Add(1))
+	s, err := newServer(f, service, domain, id, b)
 	if err != nil {
 		return nil, err
 	}
@@ -129,27 +131,26 @@
 	return s, nil
 }
 
-// Restart begins another life of a server that has ended, under its id and at its
-// address.
+// Restart starts a new incarnation of a stopped server under the same id and address.
 func (f *Fleet) Restart(old *Server) (*Server, error) {
 	l, err := net.Listen("tcp", old.listener.Addr().String())
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		ID: old.ID, Service: old.Service, Address: old.Address, FailureDomain: old.FailureDomain, behave: old.behave,
+		ID: old.ID, Service: old.Service, Address: old.Address, FailureDomain: old.FailureDomain, behavior: old.behavior,
 		StartTime: max(time.Now().UnixMilli(), old.StartTime+1),
 	}
 	f.mu.Lock()
 	f.servers = append(f.servers, s)
 	f.mu.Unlock()
-	s.serve(f, l)
+	s.start(f, l)
 	return s, nil
 }
 
-// byAddress returns the server that had an address last, also if it has ended: a
-// copy outlives the server that it was made of.
-func (f *Fleet) byAddress(address string) *Server {
+// lastServerAt returns the server that had an address last, even if it has stopped: a
+// copy of a run outlives the server it was made at.
+func (f *Fleet) lastServerAt(address string) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range slices.Backward(f.servers) {
@@ -160,53 +161,53 @@
 	return nil
 }
 
-// AddRoutes writes a new version with n routes more to the desk service, which stay, and
-// returns the prefix of the last.
+// AddRoutes writes a new configuration with n more routes to the desk service and returns the
+// prefix of the last. Later configurations keep these routes.
 func (f *Fleet) AddRoutes(n int) string {
 	f.mu.Lock()
 	for range n {
-		f.grown = append(f.grown, fmt.Sprintf("/grown-%d/", len(f.grown)))
+		f.addedPrefixes = append(f.addedPrefixes, fmt.Sprintf("/grown-%d/", len(f.addedPrefixes)))
 	}
-	key, last := f.key, f.grown[len(f.grown)-1]
+	key, lastPrefix := f.teamKey, f.addedPrefixes[len(f.addedPrefixes)-1]
 	f.mu.Unlock()
 	f.Configure(key)
-	return last
+	return lastPrefix
 }
 
-// coldTime is how long servers are cold after their start.
-const coldTime = 2 * time.Second
+// coldDuration is how long servers are cold after their start.
+const coldDuration = 2 * time.Second
 
-// SetColdLimit has operators say what cold servers bear a second, and in which regions requests of
-// the desk service may run.
+// SetColdLimit writes a configuration with a limit of requests a second for cold servers, and with
+// the regions in which requests of the desk service may run.
 func (f *Fleet) SetColdLimit(coldPerS float64, regions ...string) {
 	f.mu.Lock()
-	f.coldPerS, f.regions = coldPerS, regions
-	key := f.key
+	f.coldPerS, f.deskRegions = coldPerS, regions
+	key := f.teamKey
 	f.mu.Unlock()
 	f.Configure(key)
 }
 
-func regionsOf(service string, regions []string) []string {
+func allowedRegions(service string, regions []string) []string {
 	if service != DeskService {
 		return nil
 	}
 	return regions
 }
 
-// Configure writes a new version of the standard configuration in which the team
-// has the given key, with further routes to the desk service.
-func (f *Fleet) Configure(key string, more ...string) {
+// Configure writes a new version of the standard configuration. The team has the given
+// key, and each extra prefix gets a route to the desk service.
+func (f *Fleet) Configure(key string, extraPrefixes ...string) {
 	f.mu.Lock()
-	f.version += 3
-	f.key = key
-	version, timeout, more := f.version, f.timeoutMs, slices.Concat(f.grown, more)
-	coldPerS, regions := f.coldPerS, f.regions
+	f.configVersion += 3
+	f.teamKey = key
+	version, timeout, extraPrefixes := f.configVersion, f.deskTimeoutMs, slices.Concat(f.addedPrefixes, extraPrefixes)
+	coldPerS, regions := f.coldPerS, f.deskRegions
 	f.mu.Unlock()
 	route := func(name, prefix, kind, service string, timeoutMs, targetMs, attempts int) map[string]any {
 		return map[string]any{
 			"name": name, "host": Host, "prefix": prefix, "type": kind, "service": service, "timeoutMs": timeoutMs,
 			"targetLatencyMs": targetMs, "maxAttempts": attempts, "priority": 1, "public": name == "open",
-			"streamResume": name == "check", "itlTargetMs": 180, "allowedRegions": regionsOf(service, regions),
+			"streamResume": name == "check", "itlTargetMs": 180, "allowedRegions": allowedRegions(service, regions),
 		}
 	}
 	routes := []map[string]any{
@@ -216,62 +217,62 @@
 		route("safe", "/safe/", "safe", DeskService, timeout, 150, 2),
 		route("open", "/open/", "safe", DeskService, timeout, 150, 2),
 	}
-	for _, prefix := range more {
+	for _, prefix := range extraPrefixes {
 		routes = append(routes, route("more"+prefix, prefix, "safe", DeskService, timeout, 150, 2))
 	}
 	config := map[string]any{
 		"version": version, "routes": routes,
 		"services": []map[string]any{
-			{"name": ModelService, "maxConnections": 100, "coldStartS": coldTime.Seconds(), "coldPerS": coldPerS, "inferenceEngine": map[string]any{
+			{"name": ModelService, "maxConnections": 100, "coldStartS": coldDuration.Seconds(), "coldPerS": coldPerS, "inferenceEngine": map[string]any{
 				"slots": 8, "kvCapacityTokens": 30000, "kvTokenBytes": 1000, "bandwidthMbps": 1000,
 				"migrations": true, "replicas": true, "increment": 4, "kvTtlS": 5,
 			}},
-			{"name": DeskService, "maxConnections": 100, "coldStartS": coldTime.Seconds(), "coldPerS": coldPerS},
+			{"name": DeskService, "maxConnections": 100, "coldStartS": coldDuration.Seconds(), "coldPerS": coldPerS},
 		},
 		"limits":  map[string]any{"maxHeaderBytes": 8192, "maxBodyBytes": 65536, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
 		"tenants": []map[string]any{{"name": Team, "apiKeys": []string{key}}},
 	}
 	f.mu.Lock()
-	f.config = config
+	f.lastConfig = config
 	f.mu.Unlock()
 	f.Store.Put("op", "config", config)
 }
 
-// cordonPrefix begins the keys of the operator's requests to empty a failure domain.
-const cordonPrefix = "evacuate/"
+// cordonKeyPrefix begins the keys of the rows by which the operator cordons a failure domain.
+const cordonKeyPrefix = "evacuate/"
 
-// Cordon has the operator ask that the servers of a zone get nothing.
-func (f *Fleet) Cordon(zone string) {
+// Cordon writes the operator's request that servers of a failure domain get no requests.
+func (f *Fleet) Cordon(domain string) {
 	f.mu.Lock()
-	f.cordoned[zone] = true
+	f.cordons[domain] = true
 	f.mu.Unlock()
-	f.Store.Put("op", cordonPrefix+zone, map[string]any{})
+	f.Store.Put("op", cordonKeyPrefix+domain, map[string]any{})
 }
 
-// Uncordon takes that back.
-func (f *Fleet) Uncordon(zone string) {
+// Uncordon removes the operator's request to cordon a failure domain.
+func (f *Fleet) Uncordon(domain string) {
 	f.mu.Lock()
-	f.cordoned[zone] = false
+	f.cordons[domain] = false
 	f.mu.Unlock()
-	f.Store.Remove("op", cordonPrefix+zone)
+	f.Store.Remove("op", cordonKeyPrefix+domain)
 }
 
-// RewriteRows has operator and servers write again what they wrote last, in a store that has
-// come back older; pause is called between two writes.
+// RewriteRows writes the last rows of the operator and the servers again after the store was
+// restored from a backup. It calls pause before each server's row.
 func (f *Fleet) RewriteRows(pause func()) {
 	f.mu.Lock()
-	config, servers, cordoned := f.config, slices.Clone(f.servers), maps.Clone(f.cordoned)
+	config, servers, cordoned := f.lastConfig, slices.Clone(f.servers), maps.Clone(f.cordons)
 	f.mu.Unlock()
 	f.Store.Put("op", "config", config)
-	for zone, empty := range cordoned {
-		if empty {
-			f.Store.Put("op", cordonPrefix+zone, map[string]any{})
+	for domain, isCordoned := range cordoned {
+		if isCordoned {
+			f.Store.Put("op", cordonKeyPrefix+domain, map[string]any{})
 		} else {
-			f.Store.Remove("op", cordonPrefix+zone)
+			f.Store.Remove("op", cordonKeyPrefix+domain)
 		}
 	}
 	for _, s := range servers {
 		pause()
-		s.rewrite()
+		s.rewriteEntry()
 	}
 }
--- /dev/null
+++ b/internal/standin/fleet/migration.go
@@ -0,0 +1,55 @@
+package fleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+)
+
+// handleMigration copies the KV cache of a run to another engine. The source records the
+// copy under its handle. A second call for the same run renews the copy.
+func (s *Server) handleMigration(w http.ResponseWriter, r *http.Request) {
+	var body struct {
+		ID    string `json:"id"`
+		To    string `json:"to"`
+		Final bool   `json:"final"`
+	}
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	s.mu.Lock()
+	active, b := s.runs[body.ID], s.behavior
+	s.mu.Unlock()
+	if active == nil {
+		w.WriteHeader(http.StatusNotFound)
+		return
+	}
+	target := s.serverAt(body.To)
+	if target == nil || target.stopped.Load() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	if body.Final {
+		active.abort()
+	}
+	handle := "h-" + body.ID
+	s.mu.Lock()
+	_, isRenewal := s.copies[handle]
+	s.mu.Unlock()
+	if !isRenewal {
+		time.Sleep(b.CopyTime)
+	}
+	s.mu.Lock()
+	s.copies[handle] = body.ID
+	s.mu.Unlock()
+	w.Header().Set("Content-Type", "application/json")
+	fmt.Fprintf(w, `{"kvHandle":%q,"createdRevision":%d}`, handle, active.lastEvent.Load())
+}
+
+func (s *Server) handleDeleteCopy(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.copies, r.PathValue("handle"))
+}
--- a/internal/standin/fleet/names_test.go
+++ b/internal/standin/fleet/names_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a server that takes a request which is meant for one of another system, whose
-// port it has got.
-func TestServersOfTwoSystemsHaveNoNameInCommon(t *testing.T) {
+// Guards against a server that accepts a request for a server of another platform stand-in which
+// had the same port before.
+func TestServerIDsOfTwoFleetsDiffer(t *testing.T) {
 	first, second := New(), New()
 	t.Cleanup(first.Close)
 	t.Cleanup(second.Close)
@@ -21,7 +21,7 @@
 	seen := make(map[string]bool)
 	for _, s := range append(first.Servers(), second.Servers()...) {
 		require.False(t, seen[s.ID], s.ID)
-		require.Contains(t, s.ID, process)
+		require.Contains(t, s.ID, processTag)
 		seen[s.ID] = true
 	}
 }
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -13,82 +13,83 @@
 	"time"
 )
 
-// Execution is a request as a server got it.
+// Execution is a request that a server executed.
 type Execution struct {
 	ID, Method, Target, Body string
 	Header                   http.Header
 	At                       time.Time
-	// FromCopy says that the request went on from a copy of its run.
+	// FromCopy says whether the run continued from a copy of its KV cache.
 	FromCopy bool
 }
 
-// Arrival is a request that reached a server, whether it ran or was refused.
+// Arrival is a request that reached a server, whether it was executed or rejected.
 type Arrival struct {
 	ID string
 	At time.Time
 }
 
-// Server is a backend server: a plain service, or a model engine if Events is set.
+// Server is a backend server. It is a model engine if Behavior.Events is set, otherwise a
+// plain service.
 type Server struct {
 	ID, Service, Address, FailureDomain string
-	// StartTime is the Unix millisecond of its start.
+	// StartTime is when this incarnation started, in Unix milliseconds.
 	StartTime int64
 
 	store    *Store
 	http     *http.Server
 	listener net.Listener
-	// peers are all engines, by address.
-	peers func(address string) *Server
-	// end ends the server as by a fault of its own.
-	end func(*Server)
+	// serverAt returns the server that had an address last, nil if there was none.
+	serverAt func(address string) *Server
+	// crash is Fleet.Crash.
+	crash func(*Server)
 
 	mu sync.Mutex
-	// seen are the requests that it ran, arrived all that were sent to it.
-	seen    []Execution
-	arrived []Arrival
-	runs    map[string]*run
-	// copies are runs' memories that were moved here or stay after a stop, by
-	// handle.
-	copies map[string]string
-	behave Behavior
-	state  string
-	// coldUntil is when the server is warm.
+	// executions are the requests that were executed, arrivals all that reached the server.
+	executions []Execution
+	arrivals   []Arrival
+	runs       map[string]*run
+	// copies has the attempt's id of each copy of a run's KV cache, by the copy's handle:
+	// copies of migrations that started here and standby copies held here.
+	copies   map[string]string
+	behavior Behavior
+	state    string
+	// coldUntil is when the server stops being cold.
 	coldUntil time.Time
 
 	stopped atomic.Bool
-	// left says that the server's entry was dropped.
-	left atomic.Bool
-	// dark is closed when the server falls silent.
-	dark    chan struct{}
-	waiting atomic.Int64
+	// entryRemoved says whether the server's entry was removed.
+	entryRemoved atomic.Bool
+	// hung is closed when the server hangs.
+	hung       chan struct{}
+	inProgress atomic.Int64
 }
 
-// Behavior is how a server answers.
+// Behavior is how a server responds.
 type Behavior struct {
-	// Delay is the time before an answer's head.
+	// Delay is the time before the header of a response.
 	Delay time.Duration
-	// Status replaces 200.
+	// Status, if 300 or above, is the status of every response in place of 200.
 	Status int
-	// RejectAll refuses everything as not run.
+	// RejectAll rejects every request as not executed.
 	RejectAll bool
-	// Headers are headers of every answer, refusals too.
+	// Headers are added to every response, rejections included.
 	Headers http.Header
-	// Events is the number of events of a stream, EventEvery the time between two.
+	// Events is the number of events in a stream, EventInterval the time between two.
 	Events        int
 	EventInterval time.Duration
-	// CopyTime is how long a copy of a run takes.
+	// CopyTime is how long the first copy of a run's KV cache takes.
 	CopyTime time.Duration
-	// CrashOn, if set, has the server end EndsAfter the first byte of its answer to a
-	// request whose body contains it; see Fleet.End.
+	// CrashOn, if set, makes the server crash CrashDelay after Delay on a request whose
+	// body contains this text; see Fleet.Crash.
 	CrashOn    string
 	CrashDelay time.Duration
-	// Raw, if set, answers in the server's place, on the bare connection.
+	// Raw, if set, handles the request on the hijacked connection instead.
 	Raw func(c net.Conn, r *http.Request)
 }
 
-// endless is the behaviour towards a request that is not answered whole before the server
-// ends under it.
-func (b Behavior) endless() Behavior {
+// neverFinishing returns the behavior for a request on which the server crashes before the
+// response is complete.
+func (b Behavior) neverFinishing() Behavior {
 	if b.Events > 0 {
 		b.Events = math.MaxInt
 	} else {
@@ -99,15 +100,15 @@
 
 // run is a stream in progress.
 type run struct {
-	last atomic.Int64
-	stop chan struct{}
-	once sync.Once
+	lastEvent atomic.Int64
+	stop      chan struct{}
+	once      sync.Once
 }
 
-func (u *run) halt() { u.once.Do(func() { close(u.stop) }) }
+func (u *run) abort() { u.once.Do(func() { close(u.stop) }) }
 
-// newServer starts a server and announces it.
-func newServer(f *Fleet, service, zone, id string, b Behavior) (*Server, error) {
+// newServer starts a server and writes its entry.
+func newServer(f *Fleet, service, domain, id string, b Behavior) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -119,82 +120,83 @@
 			return nil, err
 		}
 	}
-	s := &Server{ID: id, Service: service, Address: address, FailureDomain: zone, StartTime: time.Now().UnixMilli(), behave: b}
-	s.serve(f, l)
+	s := &Server{ID: id, Service: service, Address: address, FailureDomain: domain, StartTime: time.Now().UnixMilli(), behavior: b}
+	s.start(f, l)
 	return s, nil
 }
 
-// serve begins a life of the server: it knows of no run and no copy.
-func (s *Server) serve(f *Fleet, l net.Listener) {
-	s.store, s.listener, s.peers, s.end = f.Store, l, f.byAddress, f.Crash
+// start starts an incarnation of the server, which has no runs and no copies.
+func (s *Server) start(f *Fleet, l net.Listener) {
+	s.store, s.listener, s.serverAt, s.crash = f.Store, l, f.lastServerAt, f.Crash
 	s.runs, s.copies = make(map[string]*run), make(map[string]string)
-	s.state, s.dark = "ready", make(chan struct{})
+	s.state, s.hung = "ready", make(chan struct{})
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /kingcupplank/report", s.report)
-	mux.HandleFunc("POST /kingcupplank/kv-move", s.move)
-	mux.HandleFunc("DELETE /kingcupplank/kv-handle/{handle}", s.dropHandle)
-	// Calls of the platform that are meant for another process, which had the port before.
+	mux.HandleFunc("GET /kingcupplank/report", s.handleReport)
+	mux.HandleFunc("POST /kingcupplank/kv-move", s.handleMigration)
+	mux.HandleFunc("DELETE /kingcupplank/kv-handle/{handle}", s.handleDeleteCopy)
+	// Platform calls for another process that used this port before.
 	mux.HandleFunc("/kingcupplank/", http.NotFound)
-	mux.HandleFunc("/", s.request)
+	mux.HandleFunc("/", s.handleRequest)
 	s.http = &http.Server{Handler: mux}
 	go s.http.Serve(l)
-	s.announce()
+	s.writeEntry()
 }
 
-func (s *Server) announce() {
+func (s *Server) writeEntry() {
 	s.mu.Lock()
-	state, cold := s.state, max(0, time.Until(s.coldUntil))
+	state, coldRemaining := s.state, max(0, time.Until(s.coldUntil))
 	s.mu.Unlock()
 	s.store.Put("servers", s.ID, map[string]any{
 		"service": s.Service, "address": s.Address, "zone": s.FailureDomain, "version": "v1", "slots": 8,
-		"state": state, "coldRemainingMs": cold.Milliseconds(), "sequence": 1, "born": s.StartTime,
+		"state": state, "coldRemainingMs": coldRemaining.Milliseconds(), "sequence": 1, "born": s.StartTime,
 	})
 }
 
-// SetColdFor makes the server cold for some time from now on; its entry says so.
+// SetColdFor makes the server cold for d from now on and updates its entry.
 func (s *Server) SetColdFor(d time.Duration) {
 	s.mu.Lock()
 	s.coldUntil = time.Now().Add(d)
 	s.mu.Unlock()
-	s.announce()
+	s.writeEntry()
 }
 
-// SetBehavior changes how the server answers from now on.
+// SetBehavior changes how the server responds from now on.
 func (s *Server) SetBehavior(b Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave = b
+	s.behavior = b
 }
 
-// StartDraining says that the server is leaving; told says whether its entry does.
-func (s *Server) StartDraining(told bool) {
+// StartDraining sets the server's state to draining. If inEntry is set, its entry is updated too.
+func (s *Server) StartDraining(inEntry bool) {
 	s.mu.Lock()
 	s.state = "draining"
 	s.mu.Unlock()
-	if told {
-		s.announce()
+	if inEntry {
+		s.writeEntry()
 	}
 }
 
-// Heartbeat writes the server's entry anew.
-func (s *Server) Heartbeat() { s.announce() }
+// Heartbeat writes the server's entry again.
+func (s *Server) Heartbeat() { s.writeEntry() }
 
-// RemoveEntry drops the server's entry, without another word.
+// RemoveEntry removes the server's entry without marking the server as draining first.
 func (s *Server) RemoveEntry() {
-	s.left.Store(true)
+	s.entryRemoved.Store(true)
 	s.store.Remove("servers", s.ID)
 }
 
-// rewrite has the server's entry be as it last was, in a store that has come back older.
-func (s *Server) rewrite() {
-	if s.left.Load() {
+// rewriteEntry writes or removes the server's entry again after the store was restored from a
+// backup.
+func (s *Server) rewriteEntry() {
+	if s.entryRemoved.Load() {
 		s.store.Remove("servers", s.ID)
 		return
 	}
-	s.announce()
+	s.writeEntry()
 }
 
-// Kill ends the server and its connections at once.
+// Kill stops the server and closes its connections at once.
 func (s *Server) Kill() {
 	if s.stopped.Swap(true) {
 		return
@@ -202,68 +204,68 @@
 	s.http.Close()
 }
 
-// Hang has the server fall silent: it takes no connection and brings no event, and
-// the connections that it has stay open.
+// Hang makes the server hang: it accepts no connection and sends no event, but its connections
+// stay open.
 func (s *Server) Hang() {
-	close(s.dark)
+	close(s.hung)
 	s.listener.Close()
 }
 
-// Executions lists the requests that the server ran.
+// Executions returns the requests that the server executed.
 func (s *Server) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Execution(nil), s.seen...)
+	return append([]Execution(nil), s.executions...)
 }
 
-// Arrivals lists the requests that reached the server, but for those meant for another one.
+// Arrivals returns the requests that reached the server, except those meant for another server.
 func (s *Server) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Arrival(nil), s.arrived...)
+	return append([]Arrival(nil), s.arrivals...)
 }
 
-// Waiting counts the requests that are not answered.
-func (s *Server) Waiting() int { return int(s.waiting.Load()) }
+// Waiting returns the number of requests in progress.
+func (s *Server) Waiting() int { return int(s.inProgress.Load()) }
 
-// Running counts the streams in progress.
+// Running returns the number of streams in progress.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.runs)
 }
 
-func (s *Server) request(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
-	b := s.behave
+	b := s.behavior
 	s.mu.Unlock()
-	if want := r.Header.Get("X-Kingcupplank-Expect-Instance"); want != "" && want != s.ID {
+	if expectedID := r.Header.Get("X-Kingcupplank-Expect-Instance"); expectedID != "" && expectedID != s.ID {
 		w.Header().Set("X-Kingcupplank-Instance-Id", s.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	s.arrive(r)
+	s.recordArrival(r)
 	maps.Copy(w.Header(), b.Headers)
 	if b.RejectAll {
 		w.Header().Set("X-Kingcupplank-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	from := 0
-	if copyOf := r.Header.Get("Kv-From"); copyOf != "" {
-		if !s.takeCopy(copyOf, r.Header.Get("X-Kingcupplank-Attempt-Id")) {
+	lastReceived := 0
+	if copyRef := r.Header.Get("Kv-From"); copyRef != "" {
+		if !s.consumeCopy(copyRef, r.Header.Get("X-Kingcupplank-Attempt-Id")) {
 			w.Header().Set("X-Kingcupplank-Not-Executed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 	}
-	fmt.Sscan(r.Header.Get("Last-Event-Id"), &from)
+	fmt.Sscan(r.Header.Get("Last-Event-Id"), &lastReceived)
 	s.mu.Lock()
-	s.seen = append(s.seen, Execution{
+	s.executions = append(s.executions, Execution{
 		ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), Method: r.Method, Target: r.RequestURI,
 		Body: string(body), Header: r.Header.Clone(), At: time.Now(), FromCopy: r.Header.Get("Kv-From") != "",
 	})
@@ -277,21 +279,21 @@
 		return
 	}
 	if b.CrashOn != "" && strings.Contains(string(body), b.CrashOn) {
-		time.AfterFunc(b.Delay+b.CrashDelay, func() { s.end(s) })
-		b = b.endless()
+		time.AfterFunc(b.Delay+b.CrashDelay, func() { s.crash(s) })
+		b = b.neverFinishing()
 	}
-	s.answer(w, r, b, from)
+	s.respond(w, r, b, lastReceived)
 }
 
-func (s *Server) arrive(r *http.Request) {
+func (s *Server) recordArrival(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arrived = append(s.arrived, Arrival{ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), At: time.Now()})
+	s.arrivals = append(s.arrivals, Arrival{ID: r.Header.Get("X-Kingcupplank-Attempt-Id"), At: time.Now()})
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behavior, from int) {
-	s.waiting.Add(1)
-	defer s.waiting.Add(-1)
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, b Behavior, lastReceived int) {
+	s.inProgress.Add(1)
+	defer s.inProgress.Add(-1)
 	select {
 	case <-time.After(b.Delay):
 	case <-r.Context().Done():
@@ -308,18 +310,18 @@
 		io.WriteString(w, "answer of "+s.ID)
 		return
 	}
-	s.stream(w, r, b, from)
+	s.streamEvents(w, r, b, lastReceived)
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, b Behavior, from int) {
+func (s *Server) streamEvents(w http.ResponseWriter, r *http.Request, b Behavior, lastReceived int) {
 	id := r.Header.Get("X-Kingcupplank-Attempt-Id")
-	if backup := s.peers(r.Header.Get("X-Kingcupplank-Kv-Backup")); backup != nil {
-		backup.keep(id)
+	if standby := s.serverAt(r.Header.Get("X-Kingcupplank-Kv-Backup")); standby != nil {
+		standby.addStandbyCopy(id)
 	}
-	u := &run{stop: make(chan struct{})}
-	u.last.Store(int64(from))
+	active := &run{stop: make(chan struct{})}
+	active.lastEvent.Store(int64(lastReceived))
 	s.mu.Lock()
-	s.runs[id] = u
+	s.runs[id] = active
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
@@ -327,20 +329,20 @@
 		s.mu.Unlock()
 	}()
 	w.Header().Set("Content-Type", "text/event-stream")
-	flush := http.NewResponseController(w)
-	for n := from + 1; n <= b.Events; n++ {
+	controller := http.NewResponseController(w)
+	for n := lastReceived + 1; n <= b.Events; n++ {
 		fmt.Fprintf(w, "id: %d\ndata: tok%d\n\n", n, n)
-		if flush.Flush() != nil {
+		if controller.Flush() != nil {
 			return
 		}
-		u.last.Store(int64(n))
+		active.lastEvent.Store(int64(n))
 		select {
-		case <-u.stop:
-			// Half an event, and no end.
+		case <-active.stop:
+			// The stream breaks off within an event.
 			fmt.Fprintf(w, "id: %d\nda", n+1)
-			flush.Flush()
+			controller.Flush()
 			panic(http.ErrAbortHandler)
-		case <-s.dark:
+		case <-s.hung:
 			<-r.Context().Done()
 			return
 		case <-r.Context().Done():
@@ -350,23 +352,24 @@
 	}
 }
 
-func (s *Server) report(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleReport(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintf(w, `{"phase":"hybrid","state":%q,"activeRequests":%d}`, s.state, len(s.runs))
 }
 
-// keep takes a standing copy of a run; its handle is the run's id.
-func (s *Server) keep(id string) {
+// addStandbyCopy stores a standby copy of a run under the run's id as its handle.
+func (s *Server) addStandbyCopy(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.copies[id] = id
 }
 
-// takeCopy uses up a copy that was given a handle, here or at its source.
-func (s *Server) takeCopy(from, id string) bool {
-	address, handle, _ := strings.Cut(from, "/")
-	source := s.peers(address)
+// consumeCopy removes the copy "address/handle" of the run with the given id from the server that
+// recorded it. It returns false if there is no such copy.
+func (s *Server) consumeCopy(ref, id string) bool {
+	address, handle, _ := strings.Cut(ref, "/")
+	source := s.serverAt(address)
 	if source == nil {
 		return false
 	}
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/settings.go
@@ -9,19 +9,20 @@
 	"kingcupplank.example/kingcup/internal/standin"
 )
 
-// VMSettings is what the platform tells a gateway's process.
+// VMSettings holds the settings that the platform gives to the gateway's process of a VM.
 type VMSettings struct {
 	Name string
-	// Callers, Ready and Peers are the addresses that the gateway serves.
+	// Callers, Ready and Peers are the addresses on which the gateway serves callers,
+	// readiness checks and other gateways.
 	Callers, Ready, Peers string
 	Store                 string
-	// RevokeMs bounds how long a removed key may work.
+	// RevokeMs is the maximum time for which a removed key may be accepted, in milliseconds.
 	RevokeMs int
 	// LinkMbps is the VM's bandwidth in Mbit/s.
 	LinkMbps float64
 }
 
-// NewVMSettings gives a gateway addresses of its own.
+// NewVMSettings returns settings with unique addresses for a gateway.
 func NewVMSettings(name, store string) VMSettings {
 	return VMSettings{
 		Name: name, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(), Peers: standin.UniqueAddress(),
@@ -29,7 +30,7 @@
 	}
 }
 
-// SettingsVariable names the settings file to a process.
+// SettingsVariable is the environment variable with the path of a process's settings file.
 const SettingsVariable = "KINGCUPPLANK_BOOT"
 
 // WriteFile writes the node's settings file.
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -1,6 +1,6 @@
-// Package fleet stands in for the users' platform: its row store, its backend
-// servers and its operator, over HTTP on loopback, with faults that a test or a
-// demonstration turns on.
+// Package fleet is a stand-in for the users' platform: its row store, backend
+// servers and operator, over HTTP on loopback. Tests and demonstrations can inject
+// faults.
 package fleet
 
 import (
@@ -19,7 +19,7 @@
 	"kingcupplank.example/kingcup/internal/standin"
 )
 
-// Row is a row of the store as it is written on the wire.
+// Row is a row of the store in its wire format.
 type Row struct {
 	Table   string `json:"tableName"`
 	Part    string `json:"part"`
@@ -29,218 +29,218 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Fault is what the store does to calls.
+// Fault is how the store fails calls.
 type Fault int
 
 // The faults of a store.
 const (
-	// NoFault answers.
+	// NoFault handles calls normally.
 	NoFault Fault = iota
-	// Busy answers 503.
+	// Busy responds with status 503.
 	Busy
-	// Silent does not answer.
+	// Silent never responds.
 	Silent
-	// Reset closes connections.
+	// Reset closes connections without a response.
 	Reset
 )
 
-// Endpoint is an address of the store with faults of its own, as one VM meets them.
+// Endpoint is an address of the store with faults of its own, for example for one VM.
 type Endpoint struct {
 	Address string
 
-	store *Store
-	http  *http.Server
-	fault Fault
-	calls int
-	// link carries the answers, nil for one without a rate.
+	store     *Store
+	http      *http.Server
+	fault     Fault
+	callCount int
+	// link limits the bandwidth of responses; nil means no limit.
 	link *standin.Link
 }
 
 // Store is the platform's store.
 type Store struct {
-	handler http.Handler
-	start   time.Time
-	stopped chan struct{}
-
-	mu      sync.Mutex
-	rows    map[string]Row
-	history []Row
-	version uint64
-	oldest  uint64
-	// era rises each time that the store comes back from a copy; 0 says nothing of it.
-	era     uint64
-	changed chan struct{}
-	doors   []*Endpoint
-	calls   int
-	// slow is how long reading a table takes.
-	slow map[string]time.Duration
-}
-
-// NewStore returns an empty store without a door.
+	handler   http.Handler
+	startTime time.Time
+	stopped   chan struct{}
+
+	mu            sync.Mutex
+	rows          map[string]Row
+	history       []Row
+	version       uint64
+	oldestVersion uint64
+	// era grows with each restore from a backup. With 0, responses don't name it.
+	era       uint64
+	changed   chan struct{}
+	endpoints []*Endpoint
+	callCount int
+	// readDelays has the delay of reads, by table.
+	readDelays map[string]time.Duration
+}
+
+// NewStore returns an empty store without endpoints.
 func NewStore() *Store {
 	s := &Store{
-		start: time.Now(), stopped: make(chan struct{}),
-		rows: make(map[string]Row), changed: make(chan struct{}), slow: make(map[string]time.Duration), era: 1,
+		startTime: time.Now(), stopped: make(chan struct{}),
+		rows: make(map[string]Row), changed: make(chan struct{}), readDelays: make(map[string]time.Duration), era: 1,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /kingcupplank/rows-get", s.get)
-	mux.HandleFunc("GET /kingcupplank/rows-feed", s.feed)
-	mux.HandleFunc("POST /kingcupplank/rows-tx", s.transact)
+	mux.HandleFunc("GET /kingcupplank/rows-get", s.handleGet)
+	mux.HandleFunc("GET /kingcupplank/rows-feed", s.handleFeed)
+	mux.HandleFunc("POST /kingcupplank/rows-tx", s.handleTransaction)
 	s.handler = mux
 	return s
 }
 
-// AddEndpoint starts a door on loopback.
+// AddEndpoint starts an endpoint on loopback.
 func (s *Store) AddEndpoint() (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Endpoint{Address: l.Addr().String(), store: s}
-	d.http = &http.Server{Handler: d}
+	e := &Endpoint{Address: l.Addr().String(), store: s}
+	e.http = &http.Server{Handler: e}
 	s.mu.Lock()
-	s.doors = append(s.doors, d)
+	s.endpoints = append(s.endpoints, e)
 	s.mu.Unlock()
-	go d.http.Serve(l)
-	return d, nil
+	go e.http.Serve(l)
+	return e, nil
 }
 
-// Close ends the store.
+// Close stops the store.
 func (s *Store) Close() {
 	close(s.stopped)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.doors {
-		d.http.Close()
+	for _, e := range s.endpoints {
+		e.http.Close()
 	}
 }
 
-// SetFault changes what happens to calls, also to those that wait.
-func (d *Endpoint) SetFault(f Fault) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	d.fault = f
+// SetFault sets the fault of all further calls; calls in progress keep theirs.
+func (e *Endpoint) SetFault(f Fault) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.fault = f
 }
 
-// Calls is how many calls have come through the door.
-func (d *Endpoint) Calls() int {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	return d.calls
+// Calls returns the number of calls at this endpoint so far.
+func (e *Endpoint) Calls() int {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	return e.callCount
 }
 
-// SetLink gives the answers a link with a rate.
-func (d *Endpoint) SetLink(l *standin.Link) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	d.link = l
+// SetLink limits the bandwidth of responses to that of a link.
+func (e *Endpoint) SetLink(l *standin.Link) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.link = l
 }
 
-// SetReadDelay changes how long reading a table takes.
+// SetReadDelay sets the delay of reads of a table.
 func (s *Store) SetReadDelay(table string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow[table] = d
+	s.readDelays[table] = d
 }
 
-// SetFault changes what happens to calls at all doors.
+// SetFault sets the fault of further calls at all endpoints.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.doors {
-		d.fault = f
+	for _, e := range s.endpoints {
+		e.fault = f
 	}
 }
 
-// EncodedSize is how many bytes a row takes in an answer.
+// EncodedSize returns the number of bytes of a row's data in a response.
 func (s *Store) EncodedSize(table, key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return base64.StdEncoding.EncodedLen(len(s.rows[id(table, "", key)].Data))
+	return base64.StdEncoding.EncodedLen(len(s.rows[rowID(table, "", key)].Data))
 }
 
-// Calls counts the calls so far, refused ones included.
+// Calls returns the number of calls so far, failed ones included.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.callCount
 }
 
-// Compact forgets the history.
+// Compact drops the history of changes.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.oldest = nil, s.version
+	s.history, s.oldestVersion = nil, s.version
 }
 
-// Backup is what the store held at some time.
+// Backup is a backup of the store.
 type Backup struct {
 	rows    map[string]Row
 	version uint64
 }
 
-// Backup makes a copy of the store.
+// Backup returns a backup of the store.
 func (s *Store) Backup() *Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &Backup{rows: maps.Clone(s.rows), version: s.version}
 }
 
-// Restore has the store come back from a copy: what was written since is gone, and its
-// versions are given out again.
-func (s *Store) Restore(c *Backup) {
+// Restore replaces the store's content by a backup. Later writes are lost, and their versions
+// are assigned again.
+func (s *Store) Restore(b *Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows, s.version = maps.Clone(c.rows), c.version
-	s.history, s.oldest = nil, c.version
+	s.rows, s.version = maps.Clone(b.rows), b.version
+	s.history, s.oldestVersion = nil, b.version
 	s.era++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Row returns the data of a row, nil if it is not there.
+// Row returns the data of a row, nil if the row does not exist.
 func (s *Store) Row(table, key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rows[id(table, "", key)].Data
+	return s.rows[rowID(table, "", key)].Data
 }
 
-// SetEra changes what the store says of its era, 0 for nothing.
+// SetEra sets the era that responses name; with 0 they name none.
 func (s *Store) SetEra(era uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era = era
 }
 
-// Put writes a row, as the platform's own programs do.
+// Put writes a row with a value encoded as JSON.
 func (s *Store) Put(table, key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic("fleet: value cannot be encoded: " + err.Error())
+		panic("fleet: encode row value: " + err.Error())
 	}
 	s.PutBytes(table, key, data)
 }
 
-// PutBytes writes a row of any bytes, as another writer may.
+// PutBytes writes a row with any data, valid or not.
 func (s *Store) PutBytes(table, key string, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.write(Row{Table: table, Key: key, Data: data})
+	s.writeRow(Row{Table: table, Key: key, Data: data})
 }
 
-// Remove drops a row.
+// Remove deletes a row if it exists.
 func (s *Store) Remove(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.rows[id(table, "", key)]; ok {
-		s.write(Row{Table: table, Key: key, Deleted: true})
+	if _, ok := s.rows[rowID(table, "", key)]; ok {
+		s.writeRow(Row{Table: table, Key: key, Deleted: true})
 	}
 }
 
-func id(table, part, key string) string { return table + "\x00" + part + "\x00" + key }
+func rowID(table, part, key string) string { return table + "\x00" + part + "\x00" + key }
 
-// write applies one change as a transaction of its own; mu is held.
-func (s *Store) write(r Row) {
+// writeRow applies one change as a transaction of its own. The caller holds mu.
+func (s *Store) writeRow(r Row) {
 	s.version++
 	s.apply(r)
 	close(s.changed)
@@ -251,22 +251,22 @@
 	r.Version = s.version
 	s.history = append(s.history, r)
 	if r.Deleted {
-		delete(s.rows, id(r.Table, r.Part, r.Key))
+		delete(s.rows, rowID(r.Table, r.Part, r.Key))
 		return
 	}
-	s.rows[id(r.Table, r.Part, r.Key)] = r
+	s.rows[rowID(r.Table, r.Part, r.Key)] = r
 }
 
 // ServeHTTP implements http.Handler.
-func (d *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s := d.store
+func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s := e.store
 	s.mu.Lock()
-	s.calls++
-	d.calls++
-	fault, link, era := d.fault, d.link, s.era
+	s.callCount++
+	e.callCount++
+	fault, link, era := e.fault, e.link, s.era
 	s.mu.Unlock()
 	if link != nil {
-		w = &linked{w, link}
+		w = &linkWriter{w, link}
 	}
 	switch fault {
 	case Busy:
@@ -281,27 +281,27 @@
 		panic(http.ErrAbortHandler)
 	default:
 		if era > 0 {
-			w = &stamped{w, s}
+			w = &eraWriter{w, s}
 		}
 		s.handler.ServeHTTP(w, r)
 	}
 }
 
-type answer struct {
+type response struct {
 	Rows    []Row  `json:"rows"`
 	More    bool   `json:"hasMore"`
 	Version uint64 `json:"rowVersion"`
 	NowMs   int64  `json:"serverTimeMs"`
 }
 
-// stamped names the store's era in an answer's head, as it is when the answer is made.
-type stamped struct {
+// eraWriter adds the store's era at the time of the response to its header.
+type eraWriter struct {
 	http.ResponseWriter
 	store *Store
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (s *stamped) WriteHeader(status int) {
+func (s *eraWriter) WriteHeader(status int) {
 	s.store.mu.Lock()
 	era := s.store.era
 	s.store.mu.Unlock()
@@ -309,38 +309,38 @@
 	s.ResponseWriter.WriteHeader(status)
 }
 
-// segment is how many bytes pass a link in one go: the window of a connection of the
-// platform's thin VMs.
-const segment = 16 << 10
+// segmentBytes is the number of bytes that a link transfers at a time: the window of a connection of
+// the platform's VMs with low bandwidth.
+const segmentBytes = 16 << 10
 
-// linked writes an answer through a link.
-type linked struct {
+// linkWriter limits a response to the bandwidth of a link.
+type linkWriter struct {
 	http.ResponseWriter
 	link *standin.Link
 }
 
 // Write implements http.ResponseWriter.
-func (l *linked) Write(p []byte) (n int, err error) {
+func (l *linkWriter) Write(p []byte) (n int, err error) {
 	for len(p) > 0 && err == nil {
-		part := p[:min(len(p), segment)]
-		l.link.Transfer(len(part))
-		var wrote int
-		wrote, err = l.ResponseWriter.Write(part)
-		n, p = n+wrote, p[len(part):]
+		chunk := p[:min(len(p), segmentBytes)]
+		l.link.Transfer(len(chunk))
+		var written int
+		written, err = l.ResponseWriter.Write(chunk)
+		n, p = n+written, p[len(chunk):]
 	}
 	return n, err
 }
 
-// answer makes an answer; mu is held. It is written without mu: a slow link must not
-// hold up the others.
-func (s *Store) answer(status int, rows []Row) (int, answer) {
-	return status, answer{Rows: rows, Version: s.version, NowMs: time.Since(s.start).Milliseconds()}
+// newResponse returns a response. The caller holds mu, but writes the response without it, so
+// that a slow link does not delay other calls.
+func (s *Store) newResponse(status int, rows []Row) (int, response) {
+	return status, response{Rows: rows, Version: s.version, NowMs: time.Since(s.startTime).Milliseconds()}
 }
 
-func write(w http.ResponseWriter, status int, a answer) {
-	body, err := json.Marshal(a)
+func writeResponse(w http.ResponseWriter, status int, resp response) {
+	body, err := json.Marshal(resp)
 	if err != nil {
-		panic("fleet: answer cannot be encoded: " + err.Error())
+		panic("fleet: encode response: " + err.Error())
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -348,48 +348,48 @@
 	w.Write(body)
 }
 
-func (s *Store) get(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
+func (s *Store) handleGet(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
 	s.mu.Lock()
-	slow := s.slow[q.Get("tableName")]
+	delay := s.readDelays[query.Get("tableName")]
 	s.mu.Unlock()
-	time.Sleep(slow)
-	status, a := s.table(q)
-	write(w, status, a)
+	time.Sleep(delay)
+	status, resp := s.readTable(query)
+	writeResponse(w, status, resp)
 }
 
-// table is what a table holds from a key on.
-func (s *Store) table(q url.Values) (int, answer) {
+// readTable returns the rows of a table from a start key on, ordered by key.
+func (s *Store) readTable(query url.Values) (int, response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var rows []Row
 	for _, row := range s.rows {
-		if row.Table == q.Get("tableName") && row.Part == q.Get("part") && row.Key >= q.Get("startKey") {
+		if row.Table == query.Get("tableName") && row.Part == query.Get("part") && row.Key >= query.Get("startKey") {
 			rows = append(rows, row)
 		}
 	}
 	slices.SortFunc(rows, func(a, b Row) int { return strings.Compare(a.Key, b.Key) })
-	return s.answer(http.StatusOK, rows)
+	return s.newResponse(http.StatusOK, rows)
 }
 
-func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	since, _ := strconv.ParseUint(q.Get("sinceRevision"), 10, 64)
-	ms, _ := strconv.ParseInt(q.Get("waitTimeoutMs"), 10, 64)
-	timeout := time.After(time.Duration(ms) * time.Millisecond)
+func (s *Store) handleFeed(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	since, _ := strconv.ParseUint(query.Get("sinceRevision"), 10, 64)
+	waitMs, _ := strconv.ParseInt(query.Get("waitTimeoutMs"), 10, 64)
+	timeout := time.After(time.Duration(waitMs) * time.Millisecond)
 	for expired := false; ; {
 		s.mu.Lock()
-		if since < s.oldest || since > s.version {
-			status, a := s.answer(http.StatusGone, nil)
+		if since < s.oldestVersion || since > s.version {
+			status, resp := s.newResponse(http.StatusGone, nil)
 			s.mu.Unlock()
-			write(w, status, a)
+			writeResponse(w, status, resp)
 			return
 		}
-		rows := s.since(q.Get("tableName"), since)
+		rows := s.changesSince(query.Get("tableName"), since)
 		if len(rows) > 0 || expired {
-			status, a := s.answer(http.StatusOK, rows)
+			status, resp := s.newResponse(http.StatusOK, rows)
 			s.mu.Unlock()
-			write(w, status, a)
+			writeResponse(w, status, resp)
 			return
 		}
 		changed := s.changed
@@ -406,7 +406,7 @@
 	}
 }
 
-func (s *Store) since(table string, version uint64) (rows []Row) {
+func (s *Store) changesSince(table string, version uint64) (rows []Row) {
 	for _, row := range s.history {
 		if row.Table == table && row.Version > version {
 			rows = append(rows, row)
@@ -415,7 +415,7 @@
 	return rows
 }
 
-func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleTransaction(w http.ResponseWriter, r *http.Request) {
 	var tx struct {
 		Precondition []Row `json:"precondition"`
 		Write        []Row `json:"write"`
@@ -425,17 +425,17 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	status, a := s.commit(tx.Precondition, tx.Write, tx.Remove)
-	write(w, status, a)
+	status, resp := s.commit(tx.Precondition, tx.Write, tx.Remove)
+	writeResponse(w, status, resp)
 }
 
-// commit applies a transaction if its conditions hold.
-func (s *Store) commit(conditions, writes, removes []Row) (int, answer) {
+// commit applies a transaction if all rows in conditions have the given versions.
+func (s *Store) commit(conditions, writes, removes []Row) (int, response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range conditions {
-		if s.rows[id(p.Table, p.Part, p.Key)].Version != p.Version {
-			return s.answer(http.StatusPreconditionFailed, nil)
+	for _, condition := range conditions {
+		if s.rows[rowID(condition.Table, condition.Part, condition.Key)].Version != condition.Version {
+			return s.newResponse(http.StatusPreconditionFailed, nil)
 		}
 	}
 	s.version++
@@ -448,5 +448,5 @@
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
-	return s.answer(http.StatusOK, nil)
+	return s.newResponse(http.StatusOK, nil)
 }
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -8,21 +8,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a link that is thinner than it says for writers that are woken late, and
-// against one that passes more than its rate.
-func TestLinkKeepsItsRateForWritersThatAreLate(t *testing.T) {
-	const chunk, chunks, late = 4 << 10, 1000, 2 * time.Millisecond
+// Guards against a link that gives late writers less than its bandwidth, and against one that
+// transfers more than its bandwidth.
+func TestLinkKeepsBandwidthForLateWriters(t *testing.T) {
+	const chunkBytes, chunks, late = 4 << 10, 1000, 2 * time.Millisecond
 	for _, late := range []time.Duration{0, late} {
 		synctest.Test(t, func(t *testing.T) {
 			l := NewLink(10)
-			begun := time.Now()
+			start := time.Now()
 			for range chunks {
-				l.Transfer(chunk)
+				l.Transfer(chunkBytes)
 				time.Sleep(late)
 			}
-			took, needs := time.Since(begun), l.TransferTime(chunk*chunks)
-			require.GreaterOrEqual(t, took, needs-catchUp)
-			require.LessOrEqual(t, took, needs+late+catchUp)
+			elapsed, expected := time.Since(start), l.TransferTime(chunkBytes*chunks)
+			require.GreaterOrEqual(t, elapsed, expected-burstTime)
+			require.LessOrEqual(t, elapsed, expected+late+burstTime)
 		})
 	}
 }
--- a/internal/standin/services/service.go
+++ b/internal/standin/services/service.go
@@ -1,5 +1,5 @@
-// Package services is a stand-in plain service: it answers each call with a
-// receipt and logs what ran, for history checks.
+// Package services is a stand-in for a plain service. It responds to each call
+// with a confirmation and counts executions for checks of the history.
 package services
 
 import (
@@ -15,66 +15,66 @@
 
 // Service implements engine.Service. It is safe for concurrent use.
 type Service struct {
-	mu  sync.Mutex
-	ran map[string]int
-	// loseAnswers is the number of next calls that run and answer an error.
-	loseAnswers int
-	// gate, when set, is called before a call runs.
-	gate func()
+	mu        sync.Mutex
+	runCounts map[string]int
+	// responsesToLose is the number of next calls that are executed and return an error.
+	responsesToLose int
+	// beforeCall, if set, is called before each call is executed.
+	beforeCall func()
 }
 
-// New returns a service that has run nothing.
+// New returns a service that has executed nothing.
 func New() *Service {
-	return &Service{ran: make(map[string]int)}
+	return &Service{runCounts: make(map[string]int)}
 }
 
-// LoseResponses makes the next n calls run and lose their answer.
+// LoseResponses makes the service execute the next n calls but return an error.
 func (s *Service) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseAnswers = n
+	s.responsesToLose = n
 }
 
-// SetBeforeCall makes every call pass through f before it runs.
+// SetBeforeCall makes the service call f before it executes a call; nil means no function.
 func (s *Service) SetBeforeCall(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gate = f
+	s.beforeCall = f
 }
 
-// RunCount is how often a request has run.
+// RunCount returns how often a request was executed.
 func (s *Service) RunCount(team, requestID string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[team+"/"+requestID]
+	return s.runCounts[team+"/"+requestID]
 }
 
 // Call implements engine.Service.
 func (s *Service) Call(_ context.Context, team, requestID string, body []byte) ([]byte, error) {
 	s.mu.Lock()
-	gate := s.gate
+	beforeCall := s.beforeCall
 	s.mu.Unlock()
-	if gate != nil {
-		gate()
+	if beforeCall != nil {
+		beforeCall()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ran[team+"/"+requestID]++
-	if s.loseAnswers > 0 {
-		s.loseAnswers--
+	s.runCounts[team+"/"+requestID]++
+	if s.responsesToLose > 0 {
+		s.responsesToLose--
 		return nil, engine.ErrLost
 	}
 	return fmt.Appendf(nil, "confirmed %s/%s: %s", team, requestID, body), nil
 }
 
-// HTTP serves the service by POST /call and its log by GET /ran/{team}/{id}.
+// HTTP executes a request with any method and path as a call.
 func (s *Service) HTTP(ctx *fasthttp.RequestCtx) {
 	team := string(ctx.Request.Header.Peek(serviceclient.HeaderTeam))
 	id := string(ctx.Request.Header.Peek(serviceclient.HeaderRequestID))
-	answer, err := s.Call(ctx, team, id, ctx.PostBody())
+	response, err := s.Call(ctx, team, id, ctx.PostBody())
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	ctx.SetBody(answer)
+	ctx.SetBody(response)
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin serves the stand-ins for the platform and for backend
-// servers on real sockets.
+// Package standin serves stand-ins for the platform and for backend servers on
+// real sockets.
 package standin
 
 import (
@@ -20,15 +20,15 @@
 	platformv1 "kingcupplank.example/kingcup/proto/kingcup/platform/v1"
 )
 
-const maxMessage = 8 << 20
+const maxMessageBytes = 8 << 20
 
-// Servers are running stand-ins.
+// Servers is a set of running stand-ins.
 type Servers struct {
 	wg      sync.WaitGroup
 	closers []func()
 }
 
-// Close ends them.
+// Close stops all stand-ins and waits until they have stopped.
 func (s *Servers) Close() {
 	for _, c := range s.closers {
 		c()
@@ -36,40 +36,40 @@
 	s.wg.Wait()
 }
 
-// ServeTable serves the table service and VM list by gRPC and the object store by
-// HTTP, and returns both addresses.
+// ServeTable serves the table service and the VM list over gRPC and the object
+// store over HTTP. It returns both addresses.
 func (s *Servers) ServeTable(t *tables.Table, address, httpAddress string) (string, string, error) {
-	rpc, err := s.grpc(address, func(g *grpc.Server) { platformv1.RegisterTableServiceServer(g, &tables.Server{Table: t}) })
+	rpcAddress, err := s.serveGRPC(address, func(g *grpc.Server) { platformv1.RegisterTableServiceServer(g, &tables.Server{Table: t}) })
 	if err != nil {
 		return "", "", err
 	}
-	web, err := s.http(httpAddress, t.HTTP())
-	return rpc, web, err
+	boundHTTP, err := s.serveHTTP(httpAddress, t.HTTP())
+	return rpcAddress, boundHTTP, err
 }
 
 // ServeEngine serves a model engine and returns its address.
 func (s *Servers) ServeEngine(e engine.Engine, address string) (string, error) {
-	return s.grpc(address, func(g *grpc.Server) { platformv1.RegisterEngineServiceServer(g, &engines.Server{Engine: e}) })
+	return s.serveGRPC(address, func(g *grpc.Server) { platformv1.RegisterEngineServiceServer(g, &engines.Server{Engine: e}) })
 }
 
 // ServeService serves a plain service and returns its address.
 func (s *Servers) ServeService(svc *services.Service, address string) (string, error) {
-	return s.http(address, svc.HTTP)
+	return s.serveHTTP(address, svc.HTTP)
 }
 
-func (s *Servers) grpc(address string, register func(*grpc.Server)) (string, error) {
+func (s *Servers) serveGRPC(address string, register func(*grpc.Server)) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", errors.Wrap(err, "listen")
 	}
-	g := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessage))
+	g := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes))
 	register(g)
 	s.wg.Go(func() { g.Serve(l) })
 	s.closers = append(s.closers, g.Stop)
 	return l.Addr().String(), nil
 }
 
-func (s *Servers) http(address string, h fasthttp.RequestHandler) (string, error) {
+func (s *Servers) serveHTTP(address string, h fasthttp.RequestHandler) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", errors.Wrap(err, "listen")
@@ -80,25 +80,25 @@
 	return l.Addr().String(), nil
 }
 
-// FreePort finds a loopback address that nothing serves now. Lists of VMs need
-// addresses before they are served.
+// FreePort returns a loopback address on which nothing listens now. A VM list
+// needs addresses before anything listens on them.
 func FreePort() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", errors.Wrap(err, "find a port")
+		return "", errors.Wrap(err, "find a free address")
 	}
 	defer l.Close()
 	return l.Addr().String(), nil
 }
 
-// nextPort counts the ports that this process has given out.
-var nextPort atomic.Int64
+// portCount counts the ports that this process has assigned.
+var portCount atomic.Int64
 
-// UniqueAddress is a loopback address that nothing else serves: its IP number is made
-// from the process id. A port found free on a shared address can be taken by
-// another process before it is served.
+// UniqueAddress returns a loopback address that no other process uses, because its
+// IP address is derived from the process id. On a shared IP address, another process
+// could take a free port before this process listens on it.
 func UniqueAddress() string {
 	const first = 20000
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&63, pid>>8&255, pid&255, first+nextPort.Add(1))
+	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>16&63, pid>>8&255, pid&255, first+portCount.Add(1))
 }
--- a/internal/standin/tables/http.go
+++ b/internal/standin/tables/http.go
@@ -11,8 +11,8 @@
 	"kingcupplank.example/kingcup/storage"
 )
 
-// HTTP serves the object store under /objects/ and the fault switches under
-// /faults: POST /faults?outage=true&lose_before=1&lose_after=2&delay_ms=500.
+// HTTP serves the object store under /objects/ and the control of faults under
+// /faults, for example POST /faults?outage=true&lose_before=1&lose_after=2&delay_ms=500.
 func (t *Table) HTTP() fasthttp.RequestHandler {
 	r := router.New()
 	r.PUT("/objects/{key:*}", t.putObject)
--- a/internal/standin/tables/tables.go
+++ b/internal/standin/tables/tables.go
@@ -1,5 +1,5 @@
 // Package tables is a stand-in for the platform: a transactional table, an
-// object store and a VM list in memory, with faults that tests switch on.
+// object store and a VM list in memory, with faults that tests can inject.
 package tables
 
 import (
@@ -15,7 +15,8 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// Counts are the operations that a Table has taken.
+// Counts holds the number of commits, of written or deleted rows, and of reads
+// and scans.
 type Counts struct {
 	Commits, Rows, Reads uint64
 }
@@ -30,10 +31,10 @@
 	revision uint64
 	counts   Counts
 
-	outage     bool
-	loseBefore int
-	loseAfter  int
-	delay      time.Duration
+	outage          bool
+	loseBeforeApply int
+	loseAfterApply  int
+	commitDelay     time.Duration
 }
 
 // New returns an empty table.
@@ -41,26 +42,26 @@
 	return &Table{rows: make(map[string]storage.Row), objects: make(map[string][]byte)}
 }
 
-// SetOutage makes every operation fail until it is lifted.
+// SetOutage makes every operation fail while on is set.
 func (t *Table) SetOutage(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outage = on
 }
 
-// LoseCommitResponses loses the answers of the next commits: the first before of them
-// are not applied, the following after are.
-func (t *Table) LoseCommitResponses(before, after int) {
+// LoseCommitResponses makes the next commits return an unknown outcome. The
+// first beforeApply of them are not applied, the following afterApply are.
+func (t *Table) LoseCommitResponses(beforeApply, afterApply int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.loseBefore, t.loseAfter = before, after
+	t.loseBeforeApply, t.loseAfterApply = beforeApply, afterApply
 }
 
-// SetCommitDelay holds the answer of each commit back for d after it is applied.
+// SetCommitDelay delays the result of each commit for d after it is applied.
 func (t *Table) SetCommitDelay(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.delay = d
+	t.commitDelay = d
 }
 
 // SetVMs sets the VM list.
@@ -78,7 +79,7 @@
 	t.vms = append(t.vms, vm)
 }
 
-// Counts returns the operations taken so far.
+// Counts returns the counts of operations so far.
 func (t *Table) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,28 +99,28 @@
 	if t.outage {
 		return 0, 0, storage.ErrUnavailable
 	}
-	if t.loseBefore > 0 {
-		t.loseBefore--
+	if t.loseBeforeApply > 0 {
+		t.loseBeforeApply--
 		return 0, 0, storage.ErrOutcomeUnknown
 	}
 	rev, err := t.apply(txn)
-	if t.loseAfter > 0 {
-		t.loseAfter--
+	if t.loseAfterApply > 0 {
+		t.loseAfterApply--
 		return 0, 0, storage.ErrOutcomeUnknown
 	}
-	return rev, t.delay, err
+	return rev, t.commitDelay, err
 }
 
 func (t *Table) apply(txn storage.Txn) (uint64, error) {
 	t.counts.Commits++
-	var failed []string
+	var conflicts []string
 	for _, c := range txn.Conditions {
 		if t.rows[c.Key].Revision != c.Revision {
-			failed = append(failed, c.Key)
+			conflicts = append(conflicts, c.Key)
 		}
 	}
-	if len(failed) > 0 {
-		return 0, &storage.ConflictError{Keys: failed}
+	if len(conflicts) > 0 {
+		return 0, &storage.ConflictError{Keys: conflicts}
 	}
 	t.revision++
 	for _, w := range txn.Writes {
