--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -225,11 +225,11 @@
 	return append([]Arrival(nil), s.arrivals...)
 }
 
-// Waiting returns the number of requests in progress.
-func (s *Server) Waiting() int { return int(s.inProgress.Load()) }
+// InProgress returns the number of requests in progress.
+func (s *Server) InProgress() int { return int(s.inProgress.Load()) }
 
-// Running returns the number of streams in progress.
-func (s *Server) Running() int {
+// RunningStreams returns the number of streams in progress.
+func (s *Server) RunningStreams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.runs)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -80,9 +80,9 @@
 	return l.Addr().String(), nil
 }
 
-// FreePort returns a loopback address on which nothing listens now. A VM list
+// FreeAddress returns a loopback address on which nothing listens now. A VM list
 // needs addresses before anything listens on them.
-func FreePort() (string, error) {
+func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "find a free address")
