--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,324 +11,329 @@
 	"kingcupplank.example/kingcup/internal/wait"
 )
 
-// fault is a kind of harm. It returns what it did, and what undoes it.
-type fault func(s *Soak, ctx context.Context) (did string, undo func())
+// faultFunc injects one kind of fault. It returns a description and a function that undoes the
+// fault, nil if there is none.
+type faultFunc func(s *Soak, ctx context.Context) (description string, undo func())
 
-// faults are drawn with equal chance. New ones go to the end, so that a seed that failed
-// draws the same of those before.
-var faults = []fault{harmStore, harmStore, harmServer, harmServer, kill, pause, terminate, hup, reclaim, crash, refuse, compact, revoke, grow, grow, rebirth, spoil, herd, harmful, drill, drill, empty, chill, nameLimit, sayLeaving, tire}
+// faultKinds are drawn with equal probability. New kinds are appended, so that the seed of an
+// earlier failure still draws the same faults from the kinds before them.
+var faultKinds = []faultFunc{disruptStore, disruptStore, disruptServer, disruptServer, killGateway, pauseGateway, terminateGateway, hangUpGateway, reclaimServer, crashServer, rejectRequests, compactStore, replaceKey, addRoutes, addRoutes, restartServer, corruptEntry, killAllButOne, sendCrashingRequest, restoreStore, restoreStore, cordonDomain, makeDomainCold, announceRateLimit, announceLeaving, askForBackoff}
 
 const (
-	shortest, longest = 200 * time.Millisecond, 3 * time.Second
-	// between is the mean time between two faults; they overlap.
-	between = 500 * time.Millisecond
+	minFaultDuration, maxFaultDuration = 200 * time.Millisecond, 3 * time.Second
+	// meanFaultInterval is the mean time between two faults. Faults overlap.
+	meanFaultInterval = 500 * time.Millisecond
 )
 
-func (s *Soak) intN(n int) int {
+func (s *Soak) drawInt(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.IntN(n)
 }
 
-func (s *Soak) duration(from, to time.Duration) time.Duration {
-	return from + time.Duration(s.intN(int(to-from)))
+func (s *Soak) drawDuration(from, to time.Duration) time.Duration {
+	return from + time.Duration(s.drawInt(int(to-from)))
 }
 
-// harm plays faults until ctx ends, and undoes what is left.
-func (s *Soak) harm(ctx context.Context, wg *sync.WaitGroup) {
-	begun := time.Now()
-	for wait.For(ctx, s.duration(0, 2*between)) {
-		did, undo := faults[s.intN(s.Kinds)](s, ctx)
-		lasts := s.duration(shortest, longest)
+// injectFaults injects faults until ctx ends, and then undoes those in force.
+func (s *Soak) injectFaults(ctx context.Context, wg *sync.WaitGroup) {
+	start := time.Now()
+	for wait.For(ctx, s.drawDuration(0, 2*meanFaultInterval)) {
+		description, undo := faultKinds[s.drawInt(s.FaultKinds)](s, ctx)
+		duration := s.drawDuration(minFaultDuration, maxFaultDuration)
 		s.mu.Lock()
-		s.faults = append(s.faults, fmt.Sprintf("%.2fs for %v: %s", time.Since(begun).Seconds(), lasts.Round(time.Millisecond), did))
+		s.faultLog = append(s.faultLog, fmt.Sprintf("%.2fs for %v: %s", time.Since(start).Seconds(), duration.Round(time.Millisecond), description))
 		s.mu.Unlock()
 		if undo != nil {
 			wg.Go(func() {
-				wait.For(ctx, lasts)
+				wait.For(ctx, duration)
 				undo()
 			})
 		}
 	}
 }
 
-func (s *Soak) drawNode() *gateway { return s.nodes[s.intN(len(s.nodes))] }
+func (s *Soak) drawGateway() *gateway { return s.gateways[s.drawInt(len(s.gateways))] }
 
-// harmStore harms the way of one gateway, or of all, to the store.
-func harmStore(s *Soak, _ context.Context) (string, func()) {
-	if s.intN(3) == 0 {
-		f := fleet.Fault(1 + s.intN(3))
+// disruptStore disrupts the connections of one gateway to the store, or makes the store fail for
+// all gateways.
+func disruptStore(s *Soak, _ context.Context) (string, func()) {
+	if s.drawInt(3) == 0 {
+		f := fleet.Fault(1 + s.drawInt(3))
 		s.fleet.Store.SetFault(f)
-		return fmt.Sprintf("store fault %d for all", f), func() { s.fleet.Store.SetFault(fleet.NoFault) }
+		return fmt.Sprintf("store fails with fault %d for all gateways", f), func() { s.fleet.Store.SetFault(fleet.NoFault) }
 	}
-	g, m := s.drawNode(), Mode(1+s.intN(int(modes)-1))
-	g.door.SetMode(m)
-	return fmt.Sprintf("store mode %d for %s", m, g.node.Name), func() { g.door.SetMode(PassThrough) }
+	g, m := s.drawGateway(), Mode(1+s.drawInt(int(modeCount)-1))
+	g.storeProxy.SetMode(m)
+	return fmt.Sprintf("proxy mode %d to the store for %s", m, g.settings.Name), func() { g.storeProxy.SetMode(PassThrough) }
 }
 
-// harmServer harms the connections of a server.
-func harmServer(s *Soak, _ context.Context) (string, func()) {
+// disruptServer disrupts the connections to a server.
+func disruptServer(s *Soak, _ context.Context) (string, func()) {
 	s.mu.Lock()
 	p := s.proxies[s.rng.IntN(len(s.proxies))]
 	s.mu.Unlock()
-	m := Mode(1 + s.intN(int(modes)-1))
+	m := Mode(1 + s.drawInt(int(modeCount)-1))
 	p.SetMode(m)
-	return fmt.Sprintf("connections to %s mode %d", p.target, m), func() { p.SetMode(PassThrough) }
+	return fmt.Sprintf("connections to %s get proxy mode %d", p.target, m), func() { p.SetMode(PassThrough) }
 }
 
-func kill(s *Soak, ctx context.Context) (string, func()) {
-	g := s.drawNode()
+func killGateway(s *Soak, ctx context.Context) (string, func()) {
+	g := s.drawGateway()
 	g.signal(syscall.SIGKILL)
-	return "kill " + g.node.Name, func() { g.restart(context.WithoutCancel(ctx), s.Binary, longest) }
+	return "kill " + g.settings.Name, func() { g.restart(context.WithoutCancel(ctx), s.Binary, maxFaultDuration) }
 }
 
-func pause(s *Soak, _ context.Context) (string, func()) {
-	g := s.drawNode()
+func pauseGateway(s *Soak, _ context.Context) (string, func()) {
+	g := s.drawGateway()
 	g.signal(syscall.SIGSTOP)
-	return "pause " + g.node.Name, func() { g.signal(syscall.SIGCONT) }
+	return "pause " + g.settings.Name, func() { g.signal(syscall.SIGCONT) }
 }
 
-// terminate stops a gateway as planned work does, sometimes with a second signal.
-func terminate(s *Soak, ctx context.Context) (string, func()) {
-	const grace = 6 * time.Second
-	g := s.drawNode()
+// terminateGateway stops a gateway as for planned maintenance, sometimes with a second signal.
+func terminateGateway(s *Soak, ctx context.Context) (string, func()) {
+	const gracePeriod = 6 * time.Second
+	g := s.drawGateway()
 	g.signal(syscall.SIGTERM)
-	if s.intN(2) == 0 {
-		time.AfterFunc(shortest, func() { g.signal(syscall.SIGTERM) })
+	if s.drawInt(2) == 0 {
+		time.AfterFunc(minFaultDuration, func() { g.signal(syscall.SIGTERM) })
 	}
-	return "terminate " + g.node.Name, func() {
+	return "terminate " + g.settings.Name, func() {
 		g.signal(syscall.SIGCONT)
-		g.restart(context.WithoutCancel(ctx), s.Binary, grace)
+		g.restart(context.WithoutCancel(ctx), s.Binary, gracePeriod)
 	}
 }
 
-func hup(s *Soak, _ context.Context) (string, func()) {
-	g := s.drawNode()
+func hangUpGateway(s *Soak, _ context.Context) (string, func()) {
+	g := s.drawGateway()
 	g.signal(syscall.SIGHUP)
-	return "hup " + g.node.Name, nil
+	return "hup " + g.settings.Name, nil
 }
 
-// victim draws a server that no fault has ended, if its service has another.
-func (s *Soak) victim() *fleet.Server {
+// drawServerToStop draws a server that no fault has stopped and marks it as stopped. It returns
+// nil if the drawn service has fewer than two such servers.
+func (s *Soak) drawServerToStop() *fleet.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := make(map[string][]*fleet.Server)
+	running := make(map[string][]*fleet.Server)
 	for _, srv := range s.servers {
-		if !s.leaving[srv] {
-			left[srv.Service] = append(left[srv.Service], srv)
+		if !s.stopped[srv] {
+			running[srv.Service] = append(running[srv.Service], srv)
 		}
 	}
-	srvs := left[fleet.ModelService]
+	candidates := running[fleet.ModelService]
 	if s.rng.IntN(2) == 0 {
-		srvs = left[fleet.DeskService]
+		candidates = running[fleet.DeskService]
 	}
-	if len(srvs) < 2 {
+	if len(candidates) < 2 {
 		return nil
 	}
-	srv := srvs[s.rng.IntN(len(srvs))]
-	s.leaving[srv] = true
+	srv := candidates[s.rng.IntN(len(candidates))]
+	s.stopped[srv] = true
 	return srv
 }
 
-// replace puts a new server in the place of one that ended.
+// replace starts a new server in place of a stopped one.
 func (s *Soak) replace(old *fleet.Server) {
-	if _, err := s.add(old.Service); err != nil {
+	if _, err := s.addServer(old.Service); err != nil {
 		s.mu.Lock()
-		s.faults = append(s.faults, "no replacement: "+err.Error())
+		s.faultLog = append(s.faultLog, "start replacement: "+err.Error())
 		s.mu.Unlock()
 	}
 }
 
-// reclaim ends a server after a notice.
-func reclaim(s *Soak, _ context.Context) (string, func()) {
-	const notice = 1500 * time.Millisecond
-	srv := s.victim()
+// reclaimServer stops a server some time after its entry says that it is draining.
+func reclaimServer(s *Soak, _ context.Context) (string, func()) {
+	const noticeTime = 1500 * time.Millisecond
+	srv := s.drawServerToStop()
 	if srv == nil {
-		return "nothing to reclaim", nil
+		return "no server to reclaim", nil
 	}
 	srv.StartDraining(true)
 	return "reclaim " + srv.ID, func() {
-		time.Sleep(notice)
+		time.Sleep(noticeTime)
 		srv.Kill()
 		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
 
-// crash ends a server without a word; its entry lapses later.
-func crash(s *Soak, _ context.Context) (string, func()) {
-	srv := s.victim()
+// crashServer stops a server without notice. Its entry is removed later.
+func crashServer(s *Soak, _ context.Context) (string, func()) {
+	srv := s.drawServerToStop()
 	if srv == nil {
-		return "nothing to crash", nil
+		return "no server to crash", nil
 	}
 	srv.Kill()
-	s.ended(srv)
+	s.onServerCrash(srv)
 	return "crash " + srv.ID, func() {
 		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
 
-// rebirth ends a server, with or without a word to its connections, and starts it again
-// under its id and address.
-func rebirth(s *Soak, _ context.Context) (string, func()) {
-	srv := s.victim()
+// restartServer stops a server, either so that its connections close or so that they hang, and
+// starts it again under the same id and address.
+func restartServer(s *Soak, _ context.Context) (string, func()) {
+	srv := s.drawServerToStop()
 	if srv == nil {
-		return "nothing to start again", nil
+		return "no server to restart", nil
 	}
-	silent := s.intN(2) == 0
-	if silent {
+	hangs := s.drawInt(2) == 0
+	if hangs {
 		srv.Hang()
 	} else {
 		srv.Kill()
 	}
-	return fmt.Sprintf("start %s again, silent %v", srv.ID, silent), func() {
-		again, err := s.fleet.Restart(srv)
+	return fmt.Sprintf("restart %s, connections hang: %v", srv.ID, hangs), func() {
+		restarted, err := s.fleet.Restart(srv)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if err != nil {
-			s.faults = append(s.faults, "not started again: "+err.Error())
+			s.faultLog = append(s.faultLog, "restart server: "+err.Error())
 			return
 		}
-		s.servers = append(s.servers, again)
+		s.servers = append(s.servers, restarted)
 	}
 }
 
-// spoil has another writer overwrite the entry of a server.
-func spoil(s *Soak, _ context.Context) (string, func()) {
-	bytes := []string{"", "{", `{"state":"ready"}`, `{"service":"desk","address":"nowhere","state":"ready","slots":-1}`}
+// corruptEntry overwrites the entry of a server, as another writer could.
+func corruptEntry(s *Soak, _ context.Context) (string, func()) {
+	invalidEntries := []string{"", "{", `{"state":"ready"}`, `{"service":"desk","address":"nowhere","state":"ready","slots":-1}`}
 	s.mu.Lock()
 	srv := s.servers[s.rng.IntN(len(s.servers))]
-	ended := s.leaving[srv]
-	text := bytes[s.rng.IntN(len(bytes))]
+	isStopped := s.stopped[srv]
+	entry := invalidEntries[s.rng.IntN(len(invalidEntries))]
 	s.mu.Unlock()
-	if ended {
-		return "nothing to spoil", nil
+	if isStopped {
+		return "no entry to corrupt", nil
 	}
-	s.fleet.Store.PutBytes("servers", srv.ID, []byte(text))
-	return fmt.Sprintf("entry of %s is %q", srv.ID, text), func() {
+	s.fleet.Store.PutBytes("servers", srv.ID, []byte(entry))
+	return fmt.Sprintf("entry of %s is %q", srv.ID, entry), func() {
 		s.mu.Lock()
-		ended := s.leaving[srv]
+		isStopped := s.stopped[srv]
 		s.mu.Unlock()
-		if !ended {
+		if !isStopped {
 			srv.Heartbeat()
 		}
 	}
 }
 
-// herd kills all gateways but one at the same moment.
-func herd(s *Soak, ctx context.Context) (string, func()) {
-	spared := s.drawNode()
-	for _, g := range s.nodes {
+// killAllButOne kills all gateways except one at the same moment.
+func killAllButOne(s *Soak, ctx context.Context) (string, func()) {
+	spared := s.drawGateway()
+	for _, g := range s.gateways {
 		if g != spared {
 			g.signal(syscall.SIGKILL)
 		}
 	}
-	return "kill all but " + spared.node.Name, func() {
-		for _, g := range s.nodes {
+	return "kill all but " + spared.settings.Name, func() {
+		for _, g := range s.gateways {
 			if g != spared {
-				g.restart(context.WithoutCancel(ctx), s.Binary, longest)
+				g.restart(context.WithoutCancel(ctx), s.Binary, maxFaultDuration)
 			}
 		}
 	}
 }
 
-// refuse lets a plain server refuse everything.
-func refuse(s *Soak, _ context.Context) (string, func()) {
+// rejectRequests makes a plain server reject all requests.
+func rejectRequests(s *Soak, _ context.Context) (string, func()) {
 	s.mu.Lock()
 	var srv *fleet.Server
 	for _, o := range s.servers {
-		if o.Service == fleet.DeskService && !s.leaving[o] {
+		if o.Service == fleet.DeskService && !s.stopped[o] {
 			srv = o
 		}
 	}
 	s.mu.Unlock()
 	if srv == nil {
-		return "nothing to fill", nil
+		return "no server to reject requests", nil
 	}
 	srv.SetBehavior(fleet.Behavior{RejectAll: true})
-	return "full " + srv.ID, func() { srv.SetBehavior(fleet.Behavior{}) }
+	return "reject all requests at " + srv.ID, func() { srv.SetBehavior(fleet.Behavior{}) }
 }
 
-// drill has the store be away for a moment and come back from a copy of some time before;
-// operator and servers write again what is gone.
-func drill(s *Soak, ctx context.Context) (string, func()) {
-	old := s.fleet.Store.Backup()
-	return "copy of the store", func() {
-		s.configuring.Lock()
-		defer s.configuring.Unlock()
+// restoreStore makes a backup of the store. When undone, the store is unavailable for a moment
+// and then restored from that backup, and the operator and the servers write the lost rows again.
+func restoreStore(s *Soak, ctx context.Context) (string, func()) {
+	backup := s.fleet.Store.Backup()
+	return "backup of the store", func() {
+		s.configMu.Lock()
+		defer s.configMu.Unlock()
 		s.fleet.Store.SetFault(fleet.Reset)
-		wait.For(ctx, s.duration(0, drillAway))
-		s.fleet.Store.Restore(old)
+		wait.For(ctx, s.drawDuration(0, maxRestoreOutage))
+		s.fleet.Store.Restore(backup)
 		s.fleet.Store.SetFault(fleet.NoFault)
-		s.fleet.RewriteRows(func() { wait.For(ctx, s.duration(0, rewritePause)) })
+		s.fleet.RewriteRows(func() { wait.For(ctx, s.drawDuration(0, maxRewritePause)) })
 	}
 }
 
 const (
-	drillAway    = time.Second
-	rewritePause = 100 * time.Millisecond
+	maxRestoreOutage = time.Second
+	maxRewritePause  = 100 * time.Millisecond
 )
 
-// emptiedZone is where some of the servers stand, ownZone where all gateways do.
-const emptiedZone, ownZone = "zone-2", "zone-1"
+// cordonedDomain is the failure domain of some of the servers, gatewayDomain that of all
+// gateways.
+const cordonedDomain, gatewayDomain = "zone-2", "zone-1"
 
-// empty has the operator empty a zone for a time.
-func empty(s *Soak, _ context.Context) (string, func()) {
-	s.fleet.Cordon(emptiedZone)
-	time.AfterFunc(emptyFor, func() { s.fleet.Uncordon(emptiedZone) })
-	return "empty " + emptiedZone, nil
+// cordonDomain makes the operator cordon a failure domain for some time.
+func cordonDomain(s *Soak, _ context.Context) (string, func()) {
+	s.fleet.Cordon(cordonedDomain)
+	time.AfterFunc(cordonDuration, func() { s.fleet.Uncordon(cordonedDomain) })
+	return "cordon " + cordonedDomain, nil
 }
 
-// emptyFor is how long a zone is emptied.
-const emptyFor = 2 * time.Second
+// cordonDuration is how long a failure domain is cordoned, and how long its servers are made
+// cold.
+const cordonDuration = 2 * time.Second
 
-// chill makes all servers of a zone cold at once.
-func chill(s *Soak, _ context.Context) (string, func()) {
+// makeDomainCold makes all servers of a failure domain cold at once.
+func makeDomainCold(s *Soak, _ context.Context) (string, func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
-		if srv.FailureDomain == emptiedZone && !s.leaving[srv] {
-			srv.SetColdFor(emptyFor)
+		if srv.FailureDomain == cordonedDomain && !s.stopped[srv] {
+			srv.SetColdFor(cordonDuration)
 		}
 	}
-	return "chill " + emptiedZone, nil
+	return "make cold: " + cordonedDomain, nil
 }
 
-func compact(s *Soak, _ context.Context) (string, func()) {
+func compactStore(s *Soak, _ context.Context) (string, func()) {
 	s.fleet.Store.Compact()
-	return "history is dropped", nil
+	return "drop the history of the store", nil
 }
 
-// growth is how many routes are added at once: 0.9 MB of the row as the store sends it,
-// 0.7 s of a thin gateway's link.
-const growth = 3000
+// addedRoutes is the number of routes added at once. They take 0.9 MB of the row as the store
+// sends it, which is 0.7 s on the link of a gateway with low bandwidth.
+const addedRoutes = 3000
 
-// grow adds routes to the configuration, which pile up.
-func grow(s *Soak, _ context.Context) (string, func()) {
-	s.configuring.Lock()
-	defer s.configuring.Unlock()
-	newest := s.fleet.AddRoutes(growth)
+// addRoutes adds routes to the configuration, which keeps them from then on.
+func addRoutes(s *Soak, _ context.Context) (string, func()) {
+	s.configMu.Lock()
+	defer s.configMu.Unlock()
+	newestPrefix := s.fleet.AddRoutes(addedRoutes)
 	s.mu.Lock()
-	s.newest = newest + "a"
+	s.newestPath = newestPrefix + "a"
 	s.mu.Unlock()
-	return "grow to " + newest, nil
+	return "add routes up to " + newestPrefix, nil
 }
 
-// revoke replaces the team's key; callers use the old one for a while.
-func revoke(s *Soak, _ context.Context) (string, func()) {
-	s.configuring.Lock()
-	defer s.configuring.Unlock()
+// replaceKey replaces the team's key. Callers continue with the old key for a while.
+func replaceKey(s *Soak, _ context.Context) (string, func()) {
+	s.configMu.Lock()
+	defer s.configMu.Unlock()
 	s.mu.Lock()
-	old := s.valid
-	s.valid = fmt.Sprintf("key-%d", len(s.faults)+2)
-	fresh := s.valid
+	oldKey := s.validKey
+	s.validKey = fmt.Sprintf("key-%d", len(s.faultLog)+2)
+	newKey := s.validKey
 	s.mu.Unlock()
-	s.fleet.Configure(fresh)
-	s.history.revoke(old)
-	return "revoke " + old, func() {
+	s.fleet.Configure(newKey)
+	s.history.recordRevocation(oldKey)
+	return "replace key " + oldKey, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.key = s.valid
+		s.callersKey = s.validKey
 	}
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -9,28 +9,28 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// Attempt is a caller's request and what came of it.
+// Attempt is a caller's request and its outcome.
 type Attempt struct {
-	As     fleet.CallerRequest
-	Path   string
-	Sent   time.Time
-	Status int
-	// Whole says that the answer came to its end.
-	Whole bool
-	Body  string
-	// Events are those of a stream, in order.
+	Request fleet.CallerRequest
+	Path    string
+	SentAt  time.Time
+	Status  int
+	// Complete says whether the response was received to its end.
+	Complete bool
+	Body     string
+	// Events are the received events of a stream, in order.
 	Events []string
 }
 
-// History is what callers and servers saw.
+// History records what callers sent and received.
 type History struct {
 	mu       sync.Mutex
 	attempts []Attempt
-	// revoked is when the store accepted a version without a key.
-	revoked map[string]time.Time
+	// revokedAt is when the store accepted a configuration without a key, by key.
+	revokedAt map[string]time.Time
 }
 
-func newHistory() *History { return &History{revoked: make(map[string]time.Time)} }
+func newHistory() *History { return &History{revokedAt: make(map[string]time.Time)} }
 
 func (h *History) add(a Attempt) {
 	h.mu.Lock()
@@ -38,86 +38,87 @@
 	h.attempts = append(h.attempts, a)
 }
 
-func (h *History) revoke(key string) {
+func (h *History) recordRevocation(key string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.revoked[key] = time.Now()
+	h.revokedAt[key] = time.Now()
 }
 
-// runs are a request's runs, by server; one that went on from a copy is the same.
-type runs struct {
-	begun   int
+// executions are the servers that executed a request. A run that continued from a copy does not
+// count as started again.
+type executions struct {
+	started int
 	servers []string
 }
 
-// Check returns every broken promise.
-func (h *History) Check(servers []*fleet.Server, revokeBound time.Duration) (faults []string) {
+// Check returns every violation of a guarantee, given what the servers executed.
+func (h *History) Check(servers []*fleet.Server, revokeTimeout time.Duration) (violations []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ran := make(map[string]*runs)
+	byRequest := make(map[string]*executions)
 	for _, s := range servers {
-		for _, seen := range s.Executions() {
-			r := ran[seen.ID]
-			if r == nil {
-				r = &runs{}
-				ran[seen.ID] = r
+		for _, execution := range s.Executions() {
+			exec := byRequest[execution.ID]
+			if exec == nil {
+				exec = &executions{}
+				byRequest[execution.ID] = exec
 			}
-			r.servers = append(r.servers, s.ID)
-			if !seen.FromCopy {
-				r.begun++
+			exec.servers = append(exec.servers, s.ID)
+			if !execution.FromCopy {
+				exec.started++
 			}
 		}
 	}
 	for _, a := range h.attempts {
-		r := ran[a.As.ID]
-		if r == nil {
-			r = &runs{}
+		exec := byRequest[a.Request.ID]
+		if exec == nil {
+			exec = &executions{}
 		}
-		for _, f := range a.check(r) {
-			faults = append(faults, fmt.Sprintf("%s %s: %s (status %d, ran at %v)", a.As.ID, a.Path, f, a.Status, r.servers))
+		for _, f := range a.check(exec) {
+			violations = append(violations, fmt.Sprintf("%s %s: %s (status %d, ran at %v)", a.Request.ID, a.Path, f, a.Status, exec.servers))
 		}
-		if at, ok := h.revoked[a.As.Key]; ok && r.begun > 0 && a.Sent.Sub(at) > revokeBound {
-			faults = append(faults, fmt.Sprintf("%s ran with a key removed %v before it was sent", a.As.ID, a.Sent.Sub(at)))
+		if removedAt, ok := h.revokedAt[a.Request.Key]; ok && exec.started > 0 && a.SentAt.Sub(removedAt) > revokeTimeout {
+			violations = append(violations, fmt.Sprintf("%s ran with a key removed %v before it was sent", a.Request.ID, a.SentAt.Sub(removedAt)))
 		}
 	}
-	return faults
+	return violations
 }
 
-func (a *Attempt) check(r *runs) (faults []string) {
-	repeatable := a.Path == fleet.SafePath || a.Path == fleet.CheckPath
-	if r.begun > 1 && !repeatable {
-		faults = append(faults, fmt.Sprintf("ran %d times", r.begun))
+func (a *Attempt) check(exec *executions) (violations []string) {
+	canRepeat := a.Path == fleet.SafePath || a.Path == fleet.CheckPath
+	if exec.started > 1 && !canRepeat {
+		violations = append(violations, fmt.Sprintf("was executed %d times", exec.started))
 	}
-	if a.Status == 503 && r.begun > 0 && !repeatable {
-		faults = append(faults, "was called not run")
+	if a.Status == 503 && exec.started > 0 && !canRepeat {
+		violations = append(violations, "was reported as not run but was executed")
 	}
-	if a.Status != 200 || !a.Whole {
-		return append(faults, a.checkOrder(false)...)
+	if a.Status != 200 || !a.Complete {
+		return append(violations, a.checkEvents(false)...)
 	}
-	if a.stream() {
-		return append(faults, a.checkOrder(true)...)
+	if a.isStream() {
+		return append(violations, a.checkEvents(true)...)
 	}
 	server, ok := strings.CutPrefix(a.Body, "answer of ")
-	if !ok || !contains(r.servers, server) {
-		faults = append(faults, fmt.Sprintf("got an answer that is not its own: %q", a.Body))
+	if !ok || !contains(exec.servers, server) {
+		violations = append(violations, fmt.Sprintf("got a response that is not its own: %q", a.Body))
 	}
-	return faults
+	return violations
 }
 
-func (a *Attempt) stream() bool { return a.Path == fleet.PlanPath || a.Path == fleet.CheckPath }
+func (a *Attempt) isStream() bool { return a.Path == fleet.PlanPath || a.Path == fleet.CheckPath }
 
-// checkOrder requires events to follow one another, and all of them at a whole
-// answer.
-func (a *Attempt) checkOrder(whole bool) (faults []string) {
+// checkEvents requires the events to be in order without gaps, and all of them to be there if the
+// response is complete.
+func (a *Attempt) checkEvents(isComplete bool) (violations []string) {
 	for i, e := range a.Events {
 		if want := fmt.Sprintf("id: %d\ndata: tok%d\n\n", i+1, i+1); e != want {
-			return append(faults, fmt.Sprintf("event %d is %q", i+1, e))
+			return append(violations, fmt.Sprintf("event %d is %q", i+1, e))
 		}
 	}
-	if whole && len(a.Events) != streamEvents {
-		faults = append(faults, fmt.Sprintf("ended as whole after %d events", len(a.Events)))
+	if isComplete && len(a.Events) != streamEvents {
+		violations = append(violations, fmt.Sprintf("ended as complete after %d events", len(a.Events)))
 	}
-	return faults
+	return violations
 }
 
 func contains(list []string, s string) bool {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -1,6 +1,6 @@
-// Package soak runs gateways as separate processes against a stand-in of the
-// users' platform, harms them from outside by seeded faults, and checks from what
-// callers and backend servers see that the promises hold.
+// Package soak runs gateways as separate processes against a stand-in for the users' platform and
+// injects seeded faults from outside. It checks from what callers and backend servers observe
+// that the gateways' guarantees hold.
 package soak
 
 import (
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Mode is what a proxy does to connections.
+// Mode is how a proxy treats connections.
 type Mode int
 
-// The modes.
+// The modes of a proxy.
 const (
-	// PassThrough lets everything through.
+	// PassThrough forwards everything.
 	PassThrough Mode = iota
-	// SlowDown delays bytes.
+	// SlowDown delays all bytes.
 	SlowDown
-	// HoldAll holds all bytes back, without closing anything.
+	// HoldAll holds back all bytes and keeps the connections open.
 	HoldAll
-	// HoldResponses holds back what comes from the target.
+	// HoldResponses holds back the bytes from the target.
 	HoldResponses
-	// ResetConnections breaks connections, old and new.
+	// ResetConnections resets open and new connections.
 	ResetConnections
-	modes
+	modeCount
 )
 
-// slowBy is the delay of slow bytes.
-const slowBy = 150 * time.Millisecond
+// slowDelay is the delay of each read with SlowDown.
+const slowDelay = 150 * time.Millisecond
 
-// Proxy stands between two processes on loopback.
+// Proxy forwards connections between two processes on loopback.
 type Proxy struct {
 	Address string
 
@@ -55,26 +55,26 @@
 	return p, nil
 }
 
-// SetMode changes the mode of all connections.
+// SetMode sets the mode of all connections.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	p.mode = m
 	if m == ResetConnections {
-		p.breakAll()
+		p.resetAll()
 	}
 	p.mu.Unlock()
 	p.cond.Broadcast()
 }
 
-// breakAll resets the connections; mu is held.
-func (p *Proxy) breakAll() {
+// resetAll resets all connections. The caller holds mu.
+func (p *Proxy) resetAll() {
 	for c := range p.conns {
 		c.SetLinger(0)
 		c.Close()
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.SetMode(ResetConnections)
@@ -98,28 +98,29 @@
 		return
 	}
 	out := c.(*net.TCPConn)
-	if !p.add(in, out) {
+	if !p.track(in, out) {
 		return
 	}
-	go p.copy(out, in, false)
-	p.copy(in, out, true)
+	go p.forward(out, in, false)
+	p.forward(in, out, true)
 }
 
-func (p *Proxy) add(conns ...*net.TCPConn) bool {
+func (p *Proxy) track(conns ...*net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
 		p.conns[c] = true
 	}
 	if p.mode == ResetConnections {
-		p.breakAll()
+		p.resetAll()
 		return false
 	}
 	return true
 }
 
-// copy passes bytes until one side ends; an end without a reset stays one.
-func (p *Proxy) copy(to, from *net.TCPConn, answers bool) {
+// forward copies bytes until one side closes its connection. The end of the input closes the output
+// without a reset.
+func (p *Proxy) forward(to, from *net.TCPConn, isResponse bool) {
 	defer func() {
 		p.mu.Lock()
 		delete(p.conns, from)
@@ -128,7 +129,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		p.hold(answers)
+		p.waitForMode(isResponse)
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
 				from.SetLinger(0)
@@ -143,15 +144,15 @@
 	}
 }
 
-// hold waits while the mode holds bytes back.
-func (p *Proxy) hold(answers bool) {
+// waitForMode waits while the mode holds back bytes, and delays them with SlowDown.
+func (p *Proxy) waitForMode(isResponse bool) {
 	p.mu.Lock()
 	slow := p.mode == SlowDown
-	for p.mode == HoldAll || p.mode == HoldResponses && answers {
+	for p.mode == HoldAll || p.mode == HoldResponses && isResponse {
 		p.cond.Wait()
 	}
 	p.mu.Unlock()
 	if slow {
-		time.Sleep(slowBy)
+		time.Sleep(slowDelay)
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -18,107 +18,108 @@
 )
 
 const (
-	streamEvents = 60
-	eventEvery   = 15 * time.Millisecond
-	copyTime     = 30 * time.Millisecond
-	// revokeBound is what gateways are told, and revokeSlack what a request may take
-	// from its caller to the moment at which it is checked.
-	revokeBound = 3 * time.Second
-	callers     = 8
-	// Every thinEvery-th gateway has a link of thinMbps to the store.
-	thinEvery, thinMbps = 2, 10
-	// settleTime is how long after the last fault everything must be served again.
-	settleTime = 8 * time.Second
-	// oneZoneKinds is the number of kinds of faults up to which a seed has all servers in one
-	// zone.
-	oneZoneKinds = 21
+	streamEvents  = 60
+	eventInterval = 15 * time.Millisecond
+	copyTime      = 30 * time.Millisecond
+	// revokeTimeout is the maximum time for which a removed key may be accepted; gateways get it
+	// in their settings.
+	revokeTimeout = 3 * time.Second
+	callerCount   = 8
+	// Every slowLinkEvery-th gateway has a link of slowLinkMbps to the store.
+	slowLinkEvery, slowLinkMbps = 2, 10
+	// recoveryTimeout is the time after the last fault within which all requests must be served
+	// again.
+	recoveryTimeout = 8 * time.Second
+	// With up to oneDomainFaultKinds kinds of faults, all servers of a run are in one failure
+	// domain.
+	oneDomainFaultKinds = 21
 )
 
-// Options of a run.
+// Options are the parameters of a run.
 type Options struct {
 	Seed uint64
-	// Kinds is how many of the kinds of faults are drawn, in their order.
-	Kinds    int
-	Lasts    time.Duration
-	Gateways int
-	// Binary is the gateway's program, Dir a folder for settings and logs.
+	// FaultKinds is the number of kinds of faults that are drawn, from the start of the list.
+	FaultKinds int
+	Duration   time.Duration
+	Gateways   int
+	// Binary is the path of the gateway's program, Dir the directory for settings and logs.
 	Binary, Dir string
 }
 
 // Soak is one run.
 type Soak struct {
 	Options
-	fleet   *fleet.Fleet
-	history *History
-	nodes   []*gateway
+	fleet    *fleet.Fleet
+	history  *History
+	gateways []*gateway
 
-	// configuring is held by whoever writes a configuration; it comes before mu.
-	configuring sync.Mutex
+	// configMu serializes writes of the configuration. It is locked before mu.
+	configMu sync.Mutex
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	proxies []*Proxy
 	servers []*fleet.Server
-	// leaving are servers that a fault has ended or will end.
-	leaving map[*fleet.Server]bool
-	// key is what callers use, valid the one of the newest configuration.
-	key, valid string
-	// bodies are those under which model servers end.
-	bodies []string
-	// newest is a path of the route that was added last.
-	newest string
-	faults []string
-	// added counts the servers.
-	added int
+	// stopped has the servers that a fault has stopped or will stop.
+	stopped map[*fleet.Server]bool
+	// callersKey is the key that callers use, validKey that of the newest configuration.
+	callersKey, validKey string
+	// crashingBodies are the request bodies on which model servers crash.
+	crashingBodies []string
+	// newestPath is a path on the route that was added last.
+	newestPath string
+	faultLog   []string
+	// serverCount is the number of servers added with a domain from nextDomain.
+	serverCount int
 }
 
-// gateway is a gateway's process and its proxy towards the store.
+// gateway is a gateway's process and the proxy between it and the store.
 type gateway struct {
-	node  fleet.VMSettings
-	door  *Proxy
-	path  string
-	log   *os.File
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
+	settings     fleet.VMSettings
+	storeProxy   *Proxy
+	settingsPath string
+	logFile      *os.File
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
 }
 
-// Result is what a run found.
+// Result is the outcome of a run.
 type Result struct {
-	// Faults are the faults played, Broken the promises broken.
-	Faults, Broken []string
-	// Attempts and Served count callers' requests.
+	// FaultLog describes the injected faults, Violations the violated guarantees.
+	FaultLog, Violations []string
+	// Attempts is the number of callers' requests, Served that of completely served ones.
 	Attempts, Served int
 }
 
-// Run plays a seed.
+// Run runs the faults and callers of a seed and checks the guarantees.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	s := &Soak{
 		Options: o, fleet: fleet.New(), history: newHistory(), rng: rand.New(rand.NewPCG(o.Seed, 1)),
-		leaving: make(map[*fleet.Server]bool), key: fleet.Key, valid: fleet.Key,
+		stopped: make(map[*fleet.Server]bool), callersKey: fleet.Key, validKey: fleet.Key,
 	}
 	defer s.close()
 	if err := s.start(); err != nil {
 		return nil, err
 	}
-	if err := s.settled(ctx, "at the start"); err != nil {
+	if err := s.waitUntilServing(ctx, "at the start"); err != nil {
 		return nil, err
 	}
-	s.play(ctx)
-	res := &Result{Faults: s.faults}
-	if err := s.settled(ctx, "after the last fault"); err != nil {
-		res.Broken = append(res.Broken, err.Error())
+	s.run(ctx)
+	res := &Result{FaultLog: s.faultLog}
+	if err := s.waitUntilServing(ctx, "after the last fault"); err != nil {
+		res.Violations = append(res.Violations, err.Error())
 	}
-	res.Broken = append(res.Broken, s.emptyCalmly(ctx)...)
-	res.Broken = append(res.Broken, s.adviseCalmly(ctx)...)
+	res.Violations = append(res.Violations, s.checkCordon(ctx)...)
+	res.Violations = append(res.Violations, s.checkSignals(ctx)...)
 	s.mu.Lock()
 	servers := s.servers
 	s.mu.Unlock()
-	res.Broken = append(res.Broken, s.history.Check(servers, revokeBound)...)
-	res.Broken = append(res.Broken, checkHarmful(servers, s.bodies)...)
+	res.Violations = append(res.Violations, s.history.Check(servers, revokeTimeout)...)
+	res.Violations = append(res.Violations, checkQuarantine(servers, s.crashingBodies)...)
 	for _, a := range s.history.attempts {
 		res.Attempts++
-		if a.Status == 200 && a.Whole {
+		if a.Status == 200 && a.Complete {
 			res.Served++
 		}
 	}
@@ -126,12 +127,12 @@
 }
 
 func (s *Soak) start() error {
-	s.fleet.AddProxy, s.fleet.OnCrash, s.fleet.OnReplacement = s.via, s.ended, s.began
+	s.fleet.AddProxy, s.fleet.OnCrash, s.fleet.OnReplacement = s.addProxy, s.onServerCrash, s.onServerReplacement
 	for range 3 {
-		if _, err := s.add(fleet.ModelService); err != nil {
+		if _, err := s.addServer(fleet.ModelService); err != nil {
 			return err
 		}
-		if _, err := s.add(fleet.DeskService); err != nil {
+		if _, err := s.addServer(fleet.DeskService); err != nil {
 			return err
 		}
 	}
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// via puts a proxy in front of a server.
-func (s *Soak) via(address string) (string, error) {
+// addProxy starts a proxy in front of a server.
+func (s *Soak) addProxy(address string) (string, error) {
 	p, err := NewProxy(address)
 	if err != nil {
 		return "", err
@@ -155,11 +156,12 @@
 	return p.Address, nil
 }
 
-// ended has what stands in front of a server that ended refuse connections, as its VM does.
-func (s *Soak) ended(srv *fleet.Server) {
+// onServerCrash closes the proxy in front of a crashed server, so that it refuses connections as
+// the server's VM would.
+func (s *Soak) onServerCrash(srv *fleet.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving[srv] = true
+	s.stopped[srv] = true
 	for _, p := range s.proxies {
 		if p.Address == srv.Address {
 			p.Close()
@@ -167,20 +169,22 @@
 	}
 }
 
-func (s *Soak) began(srv *fleet.Server) {
+func (s *Soak) onServerReplacement(srv *fleet.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.servers = append(s.servers, srv)
 }
 
-func (s *Soak) add(service string) (*fleet.Server, error) { return s.addIn(service, s.zone()) }
+func (s *Soak) addServer(service string) (*fleet.Server, error) {
+	return s.addServerIn(service, s.nextDomain())
+}
 
-func (s *Soak) addIn(service, zone string) (*fleet.Server, error) {
+func (s *Soak) addServerIn(service, domain string) (*fleet.Server, error) {
 	b := fleet.Behavior{}
 	if service == fleet.ModelService {
-		b = fleet.Behavior{Events: streamEvents, EventInterval: eventEvery, CopyTime: copyTime, CrashOn: harmfulBody, CrashDelay: endsAfter}
+		b = fleet.Behavior{Events: streamEvents, EventInterval: eventInterval, CopyTime: copyTime, CrashOn: crashingBody, CrashDelay: crashDelay}
 	}
-	srv, err := s.fleet.Add(service, zone, b)
+	srv, err := s.fleet.Add(service, domain, b)
 	if err != nil {
 		return nil, err
 	}
@@ -190,61 +194,62 @@
 	return srv, nil
 }
 
-// zone is that of the next server: two zones by turns, where zones are emptied.
-func (s *Soak) zone() string {
+// nextDomain returns the failure domain of the next server. Where domains are cordoned, servers
+// are spread over two domains.
+func (s *Soak) nextDomain() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.added++
-	if s.Kinds > oneZoneKinds && s.added/2%2 == 0 {
-		return emptiedZone
+	s.serverCount++
+	if s.FaultKinds > oneDomainFaultKinds && s.serverCount/2%2 == 0 {
+		return cordonedDomain
 	}
-	return ownZone
+	return gatewayDomain
 }
 
 func (s *Soak) addGateway(i int) error {
-	door, err := s.fleet.Store.AddEndpoint()
+	endpoint, err := s.fleet.Store.AddEndpoint()
 	if err != nil {
 		return err
 	}
-	proxy, err := NewProxy(door.Address)
+	proxy, err := NewProxy(endpoint.Address)
 	if err != nil {
 		return err
 	}
 	name := fmt.Sprintf("vm-%d", i)
-	g := &gateway{node: fleet.NewVMSettings(name, proxy.Address), door: proxy, path: filepath.Join(s.Dir, name+".json")}
-	if i%thinEvery == 0 {
-		g.node.LinkMbps = thinMbps
-		door.SetLink(standin.NewLink(thinMbps))
+	g := &gateway{settings: fleet.NewVMSettings(name, proxy.Address), storeProxy: proxy, settingsPath: filepath.Join(s.Dir, name+".json")}
+	if i%slowLinkEvery == 0 {
+		g.settings.LinkMbps = slowLinkMbps
+		endpoint.SetLink(standin.NewLink(slowLinkMbps))
 	}
-	g.node.RevokeMs = int(revokeBound.Milliseconds())
-	if err := g.node.WriteFile(g.path); err != nil {
+	g.settings.RevokeMs = int(revokeTimeout.Milliseconds())
+	if err := g.settings.WriteFile(g.settingsPath); err != nil {
 		return err
 	}
-	if g.log, err = os.Create(filepath.Join(s.Dir, name+".log")); err != nil {
+	if g.logFile, err = os.Create(filepath.Join(s.Dir, name+".log")); err != nil {
 		return err
 	}
-	s.nodes = append(s.nodes, g)
+	s.gateways = append(s.gateways, g)
 	s.mu.Lock()
 	s.proxies = append(s.proxies, proxy)
 	s.mu.Unlock()
 	return g.start(s.Binary)
 }
 
-// start runs the process, and again whenever it has ended.
+// start starts the process, for the first time or after it has exited.
 func (g *gateway) start(binary string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cmd := exec.Command(binary, "-metrics-port", "0", "-leave", "300ms")
-	cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+g.path, "GORACE=halt_on_error=1")
-	cmd.Stdout, cmd.Stderr = g.log, g.log
+	cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+g.settingsPath, "GORACE=halt_on_error=1")
+	cmd.Stdout, cmd.Stderr = g.logFile, g.logFile
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	g.cmd, g.ended = cmd, ended
+	exited := make(chan struct{})
+	g.cmd, g.exited = cmd, exited
 	go func() {
 		cmd.Wait()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
@@ -255,93 +260,95 @@
 	g.cmd.Process.Signal(sig)
 }
 
-// restart waits for the end of the process, for at most d, and starts it anew.
-func (g *gateway) restart(ctx context.Context, binary string, d time.Duration) {
+// restart waits until the process has exited and starts it again. It kills the process after
+// timeout, and returns without a start when ctx ends.
+func (g *gateway) restart(ctx context.Context, binary string, timeout time.Duration) {
 	g.mu.Lock()
-	ended := g.ended
+	exited := g.exited
 	g.mu.Unlock()
-	t := time.NewTimer(d)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
-	case <-ended:
+	case <-exited:
 	case <-t.C:
 		g.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 	case <-ctx.Done():
 		return
 	}
 	if err := g.start(binary); err != nil {
-		fmt.Fprintln(g.log, "soak: restart:", err)
+		fmt.Fprintln(g.logFile, "soak: restart:", err)
 	}
 }
 
-// play runs callers and faults for the time of the run.
-func (s *Soak) play(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, s.Lasts)
+// run runs callers and faults for the duration of the run.
+func (s *Soak) run(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
 	var wg sync.WaitGroup
-	for i := range callers {
+	for i := range callerCount {
 		rng := rand.New(rand.NewPCG(s.Seed, uint64(i)+100))
 		wg.Go(func() { s.caller(ctx, rng) })
 	}
-	wg.Go(func() { s.harm(ctx, &wg) })
+	wg.Go(func() { s.injectFaults(ctx, &wg) })
 	wg.Wait()
 }
 
-var paths = []string{fleet.OncePath, fleet.SafePath, fleet.PlanPath, fleet.CheckPath}
+var servedPaths = []string{fleet.OncePath, fleet.SafePath, fleet.PlanPath, fleet.CheckPath}
 
-// caller makes one request after the other until the run ends; what is in progress
-// then is finished.
+// caller sends one request after the other until the run ends. It completes the request then in
+// progress.
 func (s *Soak) caller(ctx context.Context, rng *rand.Rand) {
 	for wait.For(ctx, time.Duration(rng.IntN(60))*time.Millisecond) {
-		s.attempt(s.nodes[rng.IntN(len(s.nodes))], paths[rng.IntN(len(paths))])
+		s.attempt(s.gateways[rng.IntN(len(s.gateways))], servedPaths[rng.IntN(len(servedPaths))])
 	}
 }
 
-// attemptTimeout bounds an attempt; a caller leaves then.
+// attemptTimeout is the timeout of an attempt, after which the caller closes its connection.
 const attemptTimeout = 10 * time.Second
 
 func (s *Soak) attempt(g *gateway, path string) Attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
 	s.mu.Lock()
-	key := s.key
+	key := s.callersKey
 	s.mu.Unlock()
-	a := Attempt{As: fleet.CallerRequest{ID: fleet.NextID(), Key: key}, Path: path, Sent: time.Now()}
+	a := Attempt{Request: fleet.CallerRequest{ID: fleet.NextID(), Key: key}, Path: path, SentAt: time.Now()}
 	var err error
-	if a.stream() {
-		a.Status, err = fleet.StreamWith(ctx, g.node.Callers, path, a.As, func(e string) { a.Events = append(a.Events, e) })
+	if a.isStream() {
+		a.Status, err = fleet.StreamWith(ctx, g.settings.Callers, path, a.Request, func(e string) { a.Events = append(a.Events, e) })
 	} else {
-		a.Status, a.Body, err = fleet.CallWith(ctx, g.node.Callers, path, a.As)
+		a.Status, a.Body, err = fleet.CallWith(ctx, g.settings.Callers, path, a.Request)
 	}
-	a.Whole = err == nil
+	a.Complete = err == nil
 	s.history.add(a)
 	return a
 }
 
-// settled waits until every gateway serves every kind of request, also on the route that
-// was added last.
-func (s *Soak) settled(ctx context.Context, when string) error {
+// waitUntilServing ends the faults of the store and the proxies. It then waits until every gateway
+// serves every kind of request, also on the route that was added last, and returns an error after
+// recoveryTimeout.
+func (s *Soak) waitUntilServing(ctx context.Context, when string) error {
 	s.fleet.Store.SetFault(fleet.NoFault)
-	deadline := time.Now().Add(settleTime)
+	deadline := time.Now().Add(recoveryTimeout)
 	s.mu.Lock()
 	for _, p := range s.proxies {
 		p.SetMode(PassThrough)
 	}
-	served := slices.Clone(paths)
-	if s.newest != "" {
-		served = append(served, s.newest)
+	pathsToServe := slices.Clone(servedPaths)
+	if s.newestPath != "" {
+		pathsToServe = append(pathsToServe, s.newestPath)
 	}
 	s.mu.Unlock()
-	for _, g := range s.nodes {
-		for _, path := range served {
+	for _, g := range s.gateways {
+		for _, path := range pathsToServe {
 			for {
 				a := s.attempt(g, path)
-				if a.Status == 200 && a.Whole {
+				if a.Status == 200 && a.Complete {
 					break
 				}
 				if time.Now().After(deadline) || !wait.For(ctx, 50*time.Millisecond) {
-					return fmt.Errorf("%s does not serve %s %s: status %d", g.node.Name, path, when, a.Status)
+					return fmt.Errorf("%s does not serve %s %s: status %d", g.settings.Name, path, when, a.Status)
 				}
 			}
 		}
@@ -350,11 +357,11 @@
 }
 
 func (s *Soak) close() {
-	for _, g := range s.nodes {
+	for _, g := range s.gateways {
 		g.signal(syscall.SIGCONT)
 		g.signal(syscall.SIGKILL)
-		<-g.ended
-		g.log.Close()
+		<-g.exited
+		g.logFile.Close()
 	}
 	s.fleet.Close()
 	s.mu.Lock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,29 +14,29 @@
 )
 
 var (
-	seeds = flag.Int("soak.seeds", 1, "seeds to play")
-	from  = flag.Uint64("soak.from", 1, "first seed")
-	lasts = flag.Duration("soak.lasts", 5*time.Second, "time of faults in a run")
-	nodes = flag.Int("soak.gateways", 3, "gateways in a run")
-	keep  = flag.String("soak.keep", "", "folder for the logs of failed runs")
+	seedCount    = flag.Int("soak.seeds", 1, "number of seeds to run")
+	firstSeed    = flag.Uint64("soak.from", 1, "first seed")
+	duration     = flag.Duration("soak.lasts", 5*time.Second, "duration of the faults in a run")
+	gatewayCount = flag.Int("soak.gateways", 3, "number of gateways in a run")
+	logDir       = flag.String("soak.keep", "", "directory for the logs of failed runs")
 )
 
-// regressions are the seeds that ever failed, each with its cause, and the kinds of faults
-// that there were then: further ones would have the seed draw others.
+// regressions are the seeds that have failed, each with its cause and the number of kinds of
+// faults at that time. With more kinds, a seed would draw other faults.
 var regressions = []struct {
 	seed  uint64
 	kinds int
 	cause string
 }{
-	{9602, 19, "request that many make is held with a harmful one"},
-	{9610, 19, "request that many make is held with a harmful one, and not tried"},
-	{9613, 19, "request that many make is held by chance ends, and its trial is cut short"},
-	{9622, 19, "request that many make explains the ends under a harmful one"},
-	{9640, 21, "request that many make is in no doubt once another one is absolved"},
-	{9821, 26, "zone stays empty that the stand-in's operator does not take back again after a drill"},
+	{9602, 19, "common request is quarantined with a crashing one"},
+	{9610, 19, "common request is quarantined with a crashing one and gets no trial"},
+	{9613, 19, "common request is quarantined by unrelated crashes and its trial is cut short"},
+	{9622, 19, "crashes under a crashing request are attributed to a common one"},
+	{9640, 21, "common request is not suspected once another one is cleared"},
+	{9821, 26, "failure domain stays cordoned because the stand-in's operator does not uncordon it again after a restore"},
 }
 
-var binary = sync.OnceValues(func() (string, error) {
+var buildGateway = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "kingcup-soak")
 	if err != nil {
 		return "", err
@@ -50,48 +50,48 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	code := m.Run()
-	if path, err := binary(); err == nil {
+	if path, err := buildGateway(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-func play(t *testing.T, seed uint64, kinds int) {
-	path, err := binary()
+func runSeed(t *testing.T, seed uint64, kinds int) {
+	path, err := buildGateway()
 	require.NoError(t, err)
 	dir := t.TempDir()
-	res, err := Run(t.Context(), Options{Seed: seed, Kinds: kinds, Lasts: *lasts, Gateways: *nodes, Binary: path, Dir: dir})
+	res, err := Run(t.Context(), Options{Seed: seed, FaultKinds: kinds, Duration: *duration, Gateways: *gatewayCount, Binary: path, Dir: dir})
 	require.NoError(t, err)
-	t.Logf("seed %d: %d faults, %d of %d requests served", seed, len(res.Faults), res.Served, res.Attempts)
-	if len(res.Broken) == 0 {
+	t.Logf("seed %d: %d faults, %d of %d requests served", seed, len(res.FaultLog), res.Served, res.Attempts)
+	if len(res.Violations) == 0 {
 		require.Positive(t, res.Served)
 		return
 	}
-	for _, f := range res.Faults {
-		t.Log(f)
+	for _, fault := range res.FaultLog {
+		t.Log(fault)
 	}
-	for _, b := range res.Broken {
-		t.Error(b)
+	for _, violation := range res.Violations {
+		t.Error(violation)
 	}
-	if *keep != "" {
-		require.NoError(t, os.CopyFS(filepath.Join(*keep, t.Name()), os.DirFS(dir)))
+	if *logDir != "" {
+		require.NoError(t, os.CopyFS(filepath.Join(*logDir, t.Name()), os.DirFS(dir)))
 	}
 }
 
-// Gateways as real processes, harmed from outside while callers go on: each
-// request that must not be repeated runs at most once, "not run" is true, every
-// whole answer is its request's own, streams are in order and without gaps, a
-// removed key stops working, and all is served again after the last fault.
+// Runs gateways as separate processes and injects faults while callers send requests. Requests
+// that must not be repeated run at most once, a response "not run" is true, every complete
+// response belongs to its request, streams are in order and without gaps, a removed key stops
+// working, and all requests are served again after the last fault.
 func TestSoak(t *testing.T) {
-	for i := range *seeds {
-		seed := *from + uint64(i)
-		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { play(t, seed, len(faults)) })
+	for i := range *seedCount {
+		seed := *firstSeed + uint64(i)
+		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runSeed(t, seed, len(faultKinds)) })
 	}
 }
 
-// Every seed that ever failed.
+// Runs every seed that has failed.
 func TestSoakRegressions(t *testing.T) {
 	for _, r := range regressions {
-		t.Run(r.cause, func(t *testing.T) { play(t, r.seed, r.kinds) })
+		t.Run(r.cause, func(t *testing.T) { runSeed(t, r.seed, r.kinds) })
 	}
 }
