--- a/internal/app/options.go
+++ b/internal/app/options.go
@@ -21,17 +21,17 @@
 
 // CommonOptions are the settings of every daemon.
 type CommonOptions struct {
-	Name          string
-	FailureDomain string
-	InnerAddress  string
-	AdminAddress  string
-	TableAddress  string
-	ObjectAddress string
-	ConfigPoll    time.Duration
-	ConfigStale   time.Duration
-	DrainTimeout  time.Duration
-	LogLevel      string
-	LogFormat     string
+	Name               string
+	FailureDomain      string
+	InnerAddress       string
+	AdminAddress       string
+	TableAddress       string
+	ObjectAddress      string
+	ConfigPollInterval time.Duration
+	ConfigStale        time.Duration
+	DrainTimeout       time.Duration
+	LogLevel           string
+	LogFormat          string
 }
 
 // AddCommonFlags defines the settings of every daemon; the returned function reads
@@ -53,7 +53,7 @@
 	return func() CommonOptions {
 		return CommonOptions{
 			Name: *name, FailureDomain: *domain, InnerAddress: *inner, AdminAddress: *admin,
-			TableAddress: *table, ObjectAddress: *objects, ConfigPoll: *poll, ConfigStale: *stale,
+			TableAddress: *table, ObjectAddress: *objects, ConfigPollInterval: *poll, ConfigStale: *stale,
 			DrainTimeout: *drain, LogLevel: *level, LogFormat: *format,
 		}
 	}
