--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -87,7 +87,7 @@
 		conf.NewReplica,
 		func(p Platform) *conf.Store { return conf.NewStore(p.Table, p.Objects) },
 		func(r *conf.Replica, s *conf.Store, log logrus.FieldLogger) *confsync.Syncer {
-			return confsync.New(confsync.Config{PollInterval: common.ConfigPollInterval, StaleAfter: common.ConfigStale}, r, s, log)
+			return confsync.New(confsync.Config{PollInterval: common.ConfigPollInterval, StaleAfter: common.ConfigStaleAfter}, r, s, log)
 		},
 		metrics.New,
 	}
--- a/internal/app/options.go
+++ b/internal/app/options.go
@@ -28,7 +28,7 @@
 	TableAddress       string
 	ObjectAddress      string
 	ConfigPollInterval time.Duration
-	ConfigStale        time.Duration
+	ConfigStaleAfter   time.Duration
 	DrainTimeout       time.Duration
 	LogLevel           string
 	LogFormat          string
@@ -53,7 +53,7 @@
 	return func() CommonOptions {
 		return CommonOptions{
 			Name: *name, FailureDomain: *domain, InnerAddress: *inner, AdminAddress: *admin,
-			TableAddress: *table, ObjectAddress: *objects, ConfigPollInterval: *poll, ConfigStale: *stale,
+			TableAddress: *table, ObjectAddress: *objects, ConfigPollInterval: *poll, ConfigStaleAfter: *stale,
 			DrainTimeout: *drain, LogLevel: *level, LogFormat: *format,
 		}
 	}
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -93,7 +93,7 @@
 	}
 	return app.CommonOptions{
 		Name: name, FailureDomain: domains[i%len(domains)], InnerAddress: inner,
-		ConfigPollInterval: time.Second, ConfigStale: 30 * time.Second, LogLevel: level, LogFormat: "text",
+		ConfigPollInterval: time.Second, ConfigStaleAfter: 30 * time.Second, LogLevel: level, LogFormat: "text",
 	}
 }
 
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -183,7 +183,7 @@
 	s.domainOf[name] = domains[i%len(domains)]
 	return app.CommonOptions{
 		Name: name, FailureDomain: domains[i%len(domains)], InnerAddress: name,
-		ConfigPollInterval: 2 * time.Second, ConfigStale: 20 * time.Second,
+		ConfigPollInterval: 2 * time.Second, ConfigStaleAfter: 20 * time.Second,
 	}
 }
 
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -57,7 +57,7 @@
 	inner, err := standin.FreeAddress()
 	return app.CommonOptions{
 		Name: fmt.Sprintf("%s-%d", role, i), FailureDomain: fmt.Sprintf("d%d", i%numDomains),
-		InnerAddress: inner, ConfigPollInterval: n.poll, ConfigStale: time.Minute,
+		InnerAddress: inner, ConfigPollInterval: n.poll, ConfigStaleAfter: time.Minute,
 	}, err
 }
 
