--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -176,9 +176,9 @@
 // coldTime is how long servers are cold after their start.
 const coldTime = 2 * time.Second
 
-// SetColdLimit has operators say what cold servers bear a second, and in which regions requests of
+// SetColdLimitAndRegions has operators say what cold servers bear a second, and in which regions requests of
 // the desk service may run.
-func (f *Fleet) SetColdLimit(coldPerS float64, regions ...string) {
+func (f *Fleet) SetColdLimitAndRegions(coldPerS float64, regions ...string) {
 	f.mu.Lock()
 	f.coldPerS, f.regions = coldPerS, regions
 	key := f.key
