--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -177,9 +177,9 @@
 // coldDuration is how long servers are cold after their start.
 const coldDuration = 2 * time.Second
 
-// SetColdLimit writes a configuration with a limit of requests a second for cold servers, and with
-// the regions in which requests of the desk service may run.
-func (f *Fleet) SetColdLimit(coldPerS float64, regions ...string) {
+// SetColdLimitAndRegions writes a configuration with a limit of requests a second for cold servers
+// and with the regions in which requests of the desk service may run.
+func (f *Fleet) SetColdLimitAndRegions(coldPerS float64, regions ...string) {
 	f.mu.Lock()
 	f.coldPerS, f.deskRegions = coldPerS, regions
 	key := f.teamKey
