--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -44,8 +44,8 @@
 	h.revokedAt[key] = time.Now()
 }
 
-// executions are the servers that executed a request. A run that continued from a copy does not
-// count as started again.
+// executions has the number of runs of a request and the servers they ran at. A run that continued
+// from a copy at another server counts once.
 type executions struct {
 	started int
 	servers []string
--- a/internal/soak/quarantine.go
+++ b/internal/soak/quarantine.go
@@ -50,7 +50,7 @@
 }
 
 // checkQuarantine requires that a request reaches few servers once three servers have crashed
-// under it and the gateways had time to exchange this.
+// under it and the gateways had time to report the crashes to each other.
 func checkQuarantine(servers []*fleet.Server, bodies []string) (violations []string) {
 	for _, body := range bodies {
 		var executedAt []time.Time
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -46,7 +46,7 @@
 	Binary, Dir string
 }
 
-// Soak is one run.
+// Soak is the state of one run.
 type Soak struct {
 	Options
 	fleet    *fleet.Fleet
--- a/internal/standin/fleet/settings.go
+++ b/internal/standin/fleet/settings.go
@@ -33,9 +33,9 @@
 // SettingsVariable is the environment variable with the path of a process's settings file.
 const SettingsVariable = "KINGCUPPLANK_BOOT"
 
-// WriteFile writes the node's settings file.
-func (n VMSettings) WriteFile(path string) error {
-	ip, port, err := net.SplitHostPort(n.Peers)
+// WriteFile writes the settings file to path.
+func (s VMSettings) WriteFile(path string) error {
+	ip, port, err := net.SplitHostPort(s.Peers)
 	if err != nil {
 		return err
 	}
@@ -44,14 +44,14 @@
 		return err
 	}
 	data, err := json.Marshal(map[string]any{
-		"nodeName": n.Name, "zone": "zone-1", "ip": ip, "internalPortRange": []int{peers, peers + 1},
-		"listenAddrs": map[string]string{"frontend": n.Callers, "ready": n.Ready},
-		"limits":      map[string]any{"memoryMb": 128, "maxFds": 1000, "bandwidthMbps": n.LinkMbps},
+		"nodeName": s.Name, "zone": "zone-1", "ip": ip, "internalPortRange": []int{peers, peers + 1},
+		"listenAddrs": map[string]string{"frontend": s.Callers, "ready": s.Ready},
+		"limits":      map[string]any{"memoryMb": 128, "maxFds": 1000, "bandwidthMbps": s.LinkMbps},
 		"bounds": map[string]any{
-			"drainTimeoutMs": 2000, "gracePeriodS": 6, "configApplyMs": 2000, "revokeTimeoutMs": n.RevokeMs,
+			"drainTimeoutMs": 2000, "gracePeriodS": 6, "configApplyMs": 2000, "revokeTimeoutMs": s.RevokeMs,
 			"retryBudgetRatio": 0.2, "retryWindowS": 10, "retryMinExtra": 50,
 		},
-		"platform": map[string]string{"address": n.Store}, "heartbeatIntervalMs": 1200, "a new field": true,
+		"platform": map[string]string{"address": s.Store}, "heartbeatIntervalMs": 1200, "a new field": true,
 	})
 	if err != nil {
 		return err
