--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/settings.go
@@ -9,19 +9,20 @@
 	"kingcupplank.example/kingcup/internal/standin"
 )
 
-// VMSettings is what the platform tells a gateway's process.
+// VMSettings holds the settings that the platform gives to the gateway's process of a VM.
 type VMSettings struct {
 	Name string
-	// Callers, Ready and Peers are the addresses that the gateway serves.
+	// Callers, Ready and Peers are the addresses on which the gateway serves callers,
+	// readiness checks and other gateways.
 	Callers, Ready, Peers string
 	Store                 string
-	// RevokeMs bounds how long a removed key may work.
+	// RevokeMs is the maximum time for which a removed key may be accepted, in milliseconds.
 	RevokeMs int
 	// LinkMbps is the VM's bandwidth in Mbit/s.
 	LinkMbps float64
 }
 
-// NewVMSettings gives a gateway addresses of its own.
+// NewVMSettings returns settings with unique addresses for a gateway.
 func NewVMSettings(name, store string) VMSettings {
 	return VMSettings{
 		Name: name, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(), Peers: standin.UniqueAddress(),
@@ -29,12 +30,12 @@
 	}
 }
 
-// SettingsVariable names the settings file to a process.
+// SettingsVariable is the environment variable with the path of a process's settings file.
 const SettingsVariable = "KINGCUPPLANK_BOOT"
 
-// WriteFile writes the node's settings file.
-func (n VMSettings) WriteFile(path string) error {
-	ip, port, err := net.SplitHostPort(n.Peers)
+// WriteFile writes the settings file to path.
+func (s VMSettings) WriteFile(path string) error {
+	ip, port, err := net.SplitHostPort(s.Peers)
 	if err != nil {
 		return err
 	}
@@ -43,14 +44,14 @@
 		return err
 	}
 	data, err := json.Marshal(map[string]any{
-		"nodeName": n.Name, "zone": "zone-1", "ip": ip, "internalPortRange": []int{peers, peers + 1},
-		"listenAddrs": map[string]string{"frontend": n.Callers, "ready": n.Ready},
-		"limits":      map[string]any{"memoryMb": 128, "maxFds": 1000, "bandwidthMbps": n.LinkMbps},
+		"nodeName": s.Name, "zone": "zone-1", "ip": ip, "internalPortRange": []int{peers, peers + 1},
+		"listenAddrs": map[string]string{"frontend": s.Callers, "ready": s.Ready},
+		"limits":      map[string]any{"memoryMb": 128, "maxFds": 1000, "bandwidthMbps": s.LinkMbps},
 		"bounds": map[string]any{
-			"drainTimeoutMs": 2000, "gracePeriodS": 6, "configApplyMs": 2000, "revokeTimeoutMs": n.RevokeMs,
+			"drainTimeoutMs": 2000, "gracePeriodS": 6, "configApplyMs": 2000, "revokeTimeoutMs": s.RevokeMs,
 			"retryBudgetRatio": 0.2, "retryWindowS": 10, "retryMinExtra": 50,
 		},
-		"platform": map[string]string{"address": n.Store}, "heartbeatIntervalMs": 1200, "a new field": true,
+		"platform": map[string]string{"address": s.Store}, "heartbeatIntervalMs": 1200, "a new field": true,
 	})
 	if err != nil {
 		return err
