--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -20,7 +20,8 @@
 	"kingcupplank.example/kingcup/sched"
 )
 
-// AgentOptions are the settings of an agent.
+// AgentOptions configures StartAgent. Policy configures the scheduler; the other fields
+// correspond to those of agent.Config.
 type AgentOptions struct {
 	CommonOptions
 	Services          []string
@@ -32,8 +33,7 @@
 	Policy            sched.Config
 }
 
-// DefaultAgentOptions fills in the settings that a test or the all-in-one program
-// does not care about.
+// DefaultAgentOptions returns the default options of an agent with the given common options.
 func DefaultAgentOptions(c CommonOptions) AgentOptions {
 	return AgentOptions{
 		CommonOptions: c, BytesPerToken: 4, BufferBytes: 256 << 10,
@@ -41,7 +41,7 @@
 	}
 }
 
-// Agent is a running agent.
+// Agent is a running agent with its listeners and background tasks.
 type Agent struct {
 	Agent  *agent.Agent
 	Sync   *confsync.Syncer
@@ -50,25 +50,26 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	closing sync.Once
+	closeOnce sync.Once
 }
 
 const (
-	agentWorkers = 16
-	agentTick    = 20 * time.Millisecond
+	agentWorkers      = 16
+	agentTickInterval = 20 * time.Millisecond
 )
 
-// Backend is what an agent stands before; either may be nil.
+// Backend is the backend server behind an agent: a model engine, a plain service or both.
+// Fields may be nil.
 type Backend struct {
 	Engine  engine.Engine
 	Service engine.Service
 }
 
-// StartAgent runs an agent until Close. It returns once the engine has
-// answered.
+// StartAgent starts an agent, which runs until Close. It returns once the engine has
+// answered; ctx bounds only that wait.
 func StartAgent(ctx context.Context, o AgentOptions, b Backend, p Platform, network wire.Network, log logrus.FieldLogger) (*Agent, error) {
 	c := dig.New()
-	if err := provide(c, o.CommonOptions, p, log, network); err != nil {
+	if err := provideCommon(c, o.CommonOptions, p, log, network); err != nil {
 		return nil, err
 	}
 	err := provideAll(c, []any{
@@ -77,25 +78,25 @@
 			return agent.New(agent.Config{
 				Identity: o.Identity(), BytesPerToken: o.BytesPerToken, BufferBytes: o.BufferBytes,
 				OrphanGracePeriod: o.OrphanGracePeriod, RetentionPeriod: o.RetentionPeriod, EngineGracePeriod: o.EngineGracePeriod,
-				TickInterval: agentTick, Workers: agentWorkers, Policy: o.Policy, Services: o.Services,
+				TickInterval: agentTickInterval, Workers: agentWorkers, Policy: o.Policy, Services: o.Services,
 			}, agent.Deps{Engine: b.Engine, Service: b.Service, Sync: s, Fence: fence, Log: log, Observer: rec})
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	var run *Agent
+	var started *Agent
 	err = c.Invoke(func(a *agent.Agent, s *confsync.Syncer, rec *metrics.Recorder) error {
-		run = &Agent{Agent: a, Sync: s}
-		return run.serve(ctx, o, network, rec)
+		started = &Agent{Agent: a, Sync: s}
+		return started.serve(ctx, o, network, rec)
 	})
-	return run, dig.RootCause(err)
+	return started, dig.RootCause(err)
 }
 
 func (r *Agent) serve(ctx context.Context, o AgentOptions, network wire.Network, rec *metrics.Recorder) error {
-	// The engine is met before the address is served: an entry that attached
-	// earlier would be told that its stream is unknown and move it, while the
-	// engine still runs it.
+	// The agent first fetches the running streams from the engine and only then accepts
+	// connections. An entry that reattached earlier would get the answer that its stream
+	// is unknown, and would move the stream although the engine still runs it.
 	if err := r.Agent.Start(ctx); err != nil {
 		return err
 	}
@@ -110,24 +111,26 @@
 		inner.Close()
 		return err
 	}
-	run, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	r.wg.Go(r.inner.Serve)
-	r.wg.Go(func() { r.Sync.Run(run) })
+	r.wg.Go(func() { r.Sync.Run(runCtx) })
 	return nil
 }
 
-// Shutdown refuses new work, waits until streams in progress have been
-// delivered and ends the agent.
+// Shutdown refuses new work, waits until the streams in progress have been delivered or
+// ctx ends, and closes the agent. It returns the number of streams that were still in
+// progress.
 func (r *Agent) Shutdown(ctx context.Context) int {
-	left := r.Agent.Drain(ctx)
+	remaining := r.Agent.Drain(ctx)
 	r.Close()
-	return left
+	return remaining
 }
 
-// Close ends the agent at once, as the end of its process does.
+// Close stops the agent at once, as if its process had exited. Further calls have no
+// effect.
 func (r *Agent) Close() {
-	r.closing.Do(r.close)
+	r.closeOnce.Do(r.close)
 }
 
 func (r *Agent) close() {
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -23,9 +23,10 @@
 	"kingcupplank.example/kingcup/lease"
 )
 
-// EntryOptions are the settings of an entry.
+// EntryOptions configures StartEntry. Most fields correspond to those of entry.Config.
 type EntryOptions struct {
 	CommonOptions
+	// CallerAddress is the address to listen on for callers and operators.
 	CallerAddress   string
 	AgentLinks      int
 	EntryLinks      int
@@ -36,12 +37,11 @@
 	ClaimWindow     time.Duration
 	LeaseTTL        time.Duration
 	MaxRequests     int
-	// Random draws for placement; nil takes the process's source.
+	// Random returns random numbers for placement; nil selects the default generator.
 	Random func() uint64
 }
 
-// DefaultEntryOptions fills in the settings that a test or the all-in-one program
-// does not care about.
+// DefaultEntryOptions returns the default options of an entry with the given common options.
 func DefaultEntryOptions(c CommonOptions) EntryOptions {
 	return EntryOptions{
 		CommonOptions: c, AgentLinks: 96, EntryLinks: 4, Heartbeat: time.Second, ListInterval: 5 * time.Second,
@@ -50,11 +50,11 @@
 	}
 }
 
-// Entry is a running entry.
+// Entry is a running entry with its listeners and background tasks.
 type Entry struct {
 	Entry *entry.Entry
 	Sync  *confsync.Syncer
-	// CallerAddress is the listener's address.
+	// CallerAddress is the address on which the entry listens for callers and operators.
 	CallerAddress string
 
 	links  *link.Manager
@@ -65,20 +65,20 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	closing sync.Once
+	closeOnce sync.Once
 }
 
 const (
-	streamBytes   = 256 << 10
-	spreadTimeout = time.Second
-	placeTries    = 4
+	maxStreamBytes       = 256 << 10
+	propagationTimeout   = time.Second
+	maxServersPerRequest = 4
 
-	callerKeepalive = 20 * time.Second
-	callerTimeout   = 10 * time.Second
+	callerKeepaliveInterval = 20 * time.Second
+	callerKeepaliveTimeout  = 10 * time.Second
 )
 
-// provide registers what entry and agent share.
-func provide(c *dig.Container, common CommonOptions, p Platform, log logrus.FieldLogger, network wire.Network) error {
+// provideCommon registers the constructors that entry and agent share.
+func provideCommon(c *dig.Container, common CommonOptions, p Platform, log logrus.FieldLogger, network wire.Network) error {
 	providers := []any{
 		func() CommonOptions { return common },
 		func() Platform { return p },
@@ -97,16 +97,16 @@
 func provideAll(c *dig.Container, providers []any) error {
 	for _, p := range providers {
 		if err := c.Provide(p); err != nil {
-			return errors.Wrap(err, "wire program")
+			return errors.Wrap(err, "register constructor")
 		}
 	}
 	return nil
 }
 
-// StartEntry runs an entry until Close.
+// StartEntry starts an entry, which runs until Close.
 func StartEntry(o EntryOptions, p Platform, network wire.Network, log logrus.FieldLogger) (*Entry, error) {
 	c := dig.New()
-	if err := provide(c, o.CommonOptions, p, log, network); err != nil {
+	if err := provideCommon(c, o.CommonOptions, p, log, network); err != nil {
 		return nil, err
 	}
 	err := provideAll(c, []any{
@@ -119,8 +119,8 @@
 		func(s *confsync.Syncer, store *conf.Store, links *link.Manager, claims *claim.Claims, leases *lease.Manager, p Platform, log logrus.FieldLogger, rec *metrics.Recorder) *entry.Entry {
 			return entry.New(entry.Config{
 				Identity: o.Identity(), ListInterval: o.ListInterval, AgentLinks: o.AgentLinks, EntryLinks: o.EntryLinks,
-				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachTimeout, MaxStreamBytes: streamBytes,
-				PropagationTimeout: spreadTimeout, MaxServersPerRequest: placeTries, Random: o.Random,
+				AcceptTimeout: o.AcceptTimeout, ReattachTimeout: o.ReattachTimeout, MaxStreamBytes: maxStreamBytes,
+				PropagationTimeout: propagationTimeout, MaxServersPerRequest: maxServersPerRequest, Random: o.Random,
 				MaxRequests: o.MaxRequests,
 			}, entry.Deps{Sync: s, Store: store, Links: links, Claims: claims, Leases: leases, VMs: p.VMs, Log: log, Observer: rec})
 		},
@@ -128,12 +128,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var run *Entry
+	var started *Entry
 	err = c.Invoke(func(e *entry.Entry, s *confsync.Syncer, links *link.Manager, claims *claim.Claims, rec *metrics.Recorder) error {
-		run = &Entry{Entry: e, Sync: s, links: links, claims: claims}
-		return run.serve(o, network, rec)
+		started = &Entry{Entry: e, Sync: s, links: links, claims: claims}
+		return started.serve(o, network, rec)
 	})
-	return run, dig.RootCause(err)
+	return started, dig.RootCause(err)
 }
 
 func (r *Entry) serve(o EntryOptions, network wire.Network, rec *metrics.Recorder) error {
@@ -149,10 +149,10 @@
 	r.CallerAddress = callers.Addr().String()
 	rec.ExportGauge("kingcup_in_progress", "Requests in progress at this entry.", func() float64 { return float64(r.Entry.InProgress()) })
 	r.inner = wire.NewServer(inner, r.Entry.Handle)
-	// A caller whose VM died sends no end; its streams would be relayed for as
-	// long as TCP believes in it.
-	alive := keepalive.ServerParameters{Time: callerKeepalive, Timeout: callerTimeout}
-	r.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.KeepaliveParams(alive))
+	// A caller whose VM crashes does not close its connection. Without keepalive its
+	// streams would be relayed until TCP times out.
+	keepaliveParams := keepalive.ServerParameters{Time: callerKeepaliveInterval, Timeout: callerKeepaliveTimeout}
+	r.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.KeepaliveParams(keepaliveParams))
 	r.Entry.Register(r.grpc)
 	if r.admin, err = startAdmin(o.AdminAddress, network, rec, r.Entry.Ready, &r.wg); err != nil {
 		inner.Close()
@@ -168,6 +168,7 @@
 	return nil
 }
 
+// startAdmin serves the admin address; it returns nil if address is empty.
 func startAdmin(address string, network wire.Network, rec *metrics.Recorder, ready func() bool, wg *sync.WaitGroup) (*admin.Server, error) {
 	if address == "" {
 		return nil, nil
@@ -181,27 +182,29 @@
 	return srv, nil
 }
 
-// Shutdown refuses new work, waits for work in progress and ends the entry.
+// Shutdown refuses new work, waits until the work in progress is done or ctx ends, and
+// closes the entry. It returns the number of requests that were still in progress.
 func (r *Entry) Shutdown(ctx context.Context) int {
-	left := r.Entry.Shutdown(ctx)
-	stopGRPC(r.grpc, lastWrites)
+	remaining := r.Entry.Shutdown(ctx)
+	stopGRPC(r.grpc, gracefulStopTimeout)
 	r.Close()
-	return left
+	return remaining
 }
 
-// lastWrites bounds the time in which the ends of the last answers leave.
-const lastWrites = time.Second
+// gracefulStopTimeout bounds the time for writing the last responses to connections.
+const gracefulStopTimeout = time.Second
 
-// stopGRPC lets what the handlers have returned leave before connections close. A
-// request is over for the entry when its handler returns, but its end is written
-// after that: cut off then, the caller takes a whole answer for a broken one.
-func stopGRPC(srv *grpc.Server, within time.Duration) {
+// stopGRPC stops srv, and waits up to timeout until the responses of finished handlers are
+// written. The entry counts a request as finished when its handler returns, but gRPC writes
+// the response status after that. If the connection closed in between, the caller would
+// treat a complete response as broken.
+func stopGRPC(srv *grpc.Server, timeout time.Duration) {
 	done := make(chan struct{})
 	go func() {
 		srv.GracefulStop()
 		close(done)
 	}()
-	t := time.NewTimer(within)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case <-done:
@@ -210,9 +213,10 @@
 	}
 }
 
-// Close ends the entry at once, as the end of its process does.
+// Close stops the entry at once, as if its process had exited. Further calls have no
+// effect.
 func (r *Entry) Close() {
-	r.closing.Do(r.close)
+	r.closeOnce.Do(r.close)
 }
 
 func (r *Entry) close() {
--- a/internal/app/entry_test.go
+++ b/internal/app/entry_test.go
@@ -12,7 +12,7 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// slowListener delays what the server writes, as a busy VM does.
+// slowListener accepts connections whose writes are delayed, as on a busy VM.
 type slowListener struct{ net.Listener }
 
 type slowConn struct{ net.Conn }
@@ -27,9 +27,9 @@
 	return c.Conn.Write(p)
 }
 
-// An entry stops when its last handler has returned. The end of that answer is
-// still on its way; the caller must get it, not a broken connection.
-func TestEndsOfAnswersLeaveBeforeTheEntryStops(t *testing.T) {
+// Guards against an entry that stops as soon as its last handler has returned, while the
+// end of the response is not yet written. The caller must receive the complete response.
+func TestStopGRPCDeliversResponsesInProgress(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	returned := make(chan struct{})
--- a/internal/app/options.go
+++ b/internal/app/options.go
@@ -1,5 +1,5 @@
-// Package app wires the programs: it turns settings into running parts with
-// dig, for the binaries, the all-in-one program and tests.
+// Package app builds entries and agents from their options by dependency injection with
+// dig. The binaries, the all-in-one program kingcup-dev and tests use it.
 package app
 
 import (
@@ -19,7 +19,7 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// CommonOptions are the settings of every daemon.
+// CommonOptions are the options that entries and agents share.
 type CommonOptions struct {
 	Name          string
 	FailureDomain string
@@ -34,8 +34,8 @@
 	LogFormat     string
 }
 
-// AddCommonFlags defines the settings of every daemon; the returned function reads
-// them after parsing.
+// AddCommonFlags defines the flags of CommonOptions. The returned function returns the
+// options; call it after the flags are parsed.
 func AddCommonFlags(s *settings.Set) func() CommonOptions {
 	name := s.String("name", "", "name of this VM, unique in the system", true)
 	domain := s.String("failure-domain", "", "failure domain of this VM", true)
@@ -59,7 +59,7 @@
 	}
 }
 
-// NewLog returns the logger that the settings ask for.
+// NewLog returns a logger to standard error with the level and format of c.
 func NewLog(c CommonOptions) logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
@@ -72,14 +72,15 @@
 	return log.WithField("vm", c.Name).WithField("failure_domain", c.FailureDomain)
 }
 
-// Platform is what the platform gives.
+// Platform holds the clients of the platform's services.
 type Platform struct {
 	Table   storage.Table
 	Objects storage.Objects
 	VMs     vmlist.Lister
 }
 
-// DialPlatform connects to the platform that the settings name.
+// DialPlatform returns clients for the table service and the object store at the addresses
+// in c.
 func DialPlatform(c CommonOptions) (Platform, error) {
 	conn, err := DialGRPC(c.TableAddress)
 	if err != nil {
@@ -89,10 +90,12 @@
 	return Platform{Table: table, Objects: objectclient.New(c.ObjectAddress), VMs: table}, nil
 }
 
-// MaxMessageBytes bounds a gRPC message in bytes, towards callers and engines.
+// MaxMessageBytes bounds the size of a gRPC message that is received from callers and
+// engines.
 const MaxMessageBytes = 8 << 20
 
-// DialGRPC connects to a gRPC server on the platform's private network.
+// DialGRPC returns a connection to a gRPC server on the platform's private network, without
+// TLS. The connection is established on first use.
 func DialGRPC(address string) (*grpc.ClientConn, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -100,7 +103,7 @@
 	return conn, errors.Wrapf(err, "connect to %s", address)
 }
 
-// Identity is the wire identity of the settings.
+// Identity returns the identity that the daemon announces to its peers.
 func (c CommonOptions) Identity() wire.Identity {
 	return wire.Identity{Name: c.Name, FailureDomain: c.FailureDomain}
 }
