--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -28,9 +28,9 @@
 )
 
 // fragile is an engine that ends under harmful requests, shortly after their first event.
-var fragile = fleet.Behaviour{
-	Events: 5, EventEvery: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
-	EndsUnder: harmful, EndsAfter: 50 * time.Millisecond,
+var fragile = fleet.Behavior{
+	Events: 5, EventInterval: 20 * time.Millisecond, Delay: 100 * time.Millisecond,
+	CrashOn: harmful, CrashDelay: 50 * time.Millisecond,
 }
 
 // endings notes when engines ended under requests.
@@ -54,7 +54,7 @@
 // fragileEngines starts engines that end under harmful requests.
 func (s *system) fragileEngines(n int) *endings {
 	e := &endings{}
-	s.fleet.Ended = e.note
+	s.fleet.OnCrash = e.note
 	for range n {
 		s.server(fleet.ModelService, fragile)
 	}
@@ -64,7 +64,7 @@
 // reached lists when servers got requests whose body has a text.
 func (s *system) reached(text string) (at []time.Time) {
 	for _, srv := range s.fleet.Servers() {
-		for _, seen := range srv.Seen() {
+		for _, seen := range srv.Executions() {
 			if strings.Contains(seen.Body, text) {
 				at = append(at, seen.At)
 			}
@@ -76,7 +76,7 @@
 
 // generate makes a generation of a body as a new attempt, and returns the status.
 func (n *node) generate(path, body string) int {
-	as := fleet.As{ID: fleet.NextID(), Key: fleet.Key, Body: body}
+	as := fleet.CallerRequest{ID: fleet.NextID(), Key: fleet.Key, Body: body}
 	// What breaks an answer off is no matter here.
 	status, _ := fleet.StreamAs(context.Background(), n.callers, path, as, func(string) {})
 	return status
@@ -175,7 +175,7 @@
 		require.Equal(t, content, quarantined{n.group.suspects}.Held()[0].Content)
 	}
 	for _, srv := range s.fleet.Servers() {
-		srv.SetBehaviour(fleet.Behaviour{Events: 3})
+		srv.SetBehavior(fleet.Behavior{Events: 3})
 	}
 	require.False(t, quarantined{nodes[0].group.suspects}.Lift("no such content"))
 	require.True(t, quarantined{nodes[0].group.suspects}.Lift(content))
@@ -214,7 +214,7 @@
 	sent, served := 0, 0
 	for i, begun := 0, time.Now(); time.Since(begun) < 10*time.Second; i++ {
 		at := ends.times()
-		counts := len(at) >= 3 && time.Since(at[2]) > s.fleet.BackAfter+toldWithin
+		counts := len(at) >= 3 && time.Since(at[2]) > s.fleet.ReplacementDelay+toldWithin
 		wg.Go(func() {
 			ok := nodes[i%3].generate(fleet.CheckPath, fmt.Sprint("own-", i)) == http.StatusOK
 			mu.Lock()
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -146,11 +146,11 @@
 	if srv == nil {
 		return "nothing to reclaim", nil
 	}
-	srv.Drain(true)
+	srv.StartDraining(true)
 	return "reclaim " + srv.ID, func() {
 		time.Sleep(notice)
 		srv.Kill()
-		srv.Leave()
+		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
@@ -164,7 +164,7 @@
 	srv.Kill()
 	s.ended(srv)
 	return "crash " + srv.ID, func() {
-		srv.Leave()
+		srv.RemoveEntry()
 		s.replace(srv)
 	}
 }
@@ -178,7 +178,7 @@
 	}
 	silent := s.intN(2) == 0
 	if silent {
-		srv.Darken()
+		srv.Hang()
 	} else {
 		srv.Kill()
 	}
@@ -246,8 +246,8 @@
 	if srv == nil {
 		return "nothing to fill", nil
 	}
-	srv.SetBehaviour(fleet.Behaviour{Full: true})
-	return "full " + srv.ID, func() { srv.SetBehaviour(fleet.Behaviour{}) }
+	srv.SetBehavior(fleet.Behavior{RejectAll: true})
+	return "full " + srv.ID, func() { srv.SetBehavior(fleet.Behavior{}) }
 }
 
 // drill has the store be away for a moment and come back from a copy of some time before;
@@ -261,7 +261,7 @@
 		wait.For(ctx, s.duration(0, drillAway))
 		s.fleet.Store.Restore(old)
 		s.fleet.Store.SetFault(fleet.Sound)
-		s.fleet.Rewrite(func() { wait.For(ctx, s.duration(0, rewritePause)) })
+		s.fleet.RewriteRows(func() { wait.For(ctx, s.duration(0, rewritePause)) })
 	}
 }
 
@@ -289,7 +289,7 @@
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
 		if srv.Zone == emptiedZone && !s.leaving[srv] {
-			srv.Chill(emptyFor)
+			srv.SetColdFor(emptyFor)
 		}
 	}
 	return "chill " + emptiedZone, nil
@@ -308,7 +308,7 @@
 func grow(s *Soak, _ context.Context) (string, func()) {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
-	newest := s.fleet.Grow(growth)
+	newest := s.fleet.AddRoutes(growth)
 	s.mu.Lock()
 	s.newest = newest + "a"
 	s.mu.Unlock()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -126,7 +126,7 @@
 }
 
 func (s *Soak) start() error {
-	s.fleet.Via, s.fleet.Ended, s.fleet.Began = s.via, s.ended, s.began
+	s.fleet.AddProxy, s.fleet.OnCrash, s.fleet.OnReplacement = s.via, s.ended, s.began
 	for range 3 {
 		if _, err := s.add(fleet.ModelService); err != nil {
 			return err
@@ -176,9 +176,9 @@
 func (s *Soak) add(service string) (*fleet.Server, error) { return s.addIn(service, s.zone()) }
 
 func (s *Soak) addIn(service, zone string) (*fleet.Server, error) {
-	b := fleet.Behaviour{}
+	b := fleet.Behavior{}
 	if service == fleet.ModelService {
-		b = fleet.Behaviour{Events: streamEvents, EventEvery: eventEvery, CopyTime: copyTime, EndsUnder: harmfulBody, EndsAfter: endsAfter}
+		b = fleet.Behavior{Events: streamEvents, EventInterval: eventEvery, CopyTime: copyTime, CrashOn: harmfulBody, CrashDelay: endsAfter}
 	}
 	srv, err := s.fleet.Add(service, zone, b)
 	if err != nil {
@@ -307,7 +307,7 @@
 	s.mu.Lock()
 	key := s.key
 	s.mu.Unlock()
-	a := Attempt{As: fleet.As{ID: fleet.NextID(), Key: key}, Path: path, Sent: time.Now()}
+	a := Attempt{As: fleet.CallerRequest{ID: fleet.NextID(), Key: key}, Path: path, Sent: time.Now()}
 	var err error
 	if a.stream() {
 		a.Status, err = fleet.StreamAs(ctx, g.node.Callers, path, a.As, func(e string) { a.Events = append(a.Events, e) })
--- a/internal/standin/fleet/says.go
+++ b/internal/standin/fleet/says.go
@@ -22,21 +22,21 @@
 	return http.Header{limitHeader: {strconv.FormatFloat(perSecond, 'f', -1, 64)}}
 }
 
-// Say changes the headers of all answers from now on.
-func (s *Server) Say(h http.Header) {
+// SetHeaders changes the headers of all answers from now on.
+func (s *Server) SetHeaders(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave.Says = h
+	s.behave.Headers = h
 }
 
-// Tire has the server turn all requests away and ask for rest, until rested is called.
-func (s *Server) Tire(rest time.Duration) (rested func()) {
+// RejectWithBackoff has the server turn all requests away and ask for rest, until rested is called.
+func (s *Server) RejectWithBackoff(rest time.Duration) (rested func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave.Full, s.behave.Says = true, AsksForRest(rest)
+	s.behave.RejectAll, s.behave.Headers = true, AsksForRest(rest)
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.behave.Full, s.behave.Says = false, nil
+		s.behave.RejectAll, s.behave.Headers = false, nil
 	}
 }
