--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,8 @@
-// Package settings reads a program's settings from flags and environment
-// variables, checks all of them before anything starts and reports every bad
-// one at once.
+// Package settings reads a program's settings from flags and environment variables. It
+// validates all of them before the program starts and reports all invalid ones together.
 //
-// The flag -first-token has the variable KINGCUP_FIRST_TOKEN; a flag on the
-// command line goes before its variable.
+// The flag -first-token has the environment variable KINGCUP_FIRST_TOKEN. A flag on the
+// command line overrides its variable.
 package settings
 
 import (
@@ -17,38 +16,40 @@
 	"time"
 )
 
-// EnvPrefix begins the name of every variable.
+// EnvPrefix is the prefix of every environment variable.
 const EnvPrefix = "KINGCUP_"
 
-// ExitUsage is the exit code of a program whose settings are wrong.
+// ExitUsage is the exit code of a program whose settings are invalid.
 const ExitUsage = 2
 
-// Version is what -version prints; the build may set it.
+// Version is the version that -version prints; the build may set it.
 var Version = "dev"
 
-// Set is the settings of one program. It is for one goroutine.
+// Set holds the settings of one program. It is not safe for concurrent use.
 type Set struct {
 	name    string
 	summary string
 	flags   *flag.FlagSet
-	group   string
-	groups  []string
-	member  map[string]string
+	// group is the heading for flags that are defined next.
+	group  string
+	groups []string
+	// groupOf maps each flag to its heading.
+	groupOf map[string]string
 	checks  []func() error
 
-	takesArgs bool
+	allowArgs bool
 }
 
-// New returns an empty set; summary is one line for -help.
+// New returns an empty set for the program name. summary is one line for -help.
 func New(name, summary string) *Set {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
-	s := &Set{name: name, summary: summary, flags: fs, member: make(map[string]string)}
+	s := &Set{name: name, summary: summary, flags: fs, groupOf: make(map[string]string)}
 	s.Group("General")
 	return s
 }
 
-// Group names the heading of the flags that follow.
+// Group sets the heading in the help text for the flags defined after it.
 func (s *Set) Group(title string) {
 	s.group = title
 	if !slices.Contains(s.groups, title) {
@@ -56,21 +57,21 @@
 	}
 }
 
-func (s *Set) add(name string, check func() error) {
-	s.member[name] = s.group
+func (s *Set) register(name string, check func() error) {
+	s.groupOf[name] = s.group
 	if check != nil {
 		s.checks = append(s.checks, check)
 	}
 }
 
-func invalid(name string, value any, why string) error {
-	return fmt.Errorf("-%s: invalid value %q: %s", name, fmt.Sprint(value), why)
+func invalid(name string, value any, reason string) error {
+	return fmt.Errorf("-%s: invalid value %q: %s", name, fmt.Sprint(value), reason)
 }
 
-// String defines a text setting; an empty value is refused if required.
+// String defines a text setting. If required, an empty value is invalid.
 func (s *Set) String(name, def, usage string, required bool) *string {
 	v := s.flags.String(name, def, usage)
-	s.add(name, func() error {
+	s.register(name, func() error {
 		if required && *v == "" {
 			return invalid(name, *v, "must be set")
 		}
@@ -79,10 +80,11 @@
 	return v
 }
 
-// Address defines a host:port setting; optional ones may be empty.
+// Address defines a host:port setting whose host is empty or an IP address. If not
+// required, the setting may be empty.
 func (s *Set) Address(name, def, usage string, required bool) *string {
 	v := s.flags.String(name, def, usage)
-	s.add(name, func() error {
+	s.register(name, func() error {
 		if *v == "" && !required {
 			return nil
 		}
@@ -101,41 +103,41 @@
 	return v
 }
 
-// Duration defines a time setting within [least, most].
-func (s *Set) Duration(name string, def, least, most time.Duration, usage string) *time.Duration {
+// Duration defines a duration setting within [minValue, maxValue].
+func (s *Set) Duration(name string, def, minValue, maxValue time.Duration, usage string) *time.Duration {
 	v := s.flags.Duration(name, def, usage)
-	s.add(name, func() error {
-		if *v < least || *v > most {
-			return invalid(name, *v, fmt.Sprintf("must be from %v to %v", least, most))
+	s.register(name, func() error {
+		if *v < minValue || *v > maxValue {
+			return invalid(name, *v, fmt.Sprintf("must be from %v to %v", minValue, maxValue))
 		}
 		return nil
 	})
 	return v
 }
 
-// Int defines a number setting within [least, most].
-func (s *Set) Int(name string, def, least, most int, usage string) *int {
+// Int defines an integer setting within [minValue, maxValue].
+func (s *Set) Int(name string, def, minValue, maxValue int, usage string) *int {
 	v := s.flags.Int(name, def, usage)
-	s.add(name, func() error {
-		if *v < least || *v > most {
-			return invalid(name, *v, fmt.Sprintf("must be from %d to %d", least, most))
+	s.register(name, func() error {
+		if *v < minValue || *v > maxValue {
+			return invalid(name, *v, fmt.Sprintf("must be from %d to %d", minValue, maxValue))
 		}
 		return nil
 	})
 	return v
 }
 
-// Bool defines a switch.
+// Bool defines a boolean setting.
 func (s *Set) Bool(name string, def bool, usage string) *bool {
 	v := s.flags.Bool(name, def, usage)
-	s.add(name, nil)
+	s.register(name, nil)
 	return v
 }
 
-// Choice defines a setting that takes one of a few words.
+// Choice defines a setting whose value must be one of choices.
 func (s *Set) Choice(name, def string, choices []string, usage string) *string {
 	v := s.flags.String(name, def, usage+" ("+strings.Join(choices, ", ")+")")
-	s.add(name, func() error {
+	s.register(name, func() error {
 		if !slices.Contains(choices, *v) {
 			return invalid(name, *v, "must be one of "+strings.Join(choices, ", "))
 		}
@@ -144,10 +146,11 @@
 	return v
 }
 
-// List defines a comma-separated setting.
+// List defines a comma-separated setting. The returned function returns the items; call it
+// after Parse.
 func (s *Set) List(name, def, usage string) func() []string {
 	v := s.flags.String(name, def, usage)
-	s.add(name, nil)
+	s.register(name, nil)
 	return func() []string {
 		if *v == "" {
 			return nil
@@ -156,26 +159,27 @@
 	}
 }
 
-// Args are the arguments behind the flags.
+// Args returns the arguments after the flags.
 func (s *Set) Args() []string { return s.flags.Args() }
 
-// Parse reads args and the environment. errs are all bad settings, one line
-// each; help and version ask for that text instead of a run.
-func (s *Set) Parse(args []string, lookup func(string) (string, bool)) (help, version bool, errs []error) {
+// Parse reads args, and the environment through lookupEnv. errs has one single-line error for
+// each invalid setting. If help or version is true, the program is to print that text
+// instead of running.
+func (s *Set) Parse(args []string, lookupEnv func(string) (string, bool)) (help, version bool, errs []error) {
 	showVersion := s.flags.Bool("version", false, "print the version and exit")
-	s.member["version"] = s.groups[0]
+	s.groupOf["version"] = s.groups[0]
 	help, errs = s.parseFlags(args)
 	if help {
 		return true, false, nil
 	}
-	if extra := s.flags.Args(); len(extra) > 0 && !s.takesArgs && len(errs) == 0 {
+	if extra := s.flags.Args(); len(extra) > 0 && !s.allowArgs && len(errs) == 0 {
 		errs = append(errs, fmt.Errorf("unexpected argument %q", extra[0]))
 	}
-	given := make(map[string]bool)
-	s.flags.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	onCommandLine := make(map[string]bool)
+	s.flags.Visit(func(f *flag.Flag) { onCommandLine[f.Name] = true })
 	s.flags.VisitAll(func(f *flag.Flag) {
-		value, ok := lookup(FlagVariable(f.Name))
-		if !ok || given[f.Name] || f.Name == "version" {
+		value, ok := lookupEnv(FlagVariable(f.Name))
+		if !ok || onCommandLine[f.Name] || f.Name == "version" {
 			return
 		}
 		if err := s.flags.Set(f.Name, value); err != nil {
@@ -190,9 +194,9 @@
 	return false, *showVersion, errs
 }
 
-// parseFlags goes on behind a flag whose value is wrong, so that all wrong values
-// are found. Behind a flag that does not exist nothing can be told: the next word
-// may be its value.
+// parseFlags continues after a flag with an invalid value, so that all invalid values are
+// reported. It stops at an undefined flag, because the next argument may be the value of
+// that flag.
 func (s *Set) parseFlags(args []string) (help bool, errs []error) {
 	for {
 		err := s.flags.Parse(args)
@@ -210,29 +214,29 @@
 	}
 }
 
-// AllowArgs lets arguments follow the flags.
-func (s *Set) AllowArgs() { s.takesArgs = true }
+// AllowArgs makes Parse accept arguments after the flags.
+func (s *Set) AllowArgs() { s.allowArgs = true }
 
-// FlagVariable is the variable of a flag.
+// FlagVariable returns the name of the environment variable of a flag.
 func FlagVariable(flagName string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
 
-// Help writes the flags by group.
+// Help writes the help text, with the flags by group.
 func (s *Set) Help(w io.Writer) {
 	fmt.Fprintf(w, "%s: %s\n\nUsage: %s [flags]\n", s.name, s.summary, s.name)
 	for _, group := range s.groups {
 		fmt.Fprintf(w, "\n%s:\n", group)
 		s.flags.VisitAll(func(f *flag.Flag) {
-			if s.member[f.Name] == group {
+			if s.groupOf[f.Name] == group {
 				fmt.Fprintf(w, "  -%-18s %s (default %q, %s)\n", f.Name, f.Usage, f.DefValue, FlagVariable(f.Name))
 			}
 		})
 	}
 }
 
-// MustParse parses the command line of the process. It ends the process with
-// code 2 and one line for each bad setting, or with 0 after -help or -version.
+// MustParse parses the command line of the process. If a setting is invalid, it prints one
+// line for each and exits with code 2; after -help or -version it exits with 0.
 func (s *Set) MustParse() {
 	help, version, errs := s.Parse(os.Args[1:], os.LookupEnv)
 	if help {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,12 +10,13 @@
 
 func newSet() (*Set, *time.Duration, *int) {
 	s := New("prog", "does things")
-	beat := s.Duration("heartbeat", time.Second, time.Millisecond, time.Minute, "period")
+	heartbeat := s.Duration("heartbeat", time.Second, time.Millisecond, time.Minute, "period")
 	peers := s.Int("peers", 4, 0, 10, "how many")
 	s.Address("inner-address", "127.0.0.1:1", "address", true)
-	return s, beat, peers
+	return s, heartbeat, peers
 }
 
+// env returns an environment lookup over values.
 func env(values map[string]string) func(string) (string, bool) {
 	return func(name string) (string, bool) {
 		v, ok := values[name]
@@ -23,17 +24,16 @@
 	}
 }
 
-func TestFlagGoesBeforeVariable(t *testing.T) {
-	s, beat, peers := newSet()
+func TestFlagOverridesVariable(t *testing.T) {
+	s, heartbeat, peers := newSet()
 	_, _, errs := s.Parse([]string{"-peers", "7"}, env(map[string]string{"KINGCUP_PEERS": "9", "KINGCUP_HEARTBEAT": "2s"}))
 	require.Empty(t, errs)
 	require.Equal(t, 7, *peers)
-	require.Equal(t, 2*time.Second, *beat)
+	require.Equal(t, 2*time.Second, *heartbeat)
 }
 
-// Every bad setting must be listed, each in one line with its flag or variable
-// and its value.
-func TestAllBadSettingsAreListed(t *testing.T) {
+// Every invalid setting must be reported on one line with its flag or variable and its value.
+func TestAllInvalidSettingsAreReported(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		env  map[string]string
@@ -49,9 +49,9 @@
 		s, _, _ := newSet()
 		_, _, errs := s.Parse(c.args, env(c.env))
 		require.Len(t, errs, len(c.want), "%v", errs)
-		for i, words := range c.want {
-			for _, w := range words {
-				require.Contains(t, errs[i].Error(), w)
+		for i, parts := range c.want {
+			for _, part := range parts {
+				require.Contains(t, errs[i].Error(), part)
 			}
 			require.NotContains(t, errs[i].Error(), "\n")
 		}
