--- a/internal/logging/formatter.go
+++ b/internal/logging/formatter.go
@@ -11,9 +11,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// jsonFormatter writes what logrus.JSONFormatter does, byte for byte, without its copy of the
-// fields and reflection: requests write their lines themselves, and wait for them.
-type jsonFormatter struct{ timestamp string }
+// jsonFormatter writes the same bytes as logrus.JSONFormatter, but does not copy the fields and
+// avoids reflection. Log lines are formatted in the goroutine of a request, which waits for it.
+type jsonFormatter struct{ timestampFormat string }
 
 // Format implements logrus.Formatter.
 func (f jsonFormatter) Format(e *logrus.Entry) ([]byte, error) {
@@ -21,11 +21,11 @@
 	if b == nil {
 		b = &bytes.Buffer{}
 	}
-	w := lineWriter{buf: b}
+	w := objectWriter{buf: b}
 	keys := make([]string, 0, len(e.Data)+3)
 	for key := range e.Data {
-		if reserved(key) {
-			return (&logrus.JSONFormatter{TimestampFormat: f.timestamp}).Format(e)
+		if isReserved(key) {
+			return (&logrus.JSONFormatter{TimestampFormat: f.timestampFormat}).Format(e)
 		}
 		keys = append(keys, key)
 	}
@@ -35,11 +35,11 @@
 		w.key(key)
 		switch key {
 		case logrus.FieldKeyLevel:
-			w.text(e.Level.String())
+			w.str(e.Level.String())
 		case logrus.FieldKeyMsg:
-			w.text(e.Message)
+			w.str(e.Message)
 		case logrus.FieldKeyTime:
-			w.text(e.Time.Format(f.timestamp))
+			w.str(e.Time.Format(f.timestampFormat))
 		default:
 			w.value(e.Data[key])
 		}
@@ -48,8 +48,8 @@
 	return b.Bytes(), w.err
 }
 
-// reserved reports whether a field has the name of one of every line.
-func reserved(key string) bool {
+// isReserved reports whether key is the name of a field that logrus itself writes.
+func isReserved(key string) bool {
 	switch key {
 	case logrus.FieldKeyLevel, logrus.FieldKeyMsg, logrus.FieldKeyTime, logrus.FieldKeyLogrusError, logrus.FieldKeyFunc, logrus.FieldKeyFile:
 		return true
@@ -57,26 +57,26 @@
 	return false
 }
 
-// lineWriter writes the members of an object; err is the first error.
-type lineWriter struct {
+// objectWriter writes the members of a JSON object. err is the first encoding error.
+type objectWriter struct {
 	buf *bytes.Buffer
 	err error
 }
 
-func (w *lineWriter) key(key string) {
+func (w *objectWriter) key(key string) {
 	if w.buf.Len() == 0 {
 		w.buf.WriteByte('{')
 	} else {
 		w.buf.WriteByte(',')
 	}
-	w.text(key)
+	w.str(key)
 	w.buf.WriteByte(':')
 }
 
-func (w *lineWriter) value(v any) {
+func (w *objectWriter) value(v any) {
 	switch v := v.(type) {
 	case string:
-		w.text(v)
+		w.str(v)
 	case int:
 		w.integer(int64(v))
 	case int64:
@@ -86,20 +86,22 @@
 	case bool:
 		w.buf.Write(strconv.AppendBool(w.buf.AvailableBuffer(), v))
 	case error:
-		w.text(v.Error())
+		w.str(v.Error())
 	default:
-		w.any(v)
+		w.marshal(v)
 	}
 }
 
-func (w *lineWriter) integer(v int64) {
+func (w *objectWriter) integer(v int64) {
 	w.buf.Write(strconv.AppendInt(w.buf.AvailableBuffer(), v, 10))
 }
 
-func (w *lineWriter) text(s string) {
+// str writes s as a JSON string. Strings with bytes outside printable ASCII, or with characters
+// that JSON or HTML escaping replaces, are left to encoding/json.
+func (w *objectWriter) str(s string) {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c >= 0x7f || c == '"' || c == '\\' || c == '<' || c == '>' || c == '&' {
-			w.any(s)
+			w.marshal(s)
 			return
 		}
 	}
@@ -108,15 +110,15 @@
 	w.buf.WriteByte('"')
 }
 
-func (w *lineWriter) any(v any) {
+func (w *objectWriter) marshal(v any) {
 	data, err := json.Marshal(v)
 	if err != nil && w.err == nil {
-		w.err = errors.Wrap(err, "log line")
+		w.err = errors.Wrap(err, "encode log field")
 	}
 	w.buf.Write(data)
 }
 
 var _ logrus.Formatter = jsonFormatter{}
 
-// timestampFormat is that of the lines.
+// timestampFormat is the format of the time field.
 const timestampFormat = time.RFC3339Nano
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,5 @@
-// Package logging writes structured log lines without ever making a request wait:
-// lines go through a bounded queue, and those that find it full are dropped and
-// counted.
+// Package logging writes structured log lines and never blocks a request on output. Lines go
+// through a bounded queue; if the queue is full, they are dropped and counted.
 package logging
 
 import (
@@ -13,29 +12,31 @@
 )
 
 const (
-	// queueLines is how many lines may wait. A line has some 400 bytes, so the
-	// queue holds at most some 400 KB.
-	queueLines = 1024
-	// linesPerSecond bounds the volume: ten lines a request at a hundred requests a
-	// second for a VM, above which the log would cost more than the work.
-	linesPerSecond = 1000
+	// maxQueuedLines bounds the queue. A line has about 400 bytes, so the queue holds at
+	// most about 400 KB.
+	maxQueuedLines = 1024
+	// maxLinesPerSecond allows ten lines per request at a hundred requests per second on
+	// a VM. Beyond that, logging would cost more than the requests.
+	maxLinesPerSecond = 1000
 )
 
-// Writer is a queue in front of a slow writer. It is safe for concurrent use.
+// Writer is a bounded queue of lines in front of a slow writer. It also limits the lines per
+// second. It is safe for concurrent use.
 type Writer struct {
 	lines   chan []byte
 	done    chan struct{}
 	dropped atomic.Uint64
 
-	mu     sync.Mutex
-	closed bool
-	second int64
-	count  int
+	mu              sync.Mutex
+	closed          bool
+	currentSecond   int64
+	linesThisSecond int
 }
 
-// NewWriter starts a queue in front of w.
+// NewWriter returns a Writer and starts a goroutine that writes the queued lines to w until
+// Close.
 func NewWriter(w io.Writer) *Writer {
-	q := &Writer{lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	q := &Writer{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
 		defer close(q.done)
 		for line := range q.lines {
@@ -45,11 +46,11 @@
 	return q
 }
 
-// Write implements io.Writer; it never blocks and never fails.
+// Write implements io.Writer. It never blocks and never returns an error.
 func (q *Writer) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.closed || !q.allowed() {
+	if q.closed || !q.countLine() {
 		q.dropped.Add(1)
 		return len(line), nil
 	}
@@ -61,19 +62,20 @@
 	return len(line), nil
 }
 
-// allowed counts a line against the second that it falls into.
-func (q *Writer) allowed() bool {
-	if now := time.Now().Unix(); now != q.second {
-		q.second, q.count = now, 0
+// countLine counts a line in the current second and reports whether it is within the rate
+// limit. The caller holds mu.
+func (q *Writer) countLine() bool {
+	if now := time.Now().Unix(); now != q.currentSecond {
+		q.currentSecond, q.linesThisSecond = now, 0
 	}
-	q.count++
-	return q.count <= linesPerSecond
+	q.linesThisSecond++
+	return q.linesThisSecond <= maxLinesPerSecond
 }
 
-// Dropped counts the lines that were not written.
+// Dropped returns the number of lines that were dropped.
 func (q *Writer) Dropped() uint64 { return q.dropped.Load() }
 
-// Close writes what waits and ends the queue.
+// Close writes the queued lines and stops the queue. Later lines are dropped.
 func (q *Writer) Close() {
 	q.mu.Lock()
 	if !q.closed {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,48 +12,48 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against lines that differ from those of the formatter of the library: operators and
-// tools read them.
-func TestLinesAreThoseOfTheLibrary(t *testing.T) {
-	want := &logrus.JSONFormatter{TimestampFormat: timestampFormat}
+// Guards against lines that differ from those of logrus.JSONFormatter. Operators and tools
+// parse the lines.
+func TestFormatEqualsLogrus(t *testing.T) {
+	reference := &logrus.JSONFormatter{TimestampFormat: timestampFormat}
 	rapid.Check(t, func(t *rapid.T) {
 		e := logrus.NewEntry(logrus.New())
 		e.Time = time.Unix(rapid.Int64Range(0, 1<<33).Draw(t, "s"), rapid.Int64Range(0, 999_999_999).Draw(t, "ns")).UTC()
 		e.Level = logrus.Level(rapid.IntRange(2, 6).Draw(t, "level"))
 		e.Message = rapid.String().Draw(t, "message")
 		for range rapid.IntRange(0, 8).Draw(t, "fields") {
-			e = withField(t, e)
+			e = withRandomField(t, e)
 		}
-		wanted, err := want.Format(e)
+		want, err := reference.Format(e)
 		require.NoError(t, err)
 		got, err := jsonFormatter{timestampFormat}.Format(e)
 		require.NoError(t, err)
-		require.Equal(t, string(wanted), string(got))
+		require.Equal(t, string(want), string(got))
 	})
 }
 
-type named string
+type namedString string
 
-func withField(t *rapid.T, e *logrus.Entry) *logrus.Entry {
+func withRandomField(t *rapid.T, e *logrus.Entry) *logrus.Entry {
 	keys := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"msg", "level", "time", "error", "server", "<b>"}))
 	text := rapid.String().Draw(t, "text")
 	value := rapid.SampledFrom([]any{
 		text, len(text), int64(-len(text)), uint64(math.MaxUint64), len(text)%2 == 0, errors.New(text), nil, 0.1 * float64(len(text)),
-		time.Duration(len(text)), named(text), []string{text, "b"}, map[string]any{text: 1}, []map[string]any{{"a": text}},
+		time.Duration(len(text)), namedString(text), []string{text, "b"}, map[string]any{text: 1}, []map[string]any{{"a": text}},
 	}).Draw(t, "value")
 	out := e.WithField(keys.Draw(t, "key"), value)
 	out.Time, out.Level, out.Message = e.Time, e.Level, e.Message
 	return out
 }
 
-// Guards against a line with a value that cannot be written being taken for a whole one.
-func TestLineThatCannotBeWrittenIsAnError(t *testing.T) {
+// Guards against an incomplete line, without an error, for a value that cannot be encoded.
+func TestUnencodableValueIsAnError(t *testing.T) {
 	_, err := jsonFormatter{timestampFormat}.Format(logrus.WithField("value", math.Inf(1)))
 	require.Error(t, err)
 }
 
-// A line as a gateway writes two of a plain request.
-func BenchmarkLine(b *testing.B) {
+// Measures a log line like the two that a gateway writes for a plain request.
+func BenchmarkLogLine(b *testing.B) {
 	log := New(io.Discard, logrus.InfoLevel).WithField("vm", "vm-1").WithFields(logrus.Fields{"request": "attempt-1234", "route": "safe", "service": "desk", "team": "team-1", "config": uint64(12), "config_age_ms": int64(33)})
 	b.ReportAllocs()
 	for b.Loop() {
