--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -20,52 +20,56 @@
 	"kingcupplank.example/kingcup/burn"
 )
 
-// Source is what a daemon shows.
+// Source provides the data that a daemon serves at its admin address.
 type Source struct {
 	Registry *prometheus.Registry
 	Ready    func() bool
 	Report   func() []burn.Line
-	// Quarantine is nil for daemons that hold no requests.
+	// Quarantine is nil for daemons that quarantine no requests.
 	Quarantine Quarantine
 }
 
-// Quarantine shows and lifts verdicts on requests under which servers end.
+// Quarantine lists the quarantined requests, which have crashed servers, and releases them.
 type Quarantine interface {
+	// Held returns the requests that are now quarantined.
 	Held() []QuarantinedRequest
-	// Lift ends the verdict on a request; false if there is none by that name.
+	// Lift releases the request whose Content is content. It returns false if there is no
+	// record of that request.
 	Lift(content string) bool
 }
 
-// QuarantinedRequest is a request that is not sent to servers.
+// QuarantinedRequest is a request that is not sent to servers because it has crashed some.
 type QuarantinedRequest struct {
+	// Content identifies the request, as in the log field content.
 	Content string `json:"content"`
 	Team    string `json:"team"`
-	// Crashes names the lives of the servers that ended under it, as the log does.
+	// Crashes names the incarnations of servers that crashed under the request, in the
+	// form in which the log names them.
 	Crashes []string `json:"ends"`
-	// RemainingSeconds is how long it is held yet.
+	// RemainingSeconds is how long the request stays quarantined.
 	RemainingSeconds int `json:"left_seconds"`
 }
 
-// Server is safe for concurrent use.
+// Server is the HTTP server of an admin address. It is safe for concurrent use.
 type Server struct {
 	http *fasthttp.Server
 }
 
-// New returns a server for src.
+// New returns a server for the data of src.
 func New(src Source) *Server {
 	r := router.New()
 	r.GET("/metrics", fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(src.Registry, promhttp.HandlerOpts{})))
 	r.GET("/healthz", func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ok\n") })
-	r.GET("/readyz", func(ctx *fasthttp.RequestCtx) { ready(ctx, src.Ready()) })
-	r.GET("/report/burn", func(ctx *fasthttp.RequestCtx) { report(ctx, src.Report()) })
+	r.GET("/readyz", func(ctx *fasthttp.RequestCtx) { serveReadiness(ctx, src.Ready()) })
+	r.GET("/report/burn", func(ctx *fasthttp.RequestCtx) { serveBurnReport(ctx, src.Report()) })
 	if q := src.Quarantine; q != nil {
-		r.GET("/quarantine", func(ctx *fasthttp.RequestCtx) { held(ctx, q.Held()) })
-		r.DELETE("/quarantine/{content}", func(ctx *fasthttp.RequestCtx) { lift(ctx, q) })
+		r.GET("/quarantine", func(ctx *fasthttp.RequestCtx) { serveQuarantine(ctx, q.Held()) })
+		r.DELETE("/quarantine/{content}", func(ctx *fasthttp.RequestCtx) { liftQuarantine(ctx, q) })
 	}
 	return &Server{http: &fasthttp.Server{
 		Handler: r.Handler, Name: "kingcup",
-		// A scraper keeps its connection open; without these the end of the
-		// process would wait for it for ever.
+		// A scraper keeps its connection open. Without these settings, the
+		// process would wait for it forever when it stops.
 		IdleTimeout: idleTimeout, ReadTimeout: idleTimeout, CloseOnShutdown: true,
 	}}
 }
@@ -75,25 +79,25 @@
 	shutdownTimeout = 2 * time.Second
 )
 
-// Serve answers on l until Close.
+// Serve accepts connections on l until Close.
 func (s *Server) Serve(l net.Listener) error { return s.http.Serve(l) }
 
-// Close ends the server.
+// Close stops the server. It waits up to shutdownTimeout for requests in progress.
 func (s *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	return s.http.ShutdownWithContext(ctx)
 }
 
-func ready(ctx *fasthttp.RequestCtx, ok bool) {
-	if !ok {
+func serveReadiness(ctx *fasthttp.RequestCtx, ready bool) {
+	if !ready {
 		ctx.Error("not ready\n", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	ctx.SetBodyString("ready\n")
 }
 
-func report(ctx *fasthttp.RequestCtx, lines []burn.Line) {
+func serveBurnReport(ctx *fasthttp.RequestCtx, lines []burn.Line) {
 	if string(ctx.QueryArgs().Peek("format")) == "json" {
 		ctx.SetContentType("application/json")
 		json.NewEncoder(ctx).Encode(lines)
@@ -107,7 +111,7 @@
 	w.Flush()
 }
 
-func held(ctx *fasthttp.RequestCtx, list []QuarantinedRequest) {
+func serveQuarantine(ctx *fasthttp.RequestCtx, list []QuarantinedRequest) {
 	if string(ctx.QueryArgs().Peek("format")) == "json" {
 		ctx.SetContentType("application/json")
 		json.NewEncoder(ctx).Encode(list)
@@ -115,13 +119,13 @@
 	}
 	w := tabwriter.NewWriter(ctx, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTENT\tTEAM\tLEFT\tENDS")
-	for _, h := range list {
-		fmt.Fprintf(w, "%s\t%s\t%ds\t%s\n", h.Content, h.Team, h.RemainingSeconds, strings.Join(h.Crashes, ", "))
+	for _, r := range list {
+		fmt.Fprintf(w, "%s\t%s\t%ds\t%s\n", r.Content, r.Team, r.RemainingSeconds, strings.Join(r.Crashes, ", "))
 	}
 	w.Flush()
 }
 
-func lift(ctx *fasthttp.RequestCtx, q Quarantine) {
+func liftQuarantine(ctx *fasthttp.RequestCtx, q Quarantine) {
 	content, _ := ctx.UserValue("content").(string)
 	if !q.Lift(content) {
 		ctx.Error("no such request is held\n", fasthttp.StatusNotFound)
