--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the time by which beliefs age.
+// Package clock provides the clock that measures the age of cached state.
 package clock
 
 import (
@@ -7,16 +7,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Source returns the time since an arbitrary start. Tests give their own.
+// Source returns the time since an arbitrary fixed moment. Tests supply their own sources.
 type Source func() time.Duration
 
-// SinceBoot counts the time that the VM was suspended, and steps of the time of
-// day do not move it. Go's monotonic clock stops while a VM is suspended: a key
-// that was revoked meanwhile would look freshly confirmed after the wake.
+// SinceBoot returns the time since the VM booted. It includes the time that the VM was
+// suspended, and changes of the wall clock do not affect it. Go's monotonic clock stops while a
+// VM is suspended, so a key that was revoked in that time would seem recently confirmed after
+// the VM resumes.
 func SinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every Linux since 2.6.39 has this clock; without it no age can be told.
+		// Every Linux since 2.6.39 has this clock. Without it no age can be measured.
 		panic("no CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait lets time pass until a context ends.
+// Package wait provides pauses: one that ends early with its context, and one that lets other
+// goroutines run during a long computation.
 package wait
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// For waits for d and reports true, or false at once when ctx ends.
+// For waits for d and returns true. If ctx ends first, it returns false at once.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/workpool/pool.go
+++ b/internal/workpool/pool.go
@@ -1,11 +1,10 @@
-// Package workpool runs short tasks on a fixed number of workers over an
-// unbounded queue, in the order they were submitted.
+// Package workpool runs short tasks on a fixed number of workers. Tasks wait in an unbounded
+// queue and start in the order in which they were submitted.
 package workpool
 
 import "sync"
 
-// Pool is safe for concurrent use. Submit never blocks, so it may be called
-// with locks held.
+// Pool is a pool of workers with a task queue. It is safe for concurrent use.
 type Pool struct {
 	mu     sync.Mutex
 	cond   *sync.Cond
@@ -14,17 +13,18 @@
 	wg     sync.WaitGroup
 }
 
-// New starts a pool of workers.
+// New starts a pool with the given number of workers.
 func New(workers int) *Pool {
 	p := &Pool{}
 	p.cond = sync.NewCond(&p.mu)
 	for range workers {
-		p.wg.Go(p.work)
+		p.wg.Go(p.runTasks)
 	}
 	return p
 }
 
-// Submit queues a task. After Close it is dropped.
+// Submit queues a task. It never waits for a worker, so it may be called with locks held.
+// After Close, the task is dropped.
 func (p *Pool) Submit(task func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,9 +35,9 @@
 	p.cond.Signal()
 }
 
-func (p *Pool) work() {
+func (p *Pool) runTasks() {
 	for {
-		task, ok := p.take()
+		task, ok := p.nextTask()
 		if !ok {
 			return
 		}
@@ -45,7 +45,8 @@
 	}
 }
 
-func (p *Pool) take() (func(), bool) {
+// nextTask waits for a task. It returns false if the pool is closed and the queue is empty.
+func (p *Pool) nextTask() (func(), bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.queue) == 0 && !p.closed {
@@ -60,7 +61,7 @@
 	return task, true
 }
 
-// Close runs what is queued and waits for the workers.
+// Close waits until all queued tasks have run and the workers have stopped.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
