--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet is a network in memory for tests in virtual time: addresses
-// can be cut off, which breaks their connections, stalled, which holds their
-// bytes back without breaking anything, and parted from each other.
+// Package memnet is an in-memory network for tests in virtual time. Tests can inject faults:
+// disconnect an address, which breaks its connections, stall it, which delays all its bytes
+// but breaks no connection, and partition addresses from each other.
 package memnet
 
 import (
@@ -11,7 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrRefused is the error of a dial to an address that is cut or not served.
+// ErrRefused is the error of a dial to an address that is disconnected, partitioned from the
+// dialer or has no listener.
 var ErrRefused = errors.New("connection refused")
 
 // Network implements wire.Network. It is safe for concurrent use.
@@ -19,15 +20,17 @@
 	mu    sync.Mutex
 	cond  *sync.Cond
 	hosts map[string]*host
-	// parted reports whether two places cannot reach each other; nil is never.
-	parted func(a, b string) bool
+	// isPartitioned reports whether a dialer's address and a listener's address cannot
+	// reach each other. If it is nil, there is no partition.
+	isPartitioned func(from, to string) bool
 }
 
+// host is the state of one address: its listener, its faults and both ends of its connections.
 type host struct {
-	listener *listener
-	cut      bool
-	stalled  bool
-	conns    map[*conn]struct{}
+	listener     *listener
+	disconnected bool
+	stalled      bool
+	conns        map[*conn]struct{}
 }
 
 // New returns an empty network.
@@ -54,11 +57,11 @@
 	if h.listener != nil {
 		return nil, errors.Errorf("address %s is in use", address)
 	}
-	h.listener = &listener{n: n, address: address, in: make(chan net.Conn), done: make(chan struct{})}
+	h.listener = &listener{network: n, address: address, incoming: make(chan net.Conn), done: make(chan struct{})}
 	return h.listener, nil
 }
 
-// From is the network as the process at address from sees it.
+// From returns a view of the network that dials from the address from.
 func (n *Network) From(from string) *View {
 	return &View{Network: n, from: from}
 }
@@ -74,15 +77,15 @@
 	return v.dial(ctx, v.from, address)
 }
 
-// Partition breaks the connections between places for which parted is true, and
-// refuses new ones until it is called with nil.
-func (n *Network) Partition(parted func(a, b string) bool) {
+// Partition breaks the connections for which isPartitioned is true and refuses new ones, until
+// it is called with nil.
+func (n *Network) Partition(isPartitioned func(from, to string) bool) {
 	n.mu.Lock()
-	n.parted = parted
+	n.isPartitioned = isPartitioned
 	var broken []*conn
 	for _, h := range n.hosts {
 		for c := range h.conns {
-			if parted != nil && parted(c.from, c.to) {
+			if isPartitioned != nil && isPartitioned(c.from, c.to) {
 				broken = append(broken, c)
 			}
 		}
@@ -93,7 +96,7 @@
 	}
 }
 
-// Dial implements wire.Network for a caller outside the system.
+// Dial implements wire.Network for a caller outside the system, whose address is empty.
 func (n *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	return n.dial(ctx, "", address)
 }
@@ -102,31 +105,31 @@
 	n.mu.Lock()
 	h := n.host(address)
 	l := h.listener
-	if l == nil || h.cut || n.parted != nil && n.parted(from, address) {
+	if l == nil || h.disconnected || n.isPartitioned != nil && n.isPartitioned(from, address) {
 		n.mu.Unlock()
 		return nil, errors.Wrap(ErrRefused, address)
 	}
-	a, b := net.Pipe()
-	near := &conn{Conn: a, n: n, h: h, from: from, to: address}
-	far := &conn{Conn: b, n: n, h: h, from: from, to: address}
-	h.conns[near], h.conns[far] = struct{}{}, struct{}{}
+	dialerEnd, listenerEnd := net.Pipe()
+	dialed := &conn{Conn: dialerEnd, network: n, host: h, from: from, to: address}
+	accepted := &conn{Conn: listenerEnd, network: n, host: h, from: from, to: address}
+	h.conns[dialed], h.conns[accepted] = struct{}{}, struct{}{}
 	n.mu.Unlock()
 	select {
-	case l.in <- far:
-		return near, nil
+	case l.incoming <- accepted:
+		return dialed, nil
 	case <-l.done:
 	case <-ctx.Done():
 	}
-	near.Close()
-	far.Close()
+	dialed.Close()
+	accepted.Close()
 	return nil, errors.Wrap(ErrRefused, address)
 }
 
-// Disconnect breaks all connections to an address and refuses new ones until Heal.
+// Disconnect breaks all connections to an address and refuses new ones until Restore.
 func (n *Network) Disconnect(address string) {
 	n.mu.Lock()
 	h := n.host(address)
-	h.cut = true
+	h.disconnected = true
 	var conns []*conn
 	for c := range h.conns {
 		conns = append(conns, c)
@@ -137,34 +140,34 @@
 	}
 }
 
-// Stall holds back all bytes of an address's connections until Heal.
+// Stall blocks all writes on the connections to an address until Restore.
 func (n *Network) Stall(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.host(address).stalled = true
 }
 
-// Restore ends a cut and a stall.
+// Restore undoes Disconnect and Stall for an address.
 func (n *Network) Restore(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := n.host(address)
-	h.cut, h.stalled = false, false
+	h.disconnected, h.stalled = false, false
 	n.cond.Broadcast()
 }
 
 type listener struct {
-	n       *Network
-	address string
-	in      chan net.Conn
-	once    sync.Once
-	done    chan struct{}
+	network   *Network
+	address   string
+	incoming  chan net.Conn
+	closeOnce sync.Once
+	done      chan struct{}
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.in:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -173,11 +176,11 @@
 
 // Close implements net.Listener.
 func (l *listener) Close() error {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.done)
-		l.n.mu.Lock()
-		defer l.n.mu.Unlock()
-		l.n.hosts[l.address].listener = nil
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		l.network.hosts[l.address].listener = nil
 	})
 	return nil
 }
@@ -192,29 +195,29 @@
 
 type conn struct {
 	net.Conn
-	n *Network
-	h *host
-	// from and to are the places that the connection joins.
+	network *Network
+	host    *host
+	// from and to are the addresses of the dialer and the listener.
 	from, to string
 	closed   bool
 }
 
-// Write implements net.Conn; it waits while the address is stalled.
+// Write implements net.Conn. It blocks while the address is stalled.
 func (c *conn) Write(p []byte) (int, error) {
-	c.n.mu.Lock()
-	for c.h.stalled && !c.closed {
-		c.n.cond.Wait()
+	c.network.mu.Lock()
+	for c.host.stalled && !c.closed {
+		c.network.cond.Wait()
 	}
-	c.n.mu.Unlock()
+	c.network.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.n.mu.Lock()
+	c.network.mu.Lock()
 	c.closed = true
-	delete(c.h.conns, c)
-	c.n.cond.Broadcast()
-	c.n.mu.Unlock()
+	delete(c.host.conns, c)
+	c.network.cond.Broadcast()
+	c.network.mu.Unlock()
 	return c.Conn.Close()
 }
