--- a/internal/gateway/drill_test.go
+++ b/internal/gateway/drill_test.go
@@ -49,29 +49,29 @@
 	}
 	s.server(fleet.DeskService, fleet.Behavior{})
 	var nodes []*node
-	var copied *fleet.Copy
+	var copied *fleet.Backup
 	kept := *drilled * *drillKept / 100
 	for i := range *drilled {
 		if i == kept {
-			copied = s.fleet.Store.Copy()
+			copied = s.fleet.Store.Backup()
 		}
 		nodes = append(nodes, s.gateway(fmt.Sprintf("vm-%03d", i)))
 	}
 	if copied == nil {
-		copied = s.fleet.Store.Copy()
+		copied = s.fleet.Store.Backup()
 	}
 	s.fleet.Configure("second")
 	time.Sleep(settle)
 	outage := callsOf(nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillAway)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	drill := callsOf(nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillAway)
 		s.fleet.Store.Restore(copied)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	t.Logf("%d gateways: %d calls behind an outage, %d behind a drill that lost %d rows", len(nodes), outage, drill, len(nodes)-kept)
 	require.LessOrEqual(t, drill, 2*outage+len(nodes)-kept)
@@ -103,7 +103,7 @@
 	for _, n := range nodes {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				status, _, err := fleet.CallAs(ctx, n.callers, fleet.OncePath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"})
+				status, _, err := fleet.CallWith(ctx, n.callers, fleet.OncePath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"})
 				if ctx.Err() != nil {
 					return
 				}
@@ -118,7 +118,7 @@
 		})
 		wg.Go(func() {
 			last := time.Time{}
-			fleet.StreamAs(ctx, n.callers, fleet.PlanPath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"}, func(string) {
+			fleet.StreamWith(ctx, n.callers, fleet.PlanPath, fleet.CallerRequest{ID: fleet.NextID(), Key: "second"}, func(string) {
 				mu.Lock()
 				defer mu.Unlock()
 				if now := time.Now(); !last.IsZero() {
@@ -144,7 +144,7 @@
 	for i := range 4 {
 		nodes = append(nodes, s.gateway(fmt.Sprint("vm-", i)))
 	}
-	copied := s.fleet.Store.Copy()
+	copied := s.fleet.Store.Backup()
 	desk := s.server(fleet.DeskService, fleet.Behavior{})
 	engine := s.server(fleet.ModelService, fleet.Behavior{Events: 1000, EventInterval: 20 * time.Millisecond})
 	s.fleet.Configure("second")
@@ -156,13 +156,13 @@
 	outage := callersNotice(t, nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillAway)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 	})
 	drill := callersNotice(t, nodes, func() {
 		s.fleet.Store.SetFault(fleet.Reset)
 		time.Sleep(drillAway)
 		s.fleet.Store.Restore(copied)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 		time.Sleep(drillAway)
 		desk.Heartbeat()
 		engine.Heartbeat()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -165,7 +165,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	a.StartDraining(true)
 	s.fleet.Store.Compact()
-	n.door.SetFault(fleet.Sound)
+	n.door.SetFault(fleet.NoFault)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 1 }, "seen")
 	require.Equal(t, "answer of "+b.ID, n.do(plain(fleet.OncePath)).body)
 }
@@ -180,7 +180,7 @@
 	s.fleet.Store.SetFault(fleet.Busy)
 	time.Sleep(3 * time.Second)
 	a.RemoveEntry()
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	n.eventually(n.isReady, "ready again")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
 	n.eventually(func() bool { return n.registry.CountReady(fleet.DeskService) == 0 }, "taken as gone")
@@ -220,7 +220,7 @@
 	r := n.do(plain(fleet.OncePath))
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.NotEmpty(t, r.header.Get("Retry-After"))
-	s.fleet.Store.SetFault(fleet.Sound)
+	s.fleet.Store.SetFault(fleet.NoFault)
 	back := time.Now()
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served again")
 	require.Less(t, time.Since(back), 2500*time.Millisecond)
@@ -407,7 +407,7 @@
 	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
 	n.eventually(func() bool { return n.do(plain(fleet.OncePath)).status == http.StatusOK }, "served")
-	door, err := s.fleet.Store.Open()
+	door, err := s.fleet.Store.AddEndpoint()
 	require.NoError(t, err)
 	changed := *n.set.Load()
 	changed.Store, changed.Bounds.Revoke = door.Address, 2*time.Second
@@ -439,7 +439,7 @@
 func TestGatewayIsReadyOnceItKnowsTheServers(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
-	s.fleet.Store.SetSlow("servers", 400*time.Millisecond)
+	s.fleet.Store.SetReadDelay("servers", 400*time.Millisecond)
 	n := s.gateway("vm-1")
 	require.Equal(t, http.StatusOK, n.do(plain(fleet.OncePath)).status)
 }
--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -28,7 +28,7 @@
 // nameLimit has a server say that it takes few requests.
 func nameLimit(s *Soak, _ context.Context) (string, func()) {
 	srv, limit := s.drawServer(), float64(s.intN(40))
-	srv.SetHeaders(fleet.NamesLimit(limit))
+	srv.SetHeaders(fleet.RateLimitHeaders(limit))
 	return fmt.Sprintf("limit of %v a second at %s", limit, srv.ID), func() { srv.SetHeaders(nil) }
 }
 
@@ -38,7 +38,7 @@
 	if srv == nil {
 		return "nothing to end", nil
 	}
-	srv.SetHeaders(fleet.SaysLeaving())
+	srv.SetHeaders(fleet.LeavingHeaders())
 	return srv.ID + " says that it is leaving", func() {
 		srv.Kill()
 		srv.RemoveEntry()
@@ -73,8 +73,8 @@
 	}
 	limited, leaving, tired := fresh[0], fresh[1], fresh[2]
 	s.press(ctx, adviceBound)
-	limited.SetHeaders(fleet.NamesLimit(calmLimit))
-	leaving.SetHeaders(fleet.SaysLeaving())
+	limited.SetHeaders(fleet.RateLimitHeaders(calmLimit))
+	leaving.SetHeaders(fleet.LeavingHeaders())
 	tired.RejectWithBackoff(calmRest)
 	named := time.Now()
 	victim := s.nodes[0]
@@ -83,7 +83,7 @@
 		victim.signal(syscall.SIGKILL)
 		victim.restart(ctx, s.Binary, longest)
 	})
-	time.AfterFunc(2*adviceBound, func() { s.fleet.Store.SetFault(fleet.Sound) })
+	time.AfterFunc(2*adviceBound, func() { s.fleet.Store.SetFault(fleet.NoFault) })
 	via := s.press(ctx, adviceBound+limitWindow)
 	if got, most := mostIn(limited, named.Add(adviceBound)), 1.5*calmLimit*limitWindow.Seconds()+5; float64(got) > most {
 		faults = append(faults, fmt.Sprintf("%s names a limit of %v a second and got %d requests in %v", limited.ID, calmLimit, got, limitWindow))
--- a/internal/soak/emptied.go
+++ b/internal/soak/emptied.go
@@ -31,7 +31,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
-		if srv.Zone != emptiedZone {
+		if srv.FailureDomain != emptiedZone {
 			continue
 		}
 		for _, seen := range srv.Executions() {
@@ -52,7 +52,7 @@
 	key := s.key
 	s.mu.Unlock()
 	id := fleet.NextID()
-	fleet.CallAs(ctx, g.node.Callers, fleet.SafePath, fleet.CallerRequest{ID: id, Key: key})
+	fleet.CallWith(ctx, g.node.Callers, fleet.SafePath, fleet.CallerRequest{ID: id, Key: key})
 	go s.generate(g, "after the faults")
 	return id
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -59,7 +59,7 @@
 	if s.intN(3) == 0 {
 		f := fleet.Fault(1 + s.intN(3))
 		s.fleet.Store.SetFault(f)
-		return fmt.Sprintf("store fault %d for all", f), func() { s.fleet.Store.SetFault(fleet.Sound) }
+		return fmt.Sprintf("store fault %d for all", f), func() { s.fleet.Store.SetFault(fleet.NoFault) }
 	}
 	g, m := s.drawNode(), Mode(1+s.intN(int(modes)-1))
 	g.door.Set(m)
@@ -253,14 +253,14 @@
 // drill has the store be away for a moment and come back from a copy of some time before;
 // operator and servers write again what is gone.
 func drill(s *Soak, ctx context.Context) (string, func()) {
-	old := s.fleet.Store.Copy()
+	old := s.fleet.Store.Backup()
 	return "copy of the store", func() {
 		s.configuring.Lock()
 		defer s.configuring.Unlock()
 		s.fleet.Store.SetFault(fleet.Reset)
 		wait.For(ctx, s.duration(0, drillAway))
 		s.fleet.Store.Restore(old)
-		s.fleet.Store.SetFault(fleet.Sound)
+		s.fleet.Store.SetFault(fleet.NoFault)
 		s.fleet.RewriteRows(func() { wait.For(ctx, s.duration(0, rewritePause)) })
 	}
 }
@@ -288,7 +288,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
-		if srv.Zone == emptiedZone && !s.leaving[srv] {
+		if srv.FailureDomain == emptiedZone && !s.leaving[srv] {
 			srv.SetColdFor(emptyFor)
 		}
 	}
--- a/internal/standin/services/service.go
+++ b/internal/standin/services/service.go
@@ -28,22 +28,22 @@
 	return &Service{ran: make(map[string]int)}
 }
 
-// LoseAnswers makes the next n calls run and lose their answer.
-func (s *Service) LoseAnswers(n int) {
+// LoseResponses makes the next n calls run and lose their answer.
+func (s *Service) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseAnswers = n
 }
 
-// SetGate makes every call pass through f before it runs.
-func (s *Service) SetGate(f func()) {
+// SetBeforeCall makes every call pass through f before it runs.
+func (s *Service) SetBeforeCall(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gate = f
 }
 
-// Ran is how often a request has run.
-func (s *Service) Ran(team, requestID string) int {
+// RunCount is how often a request has run.
+func (s *Service) RunCount(team, requestID string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ran[team+"/"+requestID]
