--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,4 +1,5 @@
-// Package dev runs the whole system in one process with embedded stand-ins.
+// Package dev runs the whole system in one process, with stand-ins for the platform, the model
+// engines and the plain services, and demonstrates requests on it.
 package dev
 
 import (
@@ -23,18 +24,21 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// Names that the shown configuration uses.
+// Names in the configuration that System.Configure applies.
 const (
 	Model   = "plan-writer"
 	Service = "desk"
 	Team    = "small-farm"
 )
 
-// Options set a System.
+// Options configures a System.
 type Options struct {
+	// Servers is the number of model backend servers, Entries that of entries.
 	Servers, Entries int
-	Step             time.Duration
-	Verbose          bool
+	// TokenInterval is the time between two tokens of an engine.
+	TokenInterval time.Duration
+	// Verbose sets the log level to debug instead of error.
+	Verbose bool
 }
 
 // System is the whole system in one process.
@@ -43,14 +47,16 @@
 	entries []*app.Entry
 	agents  []*app.Agent
 	engines []*engines.Engine
+	// conns has one connection to each entry.
 	conns   []grpc.ClientConnInterface
 	closers []func() error
-	admin   string
+	// adminAddress is the adminAddress address of the last entry.
+	adminAddress string
 }
 
-var domains = []string{"hall-a", "hall-b", "shed-c"}
+var failureDomains = []string{"hall-a", "hall-b", "shed-c"}
 
-// Start runs all roles. On an error everything is ended again.
+// Start starts all entries and backend servers. If one fails, it stops them all again.
 func Start(o Options) (*System, error) {
 	sys := &System{Table: tables.New()}
 	if err := sys.start(o); err != nil {
@@ -63,19 +69,19 @@
 func (s *System) start(o Options) error {
 	for i := range o.Servers {
 		e := engines.New(engines.Config{
-			Step: o.Step, Memory: 100000, Resumes: true, ChecksTerm: i%2 == 0,
+			Step: o.TokenInterval, Memory: 100000, Resumes: true, ChecksTerm: i%2 == 0,
 			Retain: 30 * time.Second, Models: []string{Model},
 		})
 		s.engines = append(s.engines, e)
-		if err := s.agent(o, fmt.Sprintf("server-%d", i), i, app.Backend{Engine: e}, Model); err != nil {
+		if err := s.startAgent(o, fmt.Sprintf("server-%d", i), i, app.Backend{Engine: e}, Model); err != nil {
 			return err
 		}
 	}
-	if err := s.agent(o, "desk-0", 1, app.Backend{Service: services.New()}, Service); err != nil {
+	if err := s.startAgent(o, "desk-0", 1, app.Backend{Service: services.New()}, Service); err != nil {
 		return err
 	}
 	for i := range o.Entries {
-		if err := s.entry(o, i); err != nil {
+		if err := s.startEntry(o, i); err != nil {
 			return err
 		}
 	}
@@ -86,25 +92,27 @@
 	return app.Platform{Table: s.Table, Objects: s.Table, VMs: s.Table}
 }
 
-func common(o Options, name string, i int, inner string) app.CommonOptions {
+func commonOptions(o Options, name string, i int, innerAddress string) app.CommonOptions {
 	level := "error"
 	if o.Verbose {
 		level = "debug"
 	}
 	return app.CommonOptions{
-		Name: name, FailureDomain: domains[i%len(domains)], InnerAddress: inner,
+		Name: name, FailureDomain: failureDomains[i%len(failureDomains)], InnerAddress: innerAddress,
 		ConfigPoll: time.Second, ConfigStale: 30 * time.Second, LogLevel: level, LogFormat: "text",
 	}
 }
 
-func (s *System) agent(o Options, name string, i int, b app.Backend, serves string) error {
-	inner, err := standin.FreeAddress()
+// startAgent starts an agent for a backend server of one model or plain service, and adds it to
+// the VM list.
+func (s *System) startAgent(o Options, name string, i int, b app.Backend, served string) error {
+	innerAddress, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
-	opts := app.DefaultAgentOptions(common(o, name, i, inner))
+	opts := app.DefaultAgentOptions(commonOptions(o, name, i, innerAddress))
 	if b.Service != nil {
-		opts.Services = []string{serves}
+		opts.Services = []string{served}
 	}
 	a, err := app.StartAgent(context.Background(), opts, b, s.platform(), wire.TCP{}, app.NewLog(opts.CommonOptions))
 	if err != nil {
@@ -112,33 +120,33 @@
 	}
 	s.agents = append(s.agents, a)
 	s.Table.PutVM(vmlist.VM{
-		Name: name, Address: inner, FailureDomain: opts.FailureDomain, Role: vmlist.RoleAgent, Models: []string{serves},
+		Name: name, Address: innerAddress, FailureDomain: opts.FailureDomain, Role: vmlist.RoleAgent, Models: []string{served},
 	})
 	return nil
 }
 
-func (s *System) entry(o Options, i int) error {
-	inner, err := standin.FreeAddress()
+func (s *System) startEntry(o Options, i int) error {
+	innerAddress, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
-	admin, err := standin.FreeAddress()
+	adminAddress, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
-	opts := app.DefaultEntryOptions(common(o, fmt.Sprintf("entry-%d", i), i, inner))
+	opts := app.DefaultEntryOptions(commonOptions(o, fmt.Sprintf("entry-%d", i), i, innerAddress))
 	opts.CallerAddress = "127.0.0.1:0"
-	opts.AdminAddress = admin
+	opts.AdminAddress = adminAddress
 	opts.HeartbeatInterval = 200 * time.Millisecond
 	opts.ListInterval = time.Second
 	var log logrus.FieldLogger = app.NewLog(opts.CommonOptions)
-	s.Table.PutVM(vmlist.VM{Name: opts.Name, Address: inner, FailureDomain: opts.FailureDomain, Role: vmlist.RoleEntry})
+	s.Table.PutVM(vmlist.VM{Name: opts.Name, Address: innerAddress, FailureDomain: opts.FailureDomain, Role: vmlist.RoleEntry})
 	e, err := app.StartEntry(opts, s.platform(), wire.TCP{}, log)
 	if err != nil {
 		return err
 	}
 	s.entries = append(s.entries, e)
-	s.admin = admin
+	s.adminAddress = adminAddress
 	conn, err := app.DialGRPC(e.CallerAddress)
 	if err != nil {
 		return err
@@ -148,16 +156,16 @@
 	return nil
 }
 
-// CallerAddress is where callers and operators connect.
+// CallerAddress returns the address of an entry for callers and operators.
 func (s *System) CallerAddress() string { return s.entries[len(s.entries)-1].CallerAddress }
 
-// AdminAddress is where metrics and reports are served.
-func (s *System) AdminAddress() string { return s.admin }
+// AdminAddress returns the address of the same entry for metrics and reports.
+func (s *System) AdminAddress() string { return s.adminAddress }
 
-// Conns are connections to the entries.
+// Conns returns a connection to each entry.
 func (s *System) Conns() []grpc.ClientConnInterface { return s.conns }
 
-// Close ends everything.
+// Close closes the connections and stops all entries, agents and engines.
 func (s *System) Close() {
 	for _, c := range s.closers {
 		c()
@@ -173,7 +181,7 @@
 	}
 }
 
-// Configure applies the configuration that the shown requests need.
+// Configure applies the configuration for the requests of RunDemo.
 func (s *System) Configure(ctx context.Context) (*kingcupv1.ApplyResponse, error) {
 	rows := []*kingcupv1.Row{
 		{Row: &kingcupv1.Row_Priority{Priority: &kingcupv1.Priority{Name: "interactive", Level: 10}}},
@@ -186,21 +194,21 @@
 	return kingcupv1.NewOperatorServiceClient(s.conns[0]).Apply(ctx, &kingcupv1.ApplyRequest{ChangeId: "dev", Puts: rows})
 }
 
-// Settle waits until every entry and agent has the version in force and every
-// entry sees a backend server of each kind.
-func (s *System) Settle(ctx context.Context, version uint64) error {
-	const poll = 10 * time.Millisecond
-	for !s.settled(version) {
+// WaitForConfig waits until all entries and agents use at least the given configuration version
+// and every entry is connected to all agents.
+func (s *System) WaitForConfig(ctx context.Context, version uint64) error {
+	const pollInterval = 10 * time.Millisecond
+	for !s.isConfigInForce(version) {
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "system did not settle")
-		case <-time.After(poll):
+			return errors.Wrap(ctx.Err(), "configuration is not in force everywhere")
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-func (s *System) settled(version uint64) bool {
+func (s *System) isConfigInForce(version uint64) bool {
 	for _, a := range s.agents {
 		if a.Sync.Replica().Version() < version {
 			return false
@@ -220,38 +228,38 @@
 	return true
 }
 
-// settleBound is the time in which a change must be in force everywhere.
-const settleBound = 7 * time.Second
+// configTimeout is the time within which a change must be in force everywhere.
+const configTimeout = 7 * time.Second
 
-// Show makes one change of configuration, one generation and one call, and
-// prints what each hop did.
-func (s *System) Show(ctx context.Context, w io.Writer, prompt string) error {
-	began := time.Now()
+// RunDemo makes a configuration change, a generation with prompt and a call that it repeats. It
+// writes the result of each step to w.
+func (s *System) RunDemo(ctx context.Context, w io.Writer, prompt string) error {
+	start := time.Now()
 	resp, err := s.Configure(ctx)
 	if err != nil {
 		return errors.Wrap(err, "apply configuration")
 	}
 	fmt.Fprintf(w, "operator   configuration version %d accepted, spread %v, witnesses %s\n", resp.GetVersion(), resp.GetSpread(), strings.Join(resp.GetWitnesses(), ", "))
-	bounded, cancel := context.WithTimeout(ctx, settleBound)
+	waitCtx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
-	if err := s.Settle(bounded, resp.GetVersion()); err != nil {
+	if err := s.WaitForConfig(waitCtx, resp.GetVersion()); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "system     in force at %d entries and %d agents after %v\n", len(s.entries), len(s.agents), time.Since(began).Round(time.Millisecond))
-	if err := s.showGeneration(ctx, w, prompt); err != nil {
+	fmt.Fprintf(w, "system     in force at %d entries and %d agents after %v\n", len(s.entries), len(s.agents), time.Since(start).Round(time.Millisecond))
+	if err := s.demoGeneration(ctx, w, prompt); err != nil {
 		return err
 	}
-	return s.showCall(ctx, w)
+	return s.demoCall(ctx, w)
 }
 
-func (s *System) showGeneration(ctx context.Context, w io.Writer, prompt string) error {
-	began := time.Now()
-	var first time.Duration
+func (s *System) demoGeneration(ctx context.Context, w io.Writer, prompt string) error {
+	start := time.Now()
+	var firstToken time.Duration
 	fmt.Fprint(w, "caller    ")
 	req := &kingcupv1.GenerateRequest{Team: Team, RequestId: "dev-1", Model: Model, Prompt: []byte(prompt)}
 	res, err := client.New(client.DefaultOptions(), s.conns...).Generate(ctx, req, client.Handler{Token: func(t client.Token) {
 		if t.Index == 0 {
-			first = time.Since(began)
+			firstToken = time.Since(start)
 		}
 		w.Write(t.Text)
 	}})
@@ -260,11 +268,12 @@
 	}
 	fmt.Fprintf(w, "\nentry      relayed generation %s\n", res.GenerationID)
 	fmt.Fprintf(w, "agent      admitted it at %s and numbered %d tokens\n", strings.Join(res.Servers, ", "), res.Tokens)
-	fmt.Fprintf(w, "engine     finished it (%s); first token after %v, all after %v\n", res.FinishReason, first.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
+	fmt.Fprintf(w, "engine     finished it (%s); first token after %v, all after %v\n", res.FinishReason, firstToken.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
 	return nil
 }
 
-func (s *System) showCall(ctx context.Context, w io.Writer) error {
+// demoCall sends the same non-idempotent request twice; the second response is a replay.
+func (s *System) demoCall(ctx context.Context, w io.Writer) error {
 	req := &kingcupv1.CallRequest{Team: Team, RequestId: "slot-7", Service: Service, NonIdempotent: true, Body: []byte("confirm baler, Tuesday")}
 	c := client.New(client.DefaultOptions(), s.conns...)
 	for range 2 {
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -14,17 +14,17 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// The whole system in one process, in real time on loopback: callers stream and
-// call at both entries while operators change the configuration and a server
-// leaves. Everything must be answered whole. Under the race detector this is what
-// watches entry, agent and links, since it can't run with virtual time.
+// Runs the whole system in one process, in real time on loopback. Callers send generations and
+// calls to both entries while an operator changes the configuration and drains a server. Every
+// request must get a complete response. This test runs entry, agent and links under the race
+// detector, which doesn't work with virtual time.
 func TestWholeSystemUnderLoad(t *testing.T) {
-	sys, err := Start(Options{Servers: 3, Entries: 2, Step: 2 * time.Millisecond})
+	sys, err := Start(Options{Servers: 3, Entries: 2, TokenInterval: 2 * time.Millisecond})
 	require.NoError(t, err)
 	defer sys.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	require.NoError(t, sys.Show(ctx, io.Discard, "tokens=5 first"))
+	require.NoError(t, sys.RunDemo(ctx, io.Discard, "tokens=5 first"))
 	c := client.New(client.Options{MaxRetries: 100, MaxResumes: 100, ResumeInterval: 50 * time.Millisecond}, sys.Conns()...)
 	operator := kingcupv1.NewOperatorServiceClient(sys.Conns()[0])
 	var wg sync.WaitGroup
--- a/internal/dev/gateway.go
+++ b/internal/dev/gateway.go
@@ -17,41 +17,42 @@
 	"kingcupplank.example/kingcup/platform/settings"
 )
 
-const gatewayDomain = "hall-a"
+const gatewayFailureDomain = "hall-a"
 
-// ShowGateway runs gateways on a stand-in of the users' platform, and shows a call,
-// and a generation that outlives the engine it began on.
-func ShowGateway(ctx context.Context, out io.Writer, gateways int, log *logrus.Logger) error {
+// RunGatewayDemo runs gateways on a stand-in for the users' platform. It demonstrates a call, and
+// a generation that is migrated because its engine stops.
+func RunGatewayDemo(ctx context.Context, out io.Writer, gateways int, log *logrus.Logger) error {
 	f := fleet.New()
 	defer f.Close()
-	engines := fleet.Behavior{Events: 40, EventInterval: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond}
-	first, err := f.Add(fleet.ModelService, gatewayDomain, engines)
+	engineBehavior := fleet.Behavior{Events: 40, EventInterval: 30 * time.Millisecond, CopyTime: 50 * time.Millisecond}
+	first, err := f.Add(fleet.ModelService, gatewayFailureDomain, engineBehavior)
 	if err != nil {
 		return err
 	}
-	if _, err := f.Add(fleet.DeskService, gatewayDomain, fleet.Behavior{}); err != nil {
+	if _, err := f.Add(fleet.DeskService, gatewayFailureDomain, fleet.Behavior{}); err != nil {
 		return err
 	}
 	var address string
 	for i := range gateways {
-		g, callers, err := startGateway(f, fmt.Sprintf("entry-%d", i), log)
+		g, callerAddress, err := startGateway(f, fmt.Sprintf("entry-%d", i), log)
 		if err != nil {
 			return err
 		}
 		defer g.Close()
-		address = callers
+		address = callerAddress
 	}
-	if err := showCall(ctx, out, address); err != nil {
+	if err := callUntilServed(ctx, out, address); err != nil {
 		return err
 	}
-	if _, err := f.Add(fleet.ModelService, gatewayDomain, engines); err != nil {
+	if _, err := f.Add(fleet.ModelService, gatewayFailureDomain, engineBehavior); err != nil {
 		return err
 	}
-	return showReclaim(ctx, out, address, first)
+	return demoMigration(ctx, out, address, first)
 }
 
-// showCall repeats a call until the gateway knows configuration and servers.
-func showCall(ctx context.Context, out io.Writer, address string) error {
+// callUntilServed repeats a call until it succeeds, because a gateway that starts has neither
+// the configuration nor the servers yet.
+func callUntilServed(ctx context.Context, out io.Writer, address string) error {
 	for ctx.Err() == nil {
 		status, body, err := fleet.Call(ctx, address, fleet.OncePath)
 		if err == nil && status == 200 {
@@ -63,14 +64,16 @@
 	return ctx.Err()
 }
 
-// reclaimAt is the event at which the engine says that it will leave.
-const reclaimAt = 10
+// reclaimAtEvent is the number of the event after which the engine announces that it is leaving.
+const reclaimAtEvent = 10
 
-func showReclaim(ctx context.Context, out io.Writer, address string, engine *fleet.Server) error {
-	got := 0
+// demoMigration streams a generation whose engine is stopped one second after it announces that
+// it is leaving.
+func demoMigration(ctx context.Context, out io.Writer, address string, engine *fleet.Server) error {
+	received := 0
 	err := fleet.Stream(ctx, address, fleet.PlanPath, func(string) {
-		got++
-		if got == reclaimAt {
+		received++
+		if received == reclaimAtEvent {
 			engine.StartDraining(true)
 			time.AfterFunc(time.Second, engine.Kill)
 		}
@@ -78,12 +81,13 @@
 	if err != nil {
 		return errors.Wrap(err, "generation")
 	}
-	fmt.Fprintf(out, "a generation whose engine was reclaimed at event %d: %d events, whole\n", reclaimAt, got)
+	fmt.Fprintf(out, "a generation whose engine was reclaimed at event %d: %d events, whole\n", reclaimAtEvent, received)
 	return nil
 }
 
+// startGateway starts a gateway and returns it with its address for callers.
 func startGateway(f *fleet.Fleet, name string, log *logrus.Logger) (*gateway.Gateway, string, error) {
-	door, err := f.Store.AddEndpoint()
+	storeEndpoint, err := f.Store.AddEndpoint()
 	if err != nil {
 		return nil, "", err
 	}
@@ -91,13 +95,13 @@
 	if err != nil {
 		return nil, "", err
 	}
-	peers, err := strconv.Atoi(port)
+	peerPort, err := strconv.Atoi(port)
 	if err != nil {
 		return nil, "", err
 	}
-	set := &settings.Settings{
-		VM: name, FailureDomain: gatewayDomain, IP: ip, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(),
-		PeerPorts: [2]int{peers, peers}, Store: door.Address, MemoryBytes: 256 << 20, MaxFiles: 1000,
+	cfg := &settings.Settings{
+		VM: name, FailureDomain: gatewayFailureDomain, IP: ip, Callers: standin.UniqueAddress(), Ready: standin.UniqueAddress(),
+		PeerPorts: [2]int{peerPort, peerPort}, Store: storeEndpoint.Address, MemoryBytes: 256 << 20, MaxFiles: 1000,
 		Bounds: settings.Bounds{
 			DrainServer: 2 * time.Second, Shutdown: 8 * time.Second, ApplyConfig: 2 * time.Second,
 			Revoke: 5 * time.Second, RetryRatio: 0.2, RetryExtra: 50, RetryWindow: 10 * time.Second,
@@ -105,6 +109,6 @@
 	}
 	opts := gateway.DefaultOptions()
 	opts.MetricsPort = 0
-	g, err := gateway.Start(opts, set, log)
-	return g, set.Callers, err
+	g, err := gateway.Start(opts, cfg, log)
+	return g, cfg.Callers, err
 }
