--- a/cmd/kingcup-standin/main.go
+++ b/cmd/kingcup-standin/main.go
@@ -25,13 +25,13 @@
 	kind := s.Choice("kind", "table", []string{"table", "engine", "service"}, "what to stand in for")
 	address := s.Address("address", "", "address to serve on", true)
 	s.Group("Table")
-	objects := s.Address("object-address", "", "address of the object store and fault switches", false)
+	objectAddress := s.Address("object-address", "", "address of the object store and fault switches", false)
 	vms := s.List("vms", "", "VM list: name=role:address:failure-domain[:model+model], separated by commas")
 	s.Group("Engine")
-	step := s.Duration("step", 20*time.Millisecond, time.Millisecond, time.Minute, "time between two tokens")
+	tokenInterval := s.Duration("step", 20*time.Millisecond, time.Millisecond, time.Minute, "time between two tokens")
 	memory := s.Int("memory", 100000, 1, 1<<30, "memory in tokens")
 	resumes := s.Bool("resumes", true, "continue a generation from a prefix")
-	checks := s.Bool("checks-term", true, "refuse orders with an old fencing number")
+	checksTerm := s.Bool("checks-term", true, "refuse orders with an old fencing number")
 	retain := s.Duration("retain", 30*time.Second, 0, time.Hour, "how long a stream outlives its reader")
 	models := s.List("models", "", "models loaded at start, separated by commas")
 	s.MustParse()
@@ -40,10 +40,10 @@
 	var err error
 	switch *kind {
 	case "table":
-		err = serveTable(&servers, *address, *objects, vms())
+		err = serveTable(&servers, *address, *objectAddress, vms())
 	case "engine":
 		e := engines.New(engines.Config{
-			Step: *step, Memory: uint64(*memory), Resumes: *resumes, ChecksTerm: *checks,
+			Step: *tokenInterval, Memory: uint64(*memory), Resumes: *resumes, ChecksTerm: *checksTerm,
 			Retain: *retain, Models: models(), Nonce: uint64(os.Getpid()),
 		})
 		_, err = servers.ServeEngine(e, *address)
@@ -59,34 +59,36 @@
 	<-stop
 }
 
-func serveTable(servers *standin.Servers, address, objects string, vms []string) error {
+// serveTable serves the table service, the object store and a VM list of the given items. An
+// empty objectAddress selects any free port on loopback.
+func serveTable(servers *standin.Servers, address, objectAddress string, vms []string) error {
 	t := tables.New()
-	for _, text := range vms {
-		vm, err := parseVM(text)
+	for _, item := range vms {
+		vm, err := parseVM(item)
 		if err != nil {
 			return err
 		}
 		t.PutVM(vm)
 	}
-	if objects == "" {
-		objects = "127.0.0.1:0"
+	if objectAddress == "" {
+		objectAddress = "127.0.0.1:0"
 	}
-	_, _, err := servers.ServeTable(t, address, objects)
+	_, _, err := servers.ServeTable(t, address, objectAddress)
 	return err
 }
 
-// parseVM reads name=role:ip:port:failure-domain[:model+model].
-func parseVM(text string) (vmlist.VM, error) {
-	const least = 4
-	name, rest, ok := strings.Cut(text, "=")
+// parseVM parses an item of the VM list: name=role:ip:port:failure-domain[:model+model].
+func parseVM(item string) (vmlist.VM, error) {
+	const minParts = 4
+	name, rest, ok := strings.Cut(item, "=")
 	parts := strings.Split(rest, ":")
-	if !ok || len(parts) < least {
-		return vmlist.VM{}, errors.Errorf("-vms: invalid value %q: want name=role:ip:port:failure-domain[:model+model]", text)
+	if !ok || len(parts) < minParts {
+		return vmlist.VM{}, errors.Errorf("-vms: invalid value %q: want name=role:ip:port:failure-domain[:model+model]", item)
 	}
 	vm := vmlist.VM{
 		Name: name, Role: vmlist.Role(parts[0]), Address: parts[1] + ":" + parts[2], FailureDomain: parts[3],
 	}
-	if len(parts) > least {
+	if len(parts) > minParts {
 		vm.Models = strings.Split(parts[4], "+")
 	}
 	return vm, nil
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -50,7 +50,7 @@
 	// conns has one connection to each entry.
 	conns   []grpc.ClientConnInterface
 	closers []func() error
-	// adminAddress is the adminAddress address of the last entry.
+	// adminAddress is the admin address of the last entry.
 	adminAddress string
 }
 
