--- a/cmd/kingcupctl/callers.go
+++ b/cmd/kingcupctl/callers.go
@@ -17,26 +17,28 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// parse reads a command's own flags; words before and after them are returned.
-func parse(fs *flag.FlagSet, args []string) ([]string, error) {
+// parseArgs parses the flags of a command and returns the other arguments, which may stand
+// before, between and after the flags.
+func parseArgs(fs *flag.FlagSet, args []string) ([]string, error) {
 	fs.SetOutput(io.Discard)
-	var words []string
+	var operands []string
 	for len(args) > 0 {
 		if err := fs.Parse(args); err != nil {
 			return nil, usageError(err.Error())
 		}
 		args = fs.Args()
 		if len(args) > 0 {
-			words = append(words, args[0])
+			operands = append(operands, args[0])
 			args = args[1:]
 		}
 	}
-	return words, nil
+	return operands, nil
 }
 
-func requestID(given string) string {
-	if given != "" {
-		return given
+// requestIDOrRandom returns id, or a random request id if id is empty.
+func requestIDOrRandom(id string) string {
+	if id != "" {
+		return id
 	}
 	return fmt.Sprintf("ctl-%x", rand.Uint64())
 }
@@ -44,14 +46,14 @@
 func generate(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	fs := flag.NewFlagSet("generate", flag.ContinueOnError)
 	team, model, adapter := fs.String("team", "", ""), fs.String("model", "", ""), fs.String("adapter", "", "")
-	most, id, once := fs.Uint("max-tokens", 0, ""), fs.String("id", "", ""), fs.Bool("once", false, "")
-	words, err := parse(fs, args)
+	maxTokens, id, once := fs.Uint("max-tokens", 0, ""), fs.String("id", "", ""), fs.Bool("once", false, "")
+	operands, err := parseArgs(fs, args)
 	if err != nil {
 		return err
 	}
 	req := &kingcupv1.GenerateRequest{
-		Team: *team, Model: *model, Adapter: *adapter, MaxTokens: uint32(*most),
-		RequestId: requestID(*id), NonIdempotent: *once, Prompt: []byte(strings.Join(words, " ")),
+		Team: *team, Model: *model, Adapter: *adapter, MaxTokens: uint32(*maxTokens),
+		RequestId: requestIDOrRandom(*id), NonIdempotent: *once, Prompt: []byte(strings.Join(operands, " ")),
 	}
 	res, err := client.New(client.DefaultOptions(), conns...).Generate(ctx, req, client.Handler{Token: func(t client.Token) { os.Stdout.Write(t.Text) }})
 	fmt.Println()
@@ -66,13 +68,13 @@
 	fs := flag.NewFlagSet("call", flag.ContinueOnError)
 	team, service := fs.String("team", "", ""), fs.String("service", "", "")
 	id, once := fs.String("id", "", ""), fs.Bool("once", false, "")
-	words, err := parse(fs, args)
+	operands, err := parseArgs(fs, args)
 	if err != nil {
 		return err
 	}
 	resp, err := client.New(client.DefaultOptions(), conns...).Call(ctx, &kingcupv1.CallRequest{
-		Team: *team, Service: *service, RequestId: requestID(*id), NonIdempotent: *once,
-		Body: []byte(strings.Join(words, " ")),
+		Team: *team, Service: *service, RequestId: requestIDOrRandom(*id), NonIdempotent: *once,
+		Body: []byte(strings.Join(operands, " ")),
 	})
 	if err != nil {
 		return err
@@ -87,14 +89,14 @@
 func cancelGeneration(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	fs := flag.NewFlagSet("cancel", flag.ContinueOnError)
 	team := fs.String("team", "", "")
-	words, err := parse(fs, args)
+	operands, err := parseArgs(fs, args)
 	if err != nil {
 		return err
 	}
-	if len(words) != 1 {
+	if len(operands) != 1 {
 		return usageError("want one generation id")
 	}
-	resp, err := kingcupv1.NewCallerServiceClient(conns[0]).Cancel(ctx, &kingcupv1.CancelRequest{Team: *team, GenerationId: words[0]})
+	resp, err := kingcupv1.NewCallerServiceClient(conns[0]).Cancel(ctx, &kingcupv1.CancelRequest{Team: *team, GenerationId: operands[0]})
 	if err != nil {
 		return err
 	}
@@ -102,11 +104,11 @@
 	return nil
 }
 
-// show prints m as JSON if asked, otherwise by table.
-func show(o options, m proto.Message, table func()) {
-	if o.output == "json" {
+// printResult prints m as JSON if the options ask for it; otherwise it calls printTable.
+func printResult(o options, m proto.Message, printTable func()) {
+	if o.outputFormat == "json" {
 		fmt.Println(protojson.Format(m))
 		return
 	}
-	table()
+	printTable()
 }
--- a/cmd/kingcupctl/main.go
+++ b/cmd/kingcupctl/main.go
@@ -1,4 +1,4 @@
-// Command kingcupctl drives the system from a shell.
+// Command kingcupctl sends requests of callers and operators to the system from a shell.
 package main
 
 import (
@@ -16,13 +16,13 @@
 
 // options are the flags that all commands share.
 type options struct {
-	entries []string
-	admin   string
-	output  string
-	timeout time.Duration
+	entryAddresses []string
+	adminAddress   string
+	outputFormat   string
+	timeout        time.Duration
 }
 
-// command is one verb of the command line.
+// command is a subcommand of kingcupctl. usage describes its arguments and effect.
 type command struct {
 	name  string
 	usage string
@@ -39,34 +39,34 @@
 		{"adapter", "NAME -model M: create or replace an adapter", putAdapter},
 		{"priority", "NAME -level N: create or replace a priority class", putPriority},
 		{"delete", "team|model|adapter|priority NAME: delete a row", deleteRow},
-		{"list", "[team|model|adapter|priority]: show the configuration", list},
-		{"watch", "follow the version in force", watch},
-		{"status", "show the backend servers", status},
-		{"drain", "SERVER: tell a backend server's agent to leave", drain},
-		{"order", "SERVER load|unload -model M [-adapter A]: order an engine", order},
-		{"quarantine", "[lift CONTENT]: show the requests under which servers end, or lift a verdict (-admin of a gateway)", quarantine},
+		{"list", "[team|model|adapter|priority]: show the configuration", listRows},
+		{"watch", "follow the version in force", watchConfig},
+		{"status", "show the backend servers", showServers},
+		{"drain", "SERVER: tell a backend server's agent to leave", drainServer},
+		{"order", "SERVER load|unload -model M [-adapter A]: order an engine", orderEngine},
+		{"quarantine", "[lift CONTENT]: show the requests under which servers end, or lift a verdict (-admin of a gateway)", showOrLiftQuarantine},
 		{"burn", "show the service-level burn of an entry (-admin)", burnReport},
 	}
 }
 
 func main() {
 	s := settings.New("kingcupctl", "operates kingcupplank; usage: kingcupctl [flags] COMMAND [arguments]")
-	entries := s.List("entries", "127.0.0.1:7000", "caller addresses of entries, separated by commas")
-	admin := s.Address("admin", "127.0.0.1:7002", "admin address of an entry", false)
-	output := s.Choice("o", "table", []string{"table", "json"}, "output form")
+	entryAddresses := s.List("entries", "127.0.0.1:7000", "caller addresses of entries, separated by commas")
+	adminAddress := s.Address("admin", "127.0.0.1:7002", "admin address of an entry", false)
+	outputFormat := s.Choice("o", "table", []string{"table", "json"}, "output form")
 	timeout := s.Duration("timeout", 10*time.Minute, time.Millisecond, 24*time.Hour, "longest time for a command")
 	s.AllowArgs()
 	s.MustParse()
 	args := s.Args()
 	if len(args) == 0 {
-		usage(s)
+		printUsage(s)
 		os.Exit(settings.ExitUsage)
 	}
-	o := options{entries: entries(), admin: *admin, output: *output, timeout: *timeout}
+	o := options{entryAddresses: entryAddresses(), adminAddress: *adminAddress, outputFormat: *outputFormat, timeout: *timeout}
 	os.Exit(runCommand(o, args))
 }
 
-func usage(s *settings.Set) {
+func printUsage(s *settings.Set) {
 	s.Help(os.Stderr)
 	fmt.Fprintln(os.Stderr, "\nCommands:")
 	for _, c := range commands() {
@@ -74,19 +74,21 @@
 	}
 }
 
+// runCommand runs the command that args name and returns the exit code.
 func runCommand(o options, args []string) int {
 	for _, c := range commands() {
 		if c.name == args[0] {
-			return execute(o, c, args[1:])
+			return connectAndRun(o, c, args[1:])
 		}
 	}
 	fmt.Fprintf(os.Stderr, "kingcupctl: unknown command %q\n", args[0])
 	return settings.ExitUsage
 }
 
-func execute(o options, c command, args []string) int {
+// connectAndRun connects to the entries, runs c and returns the exit code.
+func connectAndRun(o options, c command, args []string) int {
 	var conns []grpc.ClientConnInterface
-	for _, address := range o.entries {
+	for _, address := range o.entryAddresses {
 		conn, err := app.DialGRPC(address)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "kingcupctl:", err)
@@ -101,8 +103,8 @@
 	if err == nil {
 		return 0
 	}
-	if u, ok := err.(usageError); ok {
-		fmt.Fprintf(os.Stderr, "kingcupctl %s: %v\n", c.name, u)
+	if usage, ok := err.(usageError); ok {
+		fmt.Fprintf(os.Stderr, "kingcupctl %s: %v\n", c.name, usage)
 		return settings.ExitUsage
 	}
 	f := failure.FromError(err)
@@ -113,7 +115,7 @@
 	return 1
 }
 
-// usageError is a wrong command line.
+// usageError describes an invalid command line.
 type usageError string
 
 // Error implements error.
--- a/cmd/kingcupctl/operators.go
+++ b/cmd/kingcupctl/operators.go
@@ -18,19 +18,19 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-func operator(conns []grpc.ClientConnInterface) kingcupv1.OperatorServiceClient {
+func operatorClient(conns []grpc.ClientConnInterface) kingcupv1.OperatorServiceClient {
 	return kingcupv1.NewOperatorServiceClient(conns[0])
 }
 
-// apply commits a change at the head, whatever version that is, unless
-// expected names one.
-func apply(ctx context.Context, o options, conns []grpc.ClientConnInterface, req *kingcupv1.ApplyRequest) error {
-	req.ChangeId = requestID("")
-	resp, err := operator(conns).Apply(ctx, req)
+// applyChange commits a configuration change with a random change id. If req has no expected
+// version, the change is based on the latest version.
+func applyChange(ctx context.Context, o options, conns []grpc.ClientConnInterface, req *kingcupv1.ApplyRequest) error {
+	req.ChangeId = requestIDOrRandom("")
+	resp, err := operatorClient(conns).Apply(ctx, req)
 	if err != nil {
 		return err
 	}
-	show(o, resp, func() {
+	printResult(o, resp, func() {
 		spread := "held in more than one failure domain"
 		if !resp.GetSpread() {
 			spread = "committed, not yet spread"
@@ -40,10 +40,10 @@
 	return nil
 }
 
-// rowFlags are the flags of the commands that write a row.
+// rowFlags holds the flags of a command that creates or replaces a row of the configuration.
 type rowFlags struct {
-	fs       *flag.FlagSet
-	expected *uint64
+	flags           *flag.FlagSet
+	expectedVersion *uint64
 }
 
 func newRowFlags(name string) rowFlags {
@@ -51,23 +51,24 @@
 	return rowFlags{fs, fs.Uint64("expected", 0, "version the change is based on; 0 for any")}
 }
 
-func (r rowFlags) put(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string, row func(name string) *kingcupv1.Row) error {
-	words, err := parse(r.fs, args)
+// put parses args and commits the row that newRow returns for the name among them.
+func (r rowFlags) put(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string, newRow func(name string) *kingcupv1.Row) error {
+	operands, err := parseArgs(r.flags, args)
 	if err != nil {
 		return err
 	}
-	if len(words) != 1 {
+	if len(operands) != 1 {
 		return usageError("want one name")
 	}
-	return apply(ctx, o, conns, &kingcupv1.ApplyRequest{ExpectedVersion: *r.expected, Puts: []*kingcupv1.Row{row(words[0])}})
+	return applyChange(ctx, o, conns, &kingcupv1.ApplyRequest{ExpectedVersion: *r.expectedVersion, Puts: []*kingcupv1.Row{newRow(operands[0])}})
 }
 
 func putTeam(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	r := newRowFlags("team")
-	weight, priority, models := r.fs.Uint("weight", 1, ""), r.fs.String("priority", "", ""), r.fs.String("models", "", "")
-	streams := r.fs.Uint("max-streams", 0, "")
+	weight, priority, models := r.flags.Uint("weight", 1, ""), r.flags.String("priority", "", ""), r.flags.String("models", "", "")
+	maxStreams := r.flags.Uint("max-streams", 0, "")
 	return r.put(ctx, o, conns, args, func(name string) *kingcupv1.Row {
-		t := &kingcupv1.Team{Name: name, Weight: uint32(*weight), Priority: *priority, MaxStreams: uint32(*streams)}
+		t := &kingcupv1.Team{Name: name, Weight: uint32(*weight), Priority: *priority, MaxStreams: uint32(*maxStreams)}
 		if *models != "" {
 			t.Models = strings.Split(*models, ",")
 		}
@@ -77,25 +78,25 @@
 
 func putModel(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	r := newRowFlags("model")
-	most, version := r.fs.Uint("max-tokens", 0, ""), r.fs.String("model-version", "1", "")
+	maxTokens, version := r.flags.Uint("max-tokens", 0, ""), r.flags.String("model-version", "1", "")
 	kind := kingcupv1.ModelKind_MODEL_KIND_GENERATION
-	r.fs.Func("kind", "", func(word string) error {
+	r.flags.Func("kind", "", func(value string) error {
 		kinds := map[string]kingcupv1.ModelKind{"generation": kind, "service": kingcupv1.ModelKind_MODEL_KIND_SERVICE}
-		if kinds[word] == 0 {
+		if kinds[value] == 0 {
 			return errors.New("must be generation or service")
 		}
-		kind = kinds[word]
+		kind = kinds[value]
 		return nil
 	})
 	return r.put(ctx, o, conns, args, func(name string) *kingcupv1.Row {
-		m := &kingcupv1.Model{Name: name, Version: *version, MaxTokens: uint32(*most), Kind: kind}
+		m := &kingcupv1.Model{Name: name, Version: *version, MaxTokens: uint32(*maxTokens), Kind: kind}
 		return &kingcupv1.Row{Row: &kingcupv1.Row_Model{Model: m}}
 	})
 }
 
 func putAdapter(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	r := newRowFlags("adapter")
-	model := r.fs.String("model", "", "")
+	model := r.flags.String("model", "", "")
 	return r.put(ctx, o, conns, args, func(name string) *kingcupv1.Row {
 		return &kingcupv1.Row{Row: &kingcupv1.Row_Adapter{Adapter: &kingcupv1.Adapter{Name: name, Model: *model}}}
 	})
@@ -103,14 +104,14 @@
 
 func putPriority(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	r := newRowFlags("priority")
-	level := r.fs.Uint("level", 0, "")
+	level := r.flags.Uint("level", 0, "")
 	return r.put(ctx, o, conns, args, func(name string) *kingcupv1.Row {
 		return &kingcupv1.Row{Row: &kingcupv1.Row_Priority{Priority: &kingcupv1.Priority{Name: name, Level: uint32(*level)}}}
 	})
 }
 
-func rowKind(word string) (kingcupv1.RowKind, error) {
-	switch word {
+func rowKind(name string) (kingcupv1.RowKind, error) {
+	switch name {
 	case "team":
 		return kingcupv1.RowKind_ROW_KIND_TEAM, nil
 	case "model":
@@ -120,7 +121,7 @@
 	case "priority":
 		return kingcupv1.RowKind_ROW_KIND_PRIORITY, nil
 	}
-	return 0, usageError(fmt.Sprintf("unknown kind %q: want team, model, adapter or priority", word))
+	return 0, usageError(fmt.Sprintf("unknown kind %q: want team, model, adapter or priority", name))
 }
 
 func deleteRow(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
@@ -131,10 +132,10 @@
 	if err != nil {
 		return err
 	}
-	return apply(ctx, o, conns, &kingcupv1.ApplyRequest{Deletes: []*kingcupv1.RowKey{{Kind: kind, Name: args[1]}}})
+	return applyChange(ctx, o, conns, &kingcupv1.ApplyRequest{Deletes: []*kingcupv1.RowKey{{Kind: kind, Name: args[1]}}})
 }
 
-func list(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
+func listRows(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	req := &kingcupv1.ListRequest{}
 	if len(args) > 0 {
 		kind, err := rowKind(args[0])
@@ -143,11 +144,11 @@
 		}
 		req.Kind = kind
 	}
-	resp, err := operator(conns).List(ctx, req)
+	resp, err := operatorClient(conns).List(ctx, req)
 	if err != nil {
 		return err
 	}
-	show(o, resp, func() {
+	printResult(o, resp, func() {
 		fmt.Println("version", resp.GetVersion())
 		for _, row := range resp.GetRows() {
 			fmt.Println(row)
@@ -156,8 +157,8 @@
 	return nil
 }
 
-func watch(ctx context.Context, o options, conns []grpc.ClientConnInterface, _ []string) error {
-	st, err := operator(conns).Watch(ctx, &kingcupv1.WatchRequest{})
+func watchConfig(ctx context.Context, o options, conns []grpc.ClientConnInterface, _ []string) error {
+	st, err := operatorClient(conns).Watch(ctx, &kingcupv1.WatchRequest{})
 	if err != nil {
 		return err
 	}
@@ -166,20 +167,20 @@
 		if err != nil {
 			return err
 		}
-		show(o, m, func() { fmt.Println("version", m.GetVersion(), "rows", len(m.GetSnapshot().GetRows())) })
+		printResult(o, m, func() { fmt.Println("version", m.GetVersion(), "rows", len(m.GetSnapshot().GetRows())) })
 	}
 }
 
-func status(ctx context.Context, o options, conns []grpc.ClientConnInterface, _ []string) error {
-	resp, err := operator(conns).BackendServers(ctx, &kingcupv1.BackendServersRequest{})
+func showServers(ctx context.Context, o options, conns []grpc.ClientConnInterface, _ []string) error {
+	resp, err := operatorClient(conns).BackendServers(ctx, &kingcupv1.BackendServersRequest{})
 	if err != nil {
 		return err
 	}
-	show(o, resp, func() { statusTable(resp) })
+	printResult(o, resp, func() { printServers(resp) })
 	return nil
 }
 
-func statusTable(resp *kingcupv1.BackendServersResponse) {
+func printServers(resp *kingcupv1.BackendServersResponse) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVER\tFAILURE DOMAIN\tMODELS\tSTATE\tVERSION\tRUNNING\tQUEUED\tMEMORY\tPREEMPTIONS")
 	for _, s := range resp.GetServers() {
@@ -196,60 +197,60 @@
 	w.Flush()
 }
 
-func drain(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
+func drainServer(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	if len(args) != 1 {
 		return usageError("want one backend server")
 	}
-	resp, err := operator(conns).Drain(ctx, &kingcupv1.DrainRequest{BackendServer: args[0]})
+	resp, err := operatorClient(conns).Drain(ctx, &kingcupv1.DrainRequest{BackendServer: args[0]})
 	if err != nil {
 		return err
 	}
-	show(o, resp, func() { fmt.Println("leaving, in progress:", resp.GetInProgress()) })
+	printResult(o, resp, func() { fmt.Println("leaving, in progress:", resp.GetInProgress()) })
 	return nil
 }
 
-func order(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
+func orderEngine(ctx context.Context, o options, conns []grpc.ClientConnInterface, args []string) error {
 	fs := flag.NewFlagSet("order", flag.ContinueOnError)
 	model, adapter := fs.String("model", "", ""), fs.String("adapter", "", "")
-	words, err := parse(fs, args)
+	operands, err := parseArgs(fs, args)
 	if err != nil {
 		return err
 	}
 	verbs := map[string]kingcupv1.OrderVerb{"load": kingcupv1.OrderVerb_ORDER_VERB_LOAD, "unload": kingcupv1.OrderVerb_ORDER_VERB_UNLOAD}
-	if len(words) != 2 || verbs[words[1]] == 0 {
+	if len(operands) != 2 || verbs[operands[1]] == 0 {
 		return usageError("want a backend server, then load or unload")
 	}
-	resp, err := operator(conns).Order(ctx, &kingcupv1.OrderRequest{
-		BackendServer: words[0], Verb: verbs[words[1]], Model: *model, Adapter: *adapter,
+	resp, err := operatorClient(conns).Order(ctx, &kingcupv1.OrderRequest{
+		BackendServer: operands[0], Verb: verbs[operands[1]], Model: *model, Adapter: *adapter,
 	})
 	if err != nil {
 		return err
 	}
-	show(o, resp, func() { fmt.Println("done under term", resp.GetTerm()) })
+	printResult(o, resp, func() { fmt.Println("done under term", resp.GetTerm()) })
 	return nil
 }
 
 func burnReport(_ context.Context, o options, _ []grpc.ClientConnInterface, _ []string) error {
-	return adminCall(fasthttp.MethodGet, "http://"+o.admin+"/report/burn?format="+o.output)
+	return callAdmin(fasthttp.MethodGet, "http://"+o.adminAddress+"/report/burn?format="+o.outputFormat)
 }
 
-func quarantine(_ context.Context, o options, _ []grpc.ClientConnInterface, args []string) error {
+func showOrLiftQuarantine(_ context.Context, o options, _ []grpc.ClientConnInterface, args []string) error {
 	switch {
 	case len(args) == 0:
-		return adminCall(fasthttp.MethodGet, "http://"+o.admin+"/quarantine?format="+o.output)
+		return callAdmin(fasthttp.MethodGet, "http://"+o.adminAddress+"/quarantine?format="+o.outputFormat)
 	case len(args) == 2 && args[0] == "lift":
-		return adminCall(fasthttp.MethodDelete, "http://"+o.admin+"/quarantine/"+url.PathEscape(args[1]))
+		return callAdmin(fasthttp.MethodDelete, "http://"+o.adminAddress+"/quarantine/"+url.PathEscape(args[1]))
 	}
 	return usageError("want no argument, or lift CONTENT")
 }
 
-// adminCall makes a call to an admin address and prints the answer.
-func adminCall(method, target string) error {
+// callAdmin sends a request to an admin address and prints the response body.
+func callAdmin(method, requestURL string) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(method)
-	req.SetRequestURI(target)
+	req.SetRequestURI(requestURL)
 	if err := fasthttp.DoTimeout(req, resp, adminTimeout); err != nil {
 		return errors.Wrap(err, "admin call")
 	}
@@ -260,5 +261,5 @@
 	return nil
 }
 
-// adminTimeout bounds a call to an admin address.
+// adminTimeout bounds a request to an admin address.
 const adminTimeout = 5 * time.Second
