--- a/internal/gateway/growth_timing_test.go
+++ b/internal/gateway/growth_timing_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// The detector of races makes decoding a row some eight times as long, and the tests here ask
-// how long a change takes.
+// The tests in this file measure how long a change takes. The race detector slows down the
+// decoding of a row by a factor of about eight, so they don't run with it.
 
 package gateway
 
@@ -17,28 +17,28 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// Guards against callers of thin VMs being refused, or handled by an old version, while a grown
-// configuration comes in.
+// Guards against callers of VMs with a slow link being refused, or handled by an old
+// version, while a grown configuration arrives.
 func TestGrownConfigurationIsInForceOnThinVMs(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 200
-	wide := []*node{s.gateway("vm-a"), s.gateway("vm-b")}
-	thin, _ := s.thin("vm-c", 10)
-	linked(wide[0], wide[1], thin)
-	prefixes := more(4000)
+	fast := []*testGateway{s.gateway("vm-a"), s.gateway("vm-b")}
+	slow, _ := s.gatewayOnLink("vm-c", 10)
+	waitUntilLinked(fast[0], fast[1], slow)
+	prefixes := extraPrefixes(4000)
 	s.fleet.Configure(fleet.Key, prefixes...)
 	grown := time.Now()
 	newest := prefixes[len(prefixes)-1] + "a"
 	var unready, refused atomic.Int64
 	inForce := assert.Eventually(t, func() bool {
-		if !thin.isReady() {
+		if !slow.isReady() {
 			unready.Add(1)
 		}
-		if thin.do(plain(fleet.OncePath)).status != http.StatusOK {
+		if slow.do(plain(fleet.OncePath)).status != http.StatusOK {
 			refused.Add(1)
 		}
-		return thin.do(plain(newest)).status == http.StatusOK
+		return slow.do(plain(newest)).status == http.StatusOK
 	}, 8*time.Second, 10*time.Millisecond, "the newest version is in force")
 	require.Zero(t, unready.Load(), "callers left the VM because of a change")
 	require.Zero(t, refused.Load(), "callers were refused because of a change")
@@ -46,21 +46,22 @@
 	require.Less(t, time.Since(grown), testBounds.ApplyConfig)
 }
 
-// Guards against a long row that is begun anew while its bytes arrive: they come in at most 1.2
-// times, in at most 1.25 times what the link needs.
+// Guards against the transfer of a long row being restarted while it arrives. The bytes
+// received are at most 1.2 times the row, in at most 1.25 times the time that the link
+// needs.
 func TestLoneVMReadsAGrownConfigurationOnce(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
-	lone, link := s.thin("vm-a", 40)
+	lone, link := s.gatewayOnLink("vm-a", 40)
 	before := link.Transferred()
-	prefixes := more(16000)
+	prefixes := extraPrefixes(16000)
 	s.fleet.Configure(fleet.Key, prefixes...)
 	size := int64(s.fleet.Store.EncodedSize("op", "config"))
-	// The answers to no change take some hundred bytes.
+	// Responses without changes have some hundred bytes.
 	lone.eventually(func() bool { return link.Transferred()-before > size/100 }, "the row begins to come in")
 	begun := time.Now()
 	lone.eventually(func() bool { return link.Transferred()-before > size }, "the row has come in")
-	// A busy machine may add to what the link needs.
+	// busy is the extra time that a busy machine may take.
 	const busy = 700 * time.Millisecond
 	require.Less(t, time.Since(begun), link.TransferTime(size*5/4)+busy)
 	lone.eventually(func() bool { return lone.do(plain(prefixes[0]+"a")).status == http.StatusOK }, "the newest version is in force")
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -14,16 +14,16 @@
 
 // The modes.
 const (
-	// Pass lets everything through.
-	Pass Mode = iota
-	// Slow delays bytes.
-	Slow
-	// Silent holds all bytes back, without closing anything.
-	Silent
-	// OneWay holds back what comes from the target.
-	OneWay
-	// Reset breaks connections, old and new.
-	Reset
+	// PassThrough lets everything through.
+	PassThrough Mode = iota
+	// SlowDown delays bytes.
+	SlowDown
+	// HoldAll holds all bytes back, without closing anything.
+	HoldAll
+	// HoldResponses holds back what comes from the target.
+	HoldResponses
+	// ResetConnections breaks connections, old and new.
+	ResetConnections
 	modes
 )
 
@@ -55,11 +55,11 @@
 	return p, nil
 }
 
-// Set changes the mode of all connections.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode of all connections.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	p.mode = m
-	if m == Reset {
+	if m == ResetConnections {
 		p.breakAll()
 	}
 	p.mu.Unlock()
@@ -77,7 +77,7 @@
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
-	p.Set(Reset)
+	p.SetMode(ResetConnections)
 }
 
 func (p *Proxy) accept() {
@@ -111,7 +111,7 @@
 	for _, c := range conns {
 		p.conns[c] = true
 	}
-	if p.mode == Reset {
+	if p.mode == ResetConnections {
 		p.breakAll()
 		return false
 	}
@@ -146,8 +146,8 @@
 // hold waits while the mode holds bytes back.
 func (p *Proxy) hold(answers bool) {
 	p.mu.Lock()
-	slow := p.mode == Slow
-	for p.mode == Silent || p.mode == OneWay && answers {
+	slow := p.mode == SlowDown
+	for p.mode == HoldAll || p.mode == HoldResponses && answers {
 		p.cond.Wait()
 	}
 	p.mu.Unlock()
