--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -99,7 +99,7 @@
 	}
 	return app.CommonOptions{
 		Name: name, FailureDomain: failureDomains[i%len(failureDomains)], InnerAddress: innerAddress,
-		ConfigPoll: time.Second, ConfigStale: 30 * time.Second, LogLevel: level, LogFormat: "text",
+		ConfigPollInterval: time.Second, ConfigStaleAfter: 30 * time.Second, LogLevel: level, LogFormat: "text",
 	}
 }
 
