--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -20,8 +20,7 @@
 	"kingcupplank.example/kingcup/sched"
 )
 
-// AgentOptions configures StartAgent. Policy configures the scheduler; the other fields
-// correspond to those of agent.Config.
+// AgentOptions configures StartAgent. The fields correspond to those of agent.Config.
 type AgentOptions struct {
 	CommonOptions
 	Services          []string
@@ -66,7 +65,7 @@
 }
 
 // StartAgent starts an agent, which runs until Close. It returns once the engine has
-// answered; ctx bounds only that wait.
+// answered. ctx bounds only this start.
 func StartAgent(ctx context.Context, o AgentOptions, b Backend, p Platform, network wire.Network, log logrus.FieldLogger) (*Agent, error) {
 	c := dig.New()
 	if err := provideCommon(c, o.CommonOptions, p, log, network); err != nil {
--- a/internal/app/options.go
+++ b/internal/app/options.go
@@ -21,40 +21,43 @@
 
 // CommonOptions are the options that entries and agents share.
 type CommonOptions struct {
-	Name               string
-	FailureDomain      string
+	Name          string
+	FailureDomain string
+	// InnerAddress is the listen address for the system's own processes, AdminAddress that
+	// for metrics, health and reports. An empty AdminAddress disables the latter.
 	InnerAddress       string
 	AdminAddress       string
 	TableAddress       string
 	ObjectAddress      string
 	ConfigPollInterval time.Duration
-	ConfigStaleAfter   time.Duration
-	DrainTimeout       time.Duration
-	LogLevel           string
-	LogFormat          string
+	// ConfigStaleAfter is how long a process stays ready without a confirmed configuration.
+	ConfigStaleAfter time.Duration
+	DrainTimeout     time.Duration
+	LogLevel         string
+	LogFormat        string
 }
 
 // AddCommonFlags defines the flags of CommonOptions. The returned function returns the
 // options; call it after the flags are parsed.
 func AddCommonFlags(s *settings.Set) func() CommonOptions {
 	name := s.String("name", "", "name of this VM, unique in the system", true)
-	domain := s.String("failure-domain", "", "failure domain of this VM", true)
-	level := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
-	format := s.Choice("log-format", "json", []string{"json", "text"}, "form of log lines")
-	drain := s.Duration("drain-timeout", 30*time.Minute, 0, 24*time.Hour, "longest wait for work in progress after SIGTERM")
+	failureDomain := s.String("failure-domain", "", "failure domain of this VM", true)
+	logLevel := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
+	logFormat := s.Choice("log-format", "json", []string{"json", "text"}, "form of log lines")
+	drainTimeout := s.Duration("drain-timeout", 30*time.Minute, 0, 24*time.Hour, "longest wait for work in progress after SIGTERM")
 	s.Group("Addresses")
-	inner := s.Address("inner-address", "", "address for the system's own processes", true)
-	admin := s.Address("admin-address", "", "address for metrics, health and reports; empty for none", false)
+	innerAddress := s.Address("inner-address", "", "address for the system's own processes", true)
+	adminAddress := s.Address("admin-address", "", "address for metrics, health and reports; empty for none", false)
 	s.Group("Platform")
-	table := s.Address("table-address", "", "table service of the platform", true)
-	objects := s.Address("object-address", "", "object store of the platform", true)
-	poll := s.Duration("config-poll", 4*time.Second, 100*time.Millisecond, time.Minute, "mean time between looks at the configuration head")
-	stale := s.Duration("config-stale", 30*time.Second, time.Second, time.Hour, "longest time ready without a confirmed configuration")
+	tableAddress := s.Address("table-address", "", "table service of the platform", true)
+	objectAddress := s.Address("object-address", "", "object store of the platform", true)
+	pollInterval := s.Duration("config-poll", 4*time.Second, 100*time.Millisecond, time.Minute, "mean time between looks at the configuration head")
+	staleAfter := s.Duration("config-stale", 30*time.Second, time.Second, time.Hour, "longest time ready without a confirmed configuration")
 	return func() CommonOptions {
 		return CommonOptions{
-			Name: *name, FailureDomain: *domain, InnerAddress: *inner, AdminAddress: *admin,
-			TableAddress: *table, ObjectAddress: *objects, ConfigPollInterval: *poll, ConfigStaleAfter: *stale,
-			DrainTimeout: *drain, LogLevel: *level, LogFormat: *format,
+			Name: *name, FailureDomain: *failureDomain, InnerAddress: *innerAddress, AdminAddress: *adminAddress,
+			TableAddress: *tableAddress, ObjectAddress: *objectAddress, ConfigPollInterval: *pollInterval, ConfigStaleAfter: *staleAfter,
+			DrainTimeout: *drainTimeout, LogLevel: *logLevel, LogFormat: *logFormat,
 		}
 	}
 }
--- a/internal/logging/formatter.go
+++ b/internal/logging/formatter.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// jsonFormatter writes the same bytes as logrus.JSONFormatter, but does not copy the fields and
-// avoids reflection. Log lines are formatted in the goroutine of a request, which waits for it.
+// jsonFormatter writes the same bytes as logrus.JSONFormatter, but does not copy the fields, and
+// uses no reflection for values of common types. Log lines are formatted in the goroutine of a request, which waits for it.
 type jsonFormatter struct{ timestampFormat string }
 
 // Format implements logrus.Formatter.
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -61,7 +61,7 @@
 	return h.listener, nil
 }
 
-// From returns a view of the network that dials from the address from.
+// From returns the network as seen by the process at the address from.
 func (n *Network) From(from string) *View {
 	return &View{Network: n, from: from}
 }
