--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -17,8 +17,7 @@
 // Runs the whole system in one process, in real time on loopback. Callers send generations and
 // calls to both entries while an operator changes the configuration and drains a server. Every
 // generation and every idempotent call must get a complete response. Under the race detector,
-// this is the test of entry, agent and links, because their other tests use virtual time, where
-// the detector cannot run.
+// this test covers entry, agent and links, because the detector doesn't work with virtual time.
 func TestWholeSystemUnderLoad(t *testing.T) {
 	sys, err := Start(Options{Servers: 3, Entries: 2, TokenInterval: 2 * time.Millisecond})
 	require.NoError(t, err)
