--- a/backends/availability.go
+++ b/backends/availability.go
@@ -65,10 +65,10 @@
 type Availability struct {
 	// HasUnlimited reports that there is a server that accepts any number of requests.
 	HasUnlimited bool
-	// HasRateLimited reports that there are servers with a bounded rate. PerSecond is the rate in
+	// HasBoundedRate reports that there are servers with a bounded rate. PerSecond is the rate in
 	// requests per second that all of these accept from this process. RateWait is the minimum
 	// time until one of them accepts a request.
-	HasRateLimited bool
+	HasBoundedRate bool
 	PerSecond      float64
 	RateWait       time.Duration
 	// HasBackingOff reports that there are servers without a bounded rate that are backing off.
@@ -80,7 +80,7 @@
 // MustWait reports whether no server accepts an unlimited number of requests now, but some accept
 // requests at a bounded rate or after a backoff.
 func (a Availability) MustWait() bool {
-	return !a.HasUnlimited && (a.HasRateLimited || a.HasBackingOff)
+	return !a.HasUnlimited && (a.HasBoundedRate || a.HasBackingOff)
 }
 
 // Availability returns when the servers of a service accept requests that must stay in some
@@ -115,9 +115,9 @@
 }
 
 func (a *Availability) addRateLimited(perSecond float64, wait time.Duration) {
-	if !a.HasRateLimited || wait < a.RateWait {
+	if !a.HasBoundedRate || wait < a.RateWait {
 		a.RateWait = wait
 	}
-	a.HasRateLimited = true
+	a.HasBoundedRate = true
 	a.PerSecond += perSecond
 }
--- a/internal/relay/enginequeue.go
+++ b/internal/relay/enginequeue.go
@@ -228,7 +228,7 @@
 // wait, nil otherwise.
 func (r *Relay) refuseIfBackingOff(j *job, w *flow.Waiter) *Refusal {
 	servers := r.availability(j)
-	if !servers.MustWait() || servers.HasRateLimited || r.Now()+servers.BackoffWait <= w.DispatchDeadline {
+	if !servers.MustWait() || servers.HasBoundedRate || r.Now()+servers.BackoffWait <= w.DispatchDeadline {
 		return nil
 	}
 	return r.refuseLateTurn(j, servers, servers.BackoffWait)
--- a/internal/relay/pacedqueue.go
+++ b/internal/relay/pacedqueue.go
@@ -79,7 +79,7 @@
 
 // estimateWait estimates how long a request waits for its turn.
 func (pq *pacedQueue) estimateWait(w *flow.Waiter, servers backends.Availability, now time.Duration) time.Duration {
-	if !servers.HasRateLimited {
+	if !servers.HasBoundedRate {
 		return servers.BackoffWait
 	}
 	pq.mu.Lock()
@@ -105,7 +105,7 @@
 // refuseLateTurn refuses a request whose turn would come too late.
 func (r *Relay) refuseLateTurn(j *job, servers backends.Availability, wait time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoCapacity)
-	if servers.HasRateLimited {
+	if servers.HasBoundedRate {
 		wait = min(wait, maxRateLimitRetryAfter)
 	}
 	if !f.MayHaveRun {
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -163,7 +163,7 @@
 			return nil, refusal
 		}
 		interval, waitUntil := fullRetryInterval, j.arrived+j.maxWait()
-		if servers := r.availability(j); servers.HasRateLimited || servers.HasBackingOff {
+		if servers := r.availability(j); servers.HasBoundedRate || servers.HasBackingOff {
 			if j.hasResponse {
 				return nil, r.refuse(j, ReasonNoCapacity)
 			}
