--- a/backends/availability.go
+++ b/backends/availability.go
@@ -35,8 +35,8 @@
 }
 
 // canSend reports whether a server's limit allows a request of this process now. The limit is
-// divided among the processes of the server's cell, so others send nothing. serverCount is the
-// number of servers of the service. mu must be held.
+// divided among the processes of the server's cell, so processes of other cells send nothing.
+// serverCount is the number of servers of the service. mu must be held.
 func (r *Registry) canSend(s *server, l pacing.Limit, serverCount int, shared pacing.SharedTime, now time.Duration) bool {
 	if l.Rate > 0 && !r.inOwnCell(s, serverCount) {
 		return false
@@ -44,9 +44,9 @@
 	return s.pacer.CanSend(r.share(serverCount), l, s.hash, shared, now)
 }
 
-// TryUseRate counts a request against the rate limit of a server for which that was not done
-// when the server was chosen, as it was chosen for a copy. It reports false if the rate limit
-// allows no request now: the server may have sent a rate limit since.
+// TryUseRate counts a request against the rate limit of a server that was chosen for a copy. A
+// server that is chosen for a copy has no rate limit at that time, but may have sent one since.
+// TryUseRate reports false if that rate limit allows no request now.
 func (r *Registry) TryUseRate(res *Reservation, shared pacing.SharedTime, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,9 +65,9 @@
 type Availability struct {
 	// HasUnlimited reports that there is a server that accepts any number of requests.
 	HasUnlimited bool
-	// HasBoundedRate reports that there are servers with a bounded rate. PerSecond is the rate in
-	// requests per second that all of these accept from this process. RateWait is the minimum
-	// time until one of them accepts a request.
+	// HasBoundedRate reports that there are servers with a bounded rate, because they are cold or
+	// send a rate limit. PerSecond is the rate in requests per second that all of these together
+	// accept from this process. RateWait is the minimum time until one of them accepts a request.
 	HasBoundedRate bool
 	PerSecond      float64
 	RateWait       time.Duration
@@ -101,7 +101,7 @@
 			a.addBackingOff(backoff)
 		case r.inOwnCell(s, len(list)):
 			share := r.share(len(list))
-			a.addRateLimited(share.SendRate(l), max(backoff, s.pacer.WaitTime(share, l, s.hash, shared, now)))
+			a.addBoundedRate(share.SendRate(l), max(backoff, s.pacer.WaitTime(share, l, s.hash, shared, now)))
 		}
 	}
 	return a
@@ -114,7 +114,7 @@
 	a.HasBackingOff = true
 }
 
-func (a *Availability) addRateLimited(perSecond float64, wait time.Duration) {
+func (a *Availability) addBoundedRate(perSecond float64, wait time.Duration) {
 	if !a.HasBoundedRate || wait < a.RateWait {
 		a.RateWait = wait
 	}
--- a/backends/cells_test.go
+++ b/backends/cells_test.go
@@ -28,13 +28,15 @@
 	longOf5      = 3
 	arrivals     = 200 // per second, over all gateways
 	simTime      = 20 * time.Second
-	// lateAfter is how long a prompt may wait before it is read to meet a target of 1.5 s.
+	// lateAfter is the maximum wait before a prompt is read that still meets a target of 1.5 s
+	// for the first token.
 	lateAfter = 1100 * time.Millisecond
 	// reportDelay is how long a gateway's report takes to reach its peers.
 	reportDelay = 20 * time.Millisecond
 	// Every replaceInterval, this many engines are reclaimed and replaced by empty ones.
 	replaceInterval, replaceCount = 3300 * time.Millisecond, 24
-	// promptWait is the maximum known time until the server has read the prompts before a new one.
+	// promptWait bounds the wait at an engine for the prompts before a new one. An engine where
+	// the known prompts take longer is not chosen.
 	promptWait = 500 * time.Millisecond
 )
 
--- a/backends/cold_test.go
+++ b/backends/cold_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// sendAll makes every gateway try to send a request every 10 ms. It returns the number of
-// requests that got a server.
+// sendAll makes every gateway try to send a request every 10 ms. A request that gets no server
+// is tried again in the next step. It returns the number of requests that got a server.
 func (c *gatewayGroup) sendAll(from, to time.Duration) (served int) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for now := from; now < to; now += 10 * time.Millisecond {
--- a/backends/load.go
+++ b/backends/load.go
@@ -86,7 +86,7 @@
 	// count after the last one. It is the same as for a server that can't be reached.
 	lossAvoidTime = unreachableAvoidTime
 	// lossThreshold is the number of consecutive losses, over all processes, from which a server
-	// is avoided. If one in forty answers is lost by chance, fewer than one loss counts at a time.
+	// is avoided. If one in forty answers is lost by chance, the sum is below one on average.
 	lossThreshold = 3
 	// ownLossThreshold is the same for the losses of this process alone. A process that is cut
 	// off from its peers must detect a bad server by itself.
@@ -101,7 +101,8 @@
 	maxPeerLosses = 2
 )
 
-// ServerStatus is what a process reports to its peers about a server that has a problem.
+// ServerStatus is what a process reports to its peers about a server that loses requests, is down,
+// leaving or backing off, or whose rate limit is known.
 type ServerStatus struct {
 	// ConsecutiveLosses is the number of recent consecutive requests that got no answer, or none
 	// for far too long.
@@ -117,7 +118,8 @@
 	StartTime int64
 }
 
-// Statuses returns the status of each server that has a problem, by server id.
+// Statuses returns the status of each server about which there is something to report, see
+// ServerStatus, by server id.
 func (r *Registry) Statuses(now time.Duration) map[string]ServerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,8 +136,8 @@
 // StatusChange is a change of a server's status that another process has reported.
 type StatusChange struct {
 	Server
-	// RateLimitChanged reports that the server's rate limit has started or was removed. Otherwise
-	// the server has begun to leave.
+	// RateLimitChanged reports that the server began or stopped sending a rate limit. Otherwise the
+	// server has begun to leave.
 	RateLimitChanged bool
 }
 
@@ -233,8 +235,8 @@
 	return true
 }
 
-// CountRequestsAtLeaving counts, by process, the requests at the servers of a failure domain that are
-// leaving. Requests of this process are counted under the name self.
+// CountRequestsAtLeaving counts, by process, the requests at the leaving servers of a failure
+// domain. Requests of this process are counted under the name self.
 func (r *Registry) CountRequestsAtLeaving(self, domain string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/backends/registry.go
+++ b/backends/registry.go
@@ -72,7 +72,7 @@
 	remoteSums map[incarnation]Load
 	// remoteStatuses are what other processes have reported of servers, by process and server.
 	remoteStatuses map[string]map[string]ServerStatus
-	// lists caches the servers of each service. scratch is reused for their descriptions.
+	// lists caches the usable servers of each service. scratch is the reused buffer of views.
 	lists     map[string][]*server
 	scratch   []placement.Server
 	onLeaving func(Server, LeaveReason)
@@ -112,7 +112,8 @@
 	}
 }
 
-// leaveEvent is a call of onLeaving that is due once the lock is released.
+// leaveEvent is a call of onLeaving that is due once the lock is released. Functions that have a
+// parameter events append the calls that they cause to it and return it.
 type leaveEvent struct {
 	server Server
 	reason LeaveReason
@@ -155,7 +156,7 @@
 	r.notifyLeaving(events)
 }
 
-// put adds or changes a server. mu must be held.
+// put adds or changes a server, or ignores its entry. mu must be held.
 //
 // A new incarnation of a server replaces the earlier one with everything known of it. Failures,
 // a leaving state and loads of the earlier incarnation would keep requests away from a healthy
@@ -389,8 +390,8 @@
 	return max(2, (drawsPerProcess*servers+len(r.remoteLoads))/(len(r.remoteLoads)+1))
 }
 
-// views describes the servers of a service for a placement policy. The result is valid until
-// mu is released.
+// views describes the servers of a service for a placement policy. mu must be held. The result is
+// valid until mu is released.
 func (r *Registry) views(q Query, now time.Duration) ([]placement.Server, []*server) {
 	list := r.listed(q.Service)
 	traits := r.traits(q.Service)
@@ -411,7 +412,7 @@
 }
 
 // listed returns the usable servers of a service, sorted by id so that equal draws give equal
-// choices.
+// choices. mu must be held.
 func (r *Registry) listed(service string) []*server {
 	list, ok := r.lists[service]
 	if ok {
--- a/backends/registry_test.go
+++ b/backends/registry_test.go
@@ -237,8 +237,9 @@
 	require.Equal(t, "a", r.pick(t, lossAvoidTime+2*failureHalfLife))
 }
 
-// A server hangs. Its requests end with their callers' timeouts, which is inconclusive, but that
-// it was unresponsive for far too long counts as a loss. The next good answer resets the count.
+// A server hangs. Its requests end with their callers' timeouts, and this result says nothing about
+// the server. Its not answering for far too long counts as a loss. The next good answer resets the
+// count.
 func TestUnresponsiveServerCountsAsLosing(t *testing.T) {
 	r, _ := newRegistry()
 	r.Put(entry("a"), 0)
--- a/backends/restart_test.go
+++ b/backends/restart_test.go
@@ -108,7 +108,7 @@
 		r := New("zone-1", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 30000} }, func(Server, LeaveReason) {})
 		newest, leaves := int64(0), false
 		for range rapid.IntRange(1, 12).Draw(t, "entries") {
-			s := startedAt("a", rapid.Int64Range(1, 5).Draw(t, "born"))
+			s := startedAt("a", rapid.Int64Range(1, 5).Draw(t, "start time"))
 			s.Leaving = rapid.Bool().Draw(t, "leaving")
 			if s.StartTime > newest {
 				newest, leaves = s.StartTime, false
--- a/backends/server.go
+++ b/backends/server.go
@@ -40,14 +40,13 @@
 	Server
 	// hash determines the server's cell.
 	hash uint64
-	// gone is set when the entry has vanished or another incarnation of the server answers at
-	// its address.
+	// gone is set when the entry has vanished or another server answers at the server's address.
 	gone bool
 	// selfReported is set when the server itself has reported that it is leaving, in a report or
-	// a response. This is forwarded to peers, as the directory may not tell them.
+	// a response. This is forwarded to peers, whose copies of the entry may not contain it.
 	selfReported bool
-	// replaced is set when another server has answered at its address. Its entry then doesn't
-	// bring it back.
+	// replaced is set when another server has answered at the server's address. An entry of the
+	// same incarnation then doesn't bring the server back.
 	replaced bool
 	// excluded is set while the server must not be used because its entry can't be read or comes
 	// from an old copy of the directory.
@@ -61,7 +60,7 @@
 	// accepted only a bounded rate.
 	coldUntil time.Duration
 	pacer     pacing.Pacer
-	// avoidUntil is until when the server is ranked last because it was full or unreachable.
+	// avoidUntil is when the server is no longer ranked last for being full or unreachable.
 	avoidUntil time.Duration
 	ownLoad    Load
 	// failures is the failure rate as of failuresAt, an exponentially weighted average.
@@ -78,9 +77,9 @@
 	// sent an invalid header.
 	rateLimit   rateLimit
 	invalidSeen bool
-	// backoffUntil is until when the server has asked this process to send nothing.
+	// backoffUntil is the end of the backoff that the server has asked this process for.
 	backoffUntil time.Duration
-	// downUntil is until when the server is taken to refuse connections.
+	// downUntil is when a server that refused connections is tried again.
 	downUntil time.Duration
 }
 
@@ -117,7 +116,8 @@
 	s.downUntil = s.lossAvoidUntil
 }
 
-// markLeaving records that the server itself has reported that it is leaving.
+// markLeaving records that the server itself has reported that it is leaving. It appends a due call
+// of onLeaving to events if the server was not known to be leaving.
 func (s *server) markLeaving(events []leaveEvent, reason LeaveReason) []leaveEvent {
 	if s.gone {
 		return events
@@ -138,8 +138,8 @@
 	return s.failures * math.Exp2(-float64(now-s.failuresAt)/float64(failureHalfLife))
 }
 
-// recordAnswer adds an answer to the failure rate. failed is 1 for a failure and 0 otherwise,
-// gain is the weight of the answer.
+// recordAnswer adds an answer, or the lack of one, to the failure rate. failed is 1 for a failure
+// and 0 otherwise, gain is the weight of the answer.
 func (s *server) recordAnswer(failed, gain float64, now time.Duration) {
 	s.failures = s.failureRate(now)*(1-gain) + failed*gain
 	s.failuresAt = now
--- a/backends/signals.go
+++ b/backends/signals.go
@@ -23,7 +23,8 @@
 	ColdFor    time.Duration
 	// Leaving reports that the server will end soon.
 	Leaving bool
-	// Backoff is for how long this process must send the server nothing, 0 if it doesn't say.
+	// Backoff is for how long this process must send the server nothing, 0 if the server asks
+	// for no backoff.
 	Backoff time.Duration
 	// InvalidHeaders are the names of the headers whose values are invalid.
 	InvalidHeaders []string
@@ -148,7 +149,7 @@
 }
 
 // ApplySignals records what a server says about itself in a response. sent is when the request
-// of that response was sent, 0 if signals that are missing from the response mean nothing.
+// of that response was sent, 0 if a missing rate limit in the response means nothing.
 //
 // Responses may arrive out of order. A missing rate limit means that the limit was removed only
 // if the request was sent after the limit was last confirmed.
--- a/backends/signals_test.go
+++ b/backends/signals_test.go
@@ -120,15 +120,15 @@
 }
 
 // maxInWindow returns the maximum number of times that lie within any window.
-func maxInWindow(times []time.Duration, window time.Duration) (most int) {
+func maxInWindow(times []time.Duration, window time.Duration) (maxCount int) {
 	slices.Sort(times)
 	for first, i := 0, 0; i < len(times); i++ {
 		for times[i]-times[first] >= window {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
 // Guards against many gateways together exceeding a server's rate limit, most of which know it
