--- a/flow/queue.go
+++ b/flow/queue.go
@@ -1,6 +1,7 @@
-// Package flow orders the requests that wait for a model engine, and detects requests
-// that cannot be served before their callers leave. It does no I/O and reads no clock. A
-// Queue must not be used by several goroutines at the same time.
+// Package flow orders the requests that wait for a model engine or for a server with a
+// bounded rate, and detects requests that cannot be served before their callers leave. It
+// does no I/O and reads no clock. A Queue must not be used by several goroutines at the
+// same time.
 package flow
 
 import (
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// Waiter is a request that waits for an engine with free capacity.
+// Waiter is a request that waits for a server with free capacity.
 type Waiter struct {
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
@@ -16,7 +17,8 @@
 	// Shares.Level.
 	Level int
 	// PromptTokens is the number of tokens that an engine reads before the first token
-	// of the answer.
+	// of the answer. It is 1 for a request to a server without an engine, so that rates
+	// in tokens per second are rates in requests per second.
 	PromptTokens int
 	// Arrived is the arrival time. OnTimeDeadline is the latest dispatch time at which
 	// the first token still meets its target. DispatchDeadline is the latest dispatch
@@ -36,7 +38,8 @@
 	return &Queue{rate: rate{perSecond: perSecond}}
 }
 
-// SetRate sets the dispatch rate where it is known without measuring it.
+// SetRate sets the dispatch rate, in PromptTokens per second, where it is known without
+// measuring it.
 func (q *Queue) SetRate(perSecond float64) { q.rate.perSecond = perSecond }
 
 // Add appends a waiter.
--- a/flow/shares.go
+++ b/flow/shares.go
@@ -33,7 +33,7 @@
 	decayedAt time.Duration
 }
 
-// NewShares returns empty Shares.
+// NewShares returns a value without usage.
 func NewShares() *Shares { return &Shares{amounts: make(map[string]float64)} }
 
 // Decay returns what an amount of usage counts after some time.
