--- a/placement/filters.go
+++ b/placement/filters.go
@@ -20,7 +20,7 @@
 // NotBackingOff drops servers that have asked this process to send nothing for some time.
 func NotBackingOff(_ *Request, s *Server) bool { return !s.BackingOff }
 
-// NotPaced drops cold servers whose send rate for this process is used up for now.
+// NotPaced drops servers with a bounded rate that must get nothing from this process for now.
 func NotPaced(_ *Request, s *Server) bool { return !s.Paced }
 
 // ServesModel drops servers that have not loaded the model or the adapter.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -42,13 +42,15 @@
 	Slots int
 	// FailureRate is the share of failures among its recent responses.
 	FailureRate float64
-	// Avoid marks a server that refused a request or was unreachable a moment ago.
+	// Avoid marks a server that is ranked last, for example because it refused a request or
+	// was unreachable a moment ago.
 	Avoid bool
 	// Down marks a server that refuses connections. BackingOff marks a server that has
 	// asked this process to send nothing for some time.
 	Down, BackingOff bool
-	// Cold marks a server that is still slow after its start. Paced marks a cold server
-	// whose send rate for this process is used up for now.
+	// Cold marks a server that is still slow after its start. Paced marks a server with a
+	// bounded rate, because it is cold or sends a rate limit, that must get nothing from
+	// this process for now.
 	Cold, Paced bool
 }
 
@@ -110,8 +112,8 @@
 	}
 }
 
-// Direct returns the policy for requests that go to servers without an agent in between,
-// and the load is what this process knows of. The weights rank a failing server behind
+// Direct returns the policy for requests that go to servers without an agent in between.
+// The load of a server is what this process knows of it. The weights rank a failing server behind
 // healthy ones, and a server that refused a moment ago behind both.
 func Direct() Policy {
 	return Policy{
@@ -129,7 +131,7 @@
 
 // CopyTarget returns the policy for the target of a copy of a run's memory. A copy across
 // failure domains takes twice as long, and a leaving server leaves little time, so another
-// domain is chosen only if the own one has no free capacity. Copies to one server go one
+// domain is chosen only if the domain of the run has no free capacity. Copies to one server go one
 // after the other, so a server that is already receiving copies ranks behind a server with
 // less free memory.
 func CopyTarget() Policy {
@@ -188,7 +190,7 @@
 func isOwnTurn(r *Request, s *Server) bool { return r.IsOwnTurn == nil || r.IsOwnTurn(s.Name) }
 
 // Pick returns the index of the server to ask, or -1 if none is eligible. It draws two
-// servers by random and returns the one with the higher score. Always taking the best
+// servers at random and returns the one with the higher score. Always taking the best
 // would make all entries choose the same server at once, because their views are out of
 // date.
 func (p Policy) Pick(r *Request, servers []Server, random uint64) int {
