--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// SharedTime is a point of time on a monotonic clock that all processes share. Known is false
+// SharedTime is the present time on a monotonic clock that all processes share. Known is false
 // if this process doesn't know the shared time.
 type SharedTime struct {
 	Now   time.Duration
--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -33,13 +33,13 @@
 	trySend(shared, now time.Duration) bool
 }
 
-// unbounded sends whenever there is a request.
+// unbounded is a sender without pacing.
 type unbounded struct{}
 
 func (unbounded) trySend(time.Duration, time.Duration) bool { return true }
 
-// bucket is a token bucket with an equal part of the rate for each process and room for one
-// request.
+// bucket is a token bucket for each process. It refills at an equal part of the rate and holds at
+// most one request.
 type bucket struct {
 	perSecond, tokens float64
 	last              time.Duration
@@ -71,7 +71,7 @@
 	return true
 }
 
-// ticketSender uses tickets for any number of gateways.
+// ticketSender uses tickets also for few gateways, where the package uses equal quotas.
 type ticketSender struct{ pacedSender }
 
 func (k *ticketSender) trySend(shared, now time.Duration) bool {
@@ -110,15 +110,15 @@
 }
 
 // maxWithin returns the maximum number of times that lie within any window.
-func maxWithin(times []time.Duration, window time.Duration) (most int) {
+func maxWithin(times []time.Duration, window time.Duration) (maxCount int) {
 	slices.Sort(times)
 	for i, first := 0, 0; i < len(times); i++ {
 		for times[i]-times[first] >= window {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
 // simulate lets gateways send to one server. newSender returns the sender of the i-th gateway.
@@ -178,9 +178,9 @@
 	require.Less(t, ticketed.sentAtOnce, 0.2)
 }
 
-// Checks that the simulation detects an overload: equal parts of the rate without a smaller
-// quota, and no pacing at all, both exceed the limit under the same workload.
-func TestPartsOfTheRateAreTooMuchAtOnce(t *testing.T) {
+// Checks that the simulation detects an overload. Two methods must exceed the limit in it: a token
+// bucket for each of many processes, whose single requests add up, and no pacing at all.
+func TestSimulationDetectsOverload(t *testing.T) {
 	parts := func(_ int, names []string) sender {
 		return &bucket{perSecond: 32 / float64(len(names)), tokens: 1}
 	}
