--- a/cells/cells.go
+++ b/cells/cells.go
@@ -13,8 +13,8 @@
 	"kingcupplank.example/kingcup/subset"
 )
 
-// meanSize is the mean number of processes in a cell. Hashing can make a cell three tenths
-// larger than the mean; 32 links still reach all other processes of such a cell.
+// meanSize is the mean number of processes in a cell. Hashing can make a cell 30 % larger
+// than the mean; 32 links still reach all other processes of such a cell.
 const meanSize = 26
 
 // MinServersPerCell is the smallest mean number of a service's servers per cell with which
--- a/cordon/cordon_test.go
+++ b/cordon/cordon_test.go
@@ -56,8 +56,8 @@
 	require.Empty(t, *domains)
 }
 
-// Guards against a cordon that is about to expire at the peer it is copied from staying in
-// force forever here.
+// Guards against a cordon staying in force forever where it is copied from a peer at which it is
+// about to expire.
 func TestCordonOfAnEarlierEraFromAPeerExpires(t *testing.T) {
 	s, domains := newSet()
 	s.Replace([]Request{{"a", rev(50)}}, rev(120), 0)
--- a/forecast/lengths.go
+++ b/forecast/lengths.go
@@ -147,7 +147,7 @@
 }
 
 // Remaining returns the mean number of tokens that a stream will still emit after some
-// emitted tokens. LengthHistogram beyond the last bucket count only up to its end.
+// emitted tokens. Lengths beyond the last bucket count only up to its end.
 func (l *LengthHistogram) Remaining(emitted float64) float64 {
 	survival := l.Survival(emitted)
 	if survival <= 0 {
--- a/forecast/outputs_test.go
+++ b/forecast/outputs_test.go
@@ -83,7 +83,7 @@
 		for range rapid.IntRange(0, 40).Draw(t, "seen") {
 			o.Observe(rapid.IntRange(0, 100000).Draw(t, "tokens"), CallerHint{EstimatedTokens: rapid.IntRange(0, 100000).Draw(t, "hint")})
 		}
-		hint := CallerHint{EstimatedTokens: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), MaxTokens: rapid.IntRange(0, 1<<20).Draw(t, "most")}
+		hint := CallerHint{EstimatedTokens: rapid.IntRange(0, 1<<20).Draw(t, "estimate"), MaxTokens: rapid.IntRange(0, 1<<20).Draw(t, "max tokens")}
 		emitted := rapid.IntRange(0, 1<<20).Draw(t, "made")
 		got := o.ExpectedTokens(hint, emitted)
 		require.GreaterOrEqual(t, got, min(emitted, max(hint.MaxTokens, emitted)))
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -26,8 +26,8 @@
 
 const (
 	// maxHistory is how many changes are kept for processes that are behind. At 430 changes a
-	// day, a process that is sixteen changes behind has been away for an hour, and gets the whole
-	// version.
+	// day, a process that is sixteen changes behind has received none for an hour, and gets the
+	// whole version.
 	maxHistory = 16
 	// maxHistoryFraction bounds the rows of all kept changes as a fraction of the routes of a
 	// version. Beyond it a whole version is smaller.
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -17,8 +17,8 @@
 }
 
 // Pick returns at most n items for the process called self. Half of them are from its own
-// failure domain and half from others, so that half remain when the own domain is lost.
-// Where either part has too few items, the other part fills up.
+// failure domain and half from others, so that half of them remain when that domain is
+// lost. If one half has too few items, more are taken for the other half.
 func Pick(self, failureDomain string, items []Item, n int) []Item {
 	ranked := rank(self, items)
 	var own, others []Item
