--- a/internal/proof/edges_test.go
+++ b/internal/proof/edges_test.go
@@ -12,9 +12,9 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// Bad requests must each get one typed refusal that says "not run".
+// Each kind of invalid request must be refused with its own reason and the outcome "not run".
 func TestBadRequests(t *testing.T) {
-	virtual(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newSystem(t, setup{entries: 1, servers: 1})
 		defer s.close()
 		for reason, change := range map[kingcupv1.Reason]func(*kingcupv1.GenerateRequest){
@@ -25,37 +25,37 @@
 		} {
 			req := request("bad", 5)
 			change(req)
-			_, err := s.client(once).Generate(context.Background(), req, client.Handler{})
+			_, err := s.client(noRetries).Generate(context.Background(), req, client.Handler{})
 			require.Equal(t, reason, failure.FromError(err).Reason)
 			require.True(t, failure.IsNotRun(err))
 		}
-		at, done := s.generate(s.client(once), request("good", 5))
+		got, done := s.generate(s.client(noRetries), request("good", 5))
 		<-done
-		requireWholeRandom(t, at, 5)
+		requireTokenCount(t, got, 5)
 	})
 }
 
-// One caller opens a long stream and does not read it; another one reads. The
-// slow one must get a typed end once it is further behind than the buffer, the
-// engine must be freed of it, and the other must not notice.
+// One caller opens a long stream and does not read it, another caller reads its own. The slow
+// stream must end with REASON_SLOW_READER once it is behind by more than the buffer, and the
+// engine must stop generating it. The other stream must not be affected.
 func TestSlowReaderIsCutOff(t *testing.T) {
-	virtual(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newSystem(t, setup{entries: 1, servers: 1, resumes: true, buffer: 4 << 10})
 		defer s.close()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		st, err := kingcupv1.NewCallerServiceClient(s.conns[0]).Generate(ctx, request("slow", 90000))
 		require.NoError(t, err)
-		at, done := s.generate(s.client(once), request("quick", 500))
+		got, done := s.generate(s.client(noRetries), request("quick", 500))
 		<-done
-		requireWhole(t, at, 500)
+		requireComplete(t, got, 500)
 		time.Sleep(1700 * time.Second)
 		for err == nil {
 			_, err = st.Recv()
 		}
 		require.Equal(t, kingcupv1.Reason_REASON_SLOW_READER, failure.FromError(err).Reason, "%v", err)
 		time.Sleep(time.Minute)
-		running, err := s.nodes[0].engine.List(t.Context())
+		running, err := s.backendServers[0].engine.List(t.Context())
 		require.NoError(t, err)
 		require.Empty(t, running)
 	})
--- a/internal/proof/gateway_process_test.go
+++ b/internal/proof/gateway_process_test.go
@@ -17,23 +17,23 @@
 	"kingcupplank.example/kingcup/internal/standin/fleet"
 )
 
-// gatewayProcess is a kingcup-gateway on a stand-in of the users' platform.
+// gatewayProcess is a running kingcup-gateway program that uses a stand-in of the users' platform.
 type gatewayProcess struct {
-	cmd      *exec.Cmd
-	callers  string
-	settings string
-	out      *bytes.Buffer
+	cmd           *exec.Cmd
+	callerAddress string
+	settings      string
+	out           *bytes.Buffer
 }
 
 func startGatewayProcess(t *testing.T, f *fleet.Fleet) *gatewayProcess {
 	t.Helper()
 	dir, err := binaries()
 	require.NoError(t, err)
-	door, err := f.Store.AddEndpoint()
+	endpoint, err := f.Store.AddEndpoint()
 	require.NoError(t, err)
-	node := fleet.NewVMSettings("vm-1", door.Address)
-	g := &gatewayProcess{callers: node.Callers, settings: filepath.Join(t.TempDir(), "settings.json"), out: &bytes.Buffer{}}
-	require.NoError(t, node.WriteFile(g.settings))
+	vm := fleet.NewVMSettings("vm-1", endpoint.Address)
+	g := &gatewayProcess{callerAddress: vm.Callers, settings: filepath.Join(t.TempDir(), "settings.json"), out: &bytes.Buffer{}}
+	require.NoError(t, vm.WriteFile(g.settings))
 	g.cmd = exec.Command(filepath.Join(dir, "kingcup-gateway"), "-metrics-port", "0", "-leave", "500ms")
 	g.cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+g.settings, "GORACE=halt_on_error=1")
 	g.cmd.Stdout, g.cmd.Stderr = g.out, os.Stderr
@@ -42,14 +42,14 @@
 	return g
 }
 
-func (g *gatewayProcess) served(ctx context.Context) bool {
-	status, _, err := fleet.Call(ctx, g.callers, fleet.OncePath)
+func (g *gatewayProcess) servesCalls(ctx context.Context) bool {
+	status, _, err := fleet.Call(ctx, g.callerAddress, fleet.OncePath)
 	return err == nil && status == 200
 }
 
-// The settings file changes, and changes to something unreadable, each with a
-// SIGHUP in the middle of a stream; then comes SIGTERM, twice. The stream must
-// arrive whole and the process end with 0. Its log says what happened.
+// During a stream the process gets SIGHUP twice, the second time with an invalid settings file,
+// and then SIGTERM twice. The stream must be complete, the exit code 0, and the log must contain
+// a line for each step.
 func TestProcessGatewaySignals(t *testing.T) {
 	f := fleet.New()
 	defer f.Close()
@@ -59,9 +59,9 @@
 	_, err = f.Add(fleet.ModelService, "zone-1", fleet.Behavior{Events: count, EventInterval: 20 * time.Millisecond})
 	require.NoError(t, err)
 	g := startGatewayProcess(t, f)
-	require.Eventually(t, func() bool { return g.served(t.Context()) }, 10*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return g.servesCalls(t.Context()) }, 10*time.Second, 20*time.Millisecond)
 	got := 0
-	err = fleet.Stream(t.Context(), g.callers, fleet.PlanPath, func(string) {
+	err = fleet.Stream(t.Context(), g.callerAddress, fleet.PlanPath, func(string) {
 		got++
 		switch got {
 		case 5:
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	require.Equal(t, count, got)
 	require.NoError(t, g.cmd.Wait())
-	for _, line := range []string{`"msg":"started"`, `"msg":"settings reloaded"`, "settings are not reloaded", `"msg":"stopping"`, `"msg":"stopped"`} {
+	for _, line := range []string{`"msg":"started"`, `"msg":"settings reloaded"`, "cannot reload the settings, keeping the old ones", `"msg":"stopping"`, `"msg":"stopped"`} {
 		require.Contains(t, g.out.String(), line)
 	}
 	for line := range strings.Lines(g.out.String()) {
@@ -84,15 +84,15 @@
 	}
 }
 
-// Wrong settings: one line that names all faults, and code 2.
+// With invalid settings the gateway must print one line that lists all errors and exit with code 2.
 func TestProcessGatewayBadSettings(t *testing.T) {
 	dir, err := binaries()
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "settings.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"nodeName":"","zone":"z","ip":"x"}`), 0o600))
-	for _, boot := range []string{path, "", path + ".none"} {
+	for _, settingsPath := range []string{path, "", path + ".none"} {
 		cmd := exec.Command(filepath.Join(dir, "kingcup-gateway"))
-		cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+boot)
+		cmd.Env = append(os.Environ(), fleet.SettingsVariable+"="+settingsPath)
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		require.ErrorAs(t, err, &exit)
--- a/internal/proof/process_test.go
+++ b/internal/proof/process_test.go
@@ -27,9 +27,9 @@
 	"kingcupplank.example/kingcup/storage/tableclient"
 )
 
-// raceVariable, when set, builds the programs with the race detector. A program
-// that finds a race ends at once, and so fails its test.
-const raceVariable = "KINGCUP_PROOF_RACE"
+// raceEnvVar is the environment variable that, if set, makes the tests build the programs with the
+// race detector. A program that detects a race exits at once, so that its test fails.
+const raceEnvVar = "KINGCUP_PROOF_RACE"
 
 // binaries builds the programs once for all tests of this package.
 var binaries = sync.OnceValues(func() (string, error) {
@@ -38,7 +38,7 @@
 		return "", err
 	}
 	args := []string{"build", "-o", dir + "/"}
-	if os.Getenv(raceVariable) != "" {
+	if os.Getenv(raceEnvVar) != "" {
 		args = append(args, "-race")
 	}
 	build := exec.Command("go", append(args, "kingcupplank.example/kingcup/cmd/...")...)
@@ -57,23 +57,23 @@
 	os.Exit(code)
 }
 
-// processes runs the system as separate processes on loopback.
+// processes is a system of separate processes that communicate over loopback.
 type processes struct {
-	t     *testing.T
-	dir   string
-	table string
-	objs  string
-	procs map[string]*exec.Cmd
-	args  map[string][]string
-	conns []grpc.ClientConnInterface
+	t             *testing.T
+	dir           string
+	tableAddress  string
+	objectAddress string
+	procs         map[string]*exec.Cmd
+	args          map[string][]string
+	conns         []grpc.ClientConnInterface
 }
 
-func freePort(*testing.T) string { return standin.UniqueAddress() }
+func freeAddress(*testing.T) string { return standin.UniqueAddress() }
 
 func newProcesses(t *testing.T) *processes {
 	dir, err := binaries()
 	require.NoError(t, err)
-	p := &processes{t: t, dir: dir, table: freePort(t), objs: freePort(t), procs: map[string]*exec.Cmd{}, args: map[string][]string{}}
+	p := &processes{t: t, dir: dir, tableAddress: freeAddress(t), objectAddress: freeAddress(t), procs: map[string]*exec.Cmd{}, args: map[string][]string{}}
 	t.Cleanup(func() {
 		for name := range p.procs {
 			p.signal(name, syscall.SIGCONT)
@@ -91,7 +91,7 @@
 func (p *processes) restart(name string) {
 	args := p.args[name]
 	cmd := exec.Command(filepath.Join(p.dir, args[0]), args[1:]...)
-	cmd.Env = append(os.Environ(), "KINGCUP_TABLE_ADDRESS="+p.table, "KINGCUP_OBJECT_ADDRESS="+p.objs, "KINGCUP_CONFIG_POLL=500ms", "KINGCUP_LOG_LEVEL=error", "GORACE=halt_on_error=1")
+	cmd.Env = append(os.Environ(), "KINGCUP_TABLE_ADDRESS="+p.tableAddress, "KINGCUP_OBJECT_ADDRESS="+p.objectAddress, "KINGCUP_CONFIG_POLL=500ms", "KINGCUP_LOG_LEVEL=error", "GORACE=halt_on_error=1")
 	cmd.Stderr = os.Stderr
 	require.NoError(p.t, cmd.Start())
 	p.procs[name] = cmd
@@ -111,19 +111,19 @@
 	}
 }
 
-// startAll runs two servers of one model and two entries, configures the team
-// and waits until the entries serve it.
+// startAll starts two servers of one model and two entries, configures the team and waits until both
+// entries are connected to both servers.
 func (p *processes) startAll() *client.Client {
 	var vms []string
 	type role struct{ name, inner, extra string }
 	var servers, entries []role
 	for i := range 2 {
-		servers = append(servers, role{fmt.Sprintf("server-%d", i), freePort(p.t), freePort(p.t)})
-		entries = append(entries, role{fmt.Sprintf("entry-%d", i), freePort(p.t), freePort(p.t)})
+		servers = append(servers, role{fmt.Sprintf("server-%d", i), freeAddress(p.t), freeAddress(p.t)})
+		entries = append(entries, role{fmt.Sprintf("entry-%d", i), freeAddress(p.t), freeAddress(p.t)})
 		vms = append(vms, fmt.Sprintf("%s=agent:%s:d%d:%s", servers[i].name, servers[i].inner, i, model))
 		vms = append(vms, fmt.Sprintf("%s=entry:%s:d%d", entries[i].name, entries[i].inner, i))
 	}
-	p.start("table", "kingcup-standin", "-kind", "table", "-address", p.table, "-object-address", p.objs, "-vms", strings.Join(vms, ","))
+	p.start("table", "kingcup-standin", "-kind", "table", "-address", p.tableAddress, "-object-address", p.objectAddress, "-vms", strings.Join(vms, ","))
 	for i, s := range servers {
 		p.start(fmt.Sprintf("engine-%d", i), "kingcup-standin", "-kind", "engine", "-address", s.extra, "-models", model, "-step", "10ms", "-checks-term=false")
 		p.start(s.name, "kingcup-agent", "-name", s.name, "-failure-domain", fmt.Sprintf("d%d", i), "-inner-address", s.inner, "-engine-address", s.extra)
@@ -142,12 +142,12 @@
 	return client.New(client.Options{MaxRetries: 100, MaxResumes: 200, ResumeInterval: 50 * time.Millisecond}, conns...)
 }
 
-// until repeats f until it succeeds; the bound only ends a broken run.
-func until(t *testing.T, what string, f func() bool) {
+// waitUntil polls f until it returns true, and fails the test after a minute.
+func waitUntil(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(time.Minute)
 	for !f() {
-		require.True(t, time.Now().Before(deadline), "never: %s", what)
+		require.True(t, time.Now().Before(deadline), "timed out: %s", what)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -157,12 +157,12 @@
 		{Row: &kingcupv1.Row_Model{Model: &kingcupv1.Model{Name: model, Kind: kingcupv1.ModelKind_MODEL_KIND_GENERATION}}},
 		{Row: &kingcupv1.Row_Team{Team: &kingcupv1.Team{Name: team, Weight: 1, Models: []string{model}}}},
 	}
-	until(p.t, "configuration accepted", func() bool {
+	waitUntil(p.t, "configuration accepted", func() bool {
 		_, err := kingcupv1.NewOperatorServiceClient(conns[0]).Apply(p.t.Context(), &kingcupv1.ApplyRequest{ChangeId: "setup", Puts: rows})
 		return err == nil
 	})
 	for _, c := range conns {
-		until(p.t, "both servers connected", func() bool {
+		waitUntil(p.t, "both servers connected", func() bool {
 			resp, err := kingcupv1.NewOperatorServiceClient(c).BackendServers(p.t.Context(), &kingcupv1.BackendServersRequest{})
 			return err == nil && resp.GetConfigVersion() > 0 && len(resp.GetServers()) == 2 &&
 				resp.GetServers()[0].GetConnected() && resp.GetServers()[1].GetConnected()
@@ -170,62 +170,60 @@
 	}
 }
 
-// stream runs one generation in the background.
-func stream(t *testing.T, c *client.Client, id string, tokens int) (*seen, <-chan struct{}) {
+// stream starts a generation in the background.
+func stream(t *testing.T, c *client.Client, id string, tokens int) (*observedStream, <-chan struct{}) {
 	s := &system{t: t}
 	return s.generate(c, request(id, tokens))
 }
 
-func requireWholeSoon(t *testing.T, at *seen, done <-chan struct{}, tokens int) {
+func requireCompleteSoon(t *testing.T, got *observedStream, done <-chan struct{}, tokens int) {
 	t.Helper()
 	select {
 	case <-done:
 	case <-time.After(time.Minute):
-		t.Fatalf("stuck after %d tokens", at.count())
+		t.Fatalf("timed out after %d tokens", got.count())
 	}
-	requireWhole(t, at, tokens)
+	requireComplete(t, got, tokens)
 }
 
-// Real processes: in mid-stream the serving agent is killed with SIGKILL and
-// replaced, then its engine is, then an entry. The caller must see all tokens
-// once, in order, from one generation.
+// During a stream through separate processes, its agent, then its engine and then an entry is killed
+// with SIGKILL and restarted. The caller must get each token once, in order and from one generation.
 func TestProcessesKilled(t *testing.T) {
 	p := newProcesses(t)
 	c := p.startAll()
-	at, done := stream(t, c, "killed", 400)
-	until(t, "first tokens", func() bool { return at.count() > 50 })
-	server := at.server()
+	got, done := stream(t, c, "killed", 400)
+	waitUntil(t, "first tokens", func() bool { return got.count() > 50 })
+	server := got.server()
 	p.kill(server)
 	p.restart(server)
-	until(t, "tokens after the agent", func() bool { return at.count() > 150 })
-	engineName := strings.Replace(at.server(), "server", "engine", 1)
+	waitUntil(t, "tokens after the agent", func() bool { return got.count() > 150 })
+	engineName := strings.Replace(got.server(), "server", "engine", 1)
 	p.kill(engineName)
 	p.restart(engineName)
-	until(t, "tokens after the engine", func() bool { return at.count() > 250 })
+	waitUntil(t, "tokens after the engine", func() bool { return got.count() > 250 })
 	p.kill("entry-0")
 	p.restart("entry-0")
-	requireWholeSoon(t, at, done, 400)
+	requireCompleteSoon(t, got, done, 400)
 }
 
-// Real processes: the agent is frozen with SIGSTOP in mid-stream for longer than
-// the entry waits, so the stream moves; then it thaws and sends its late tokens.
-// The caller must see each token once.
+// During a stream through separate processes, its agent is stopped with SIGSTOP for longer than the
+// entry's timeout, so that the stream continues at another server. Then the agent continues and
+// sends its late tokens. The caller must get each token once.
 func TestProcessFrozenAndThawed(t *testing.T) {
 	p := newProcesses(t)
 	c := p.startAll()
-	at, done := stream(t, c, "frozen", 600)
-	until(t, "first tokens", func() bool { return at.count() > 50 })
-	frozen := at.server()
+	got, done := stream(t, c, "frozen", 600)
+	waitUntil(t, "first tokens", func() bool { return got.count() > 50 })
+	frozen := got.server()
 	p.signal(frozen, syscall.SIGSTOP)
-	until(t, "move to the other server", func() bool { return at.server() != frozen })
+	waitUntil(t, "migration to the other server", func() bool { return got.server() != frozen })
 	p.signal(frozen, syscall.SIGCONT)
-	requireWholeSoon(t, at, done, 600)
+	requireCompleteSoon(t, got, done, 600)
 }
 
-// Real processes: an entry takes the lease for orders and is frozen with SIGSTOP
-// before it hears so. Its lease lapses, another entry orders under a higher term,
-// the first thaws. Its order must be refused and must not reach the engine, which
-// ignores terms.
+// With separate processes, an entry acquires the lease for orders and is stopped with SIGSTOP before
+// it gets the response. Its lease expires, another entry sends an order with a higher term, and the
+// first continues. Its order must be refused and must not reach the engine, which ignores terms.
 func TestProcessFrozenLeaseHolder(t *testing.T) {
 	p := newProcesses(t)
 	p.startAll()
@@ -235,38 +233,38 @@
 		})
 		return err
 	}
-	p.faults("delay_ms=5000")
+	p.setFaults("delay_ms=5000")
 	frozen := make(chan error, 1)
 	go func() { frozen <- order(0, "old") }()
-	until(t, "lease taken", func() bool {
+	waitUntil(t, "lease acquired", func() bool {
 		term, err := lease.ReadTerm(t.Context(), p.tableClient(), entry.OrderLeaseName("server-0"))
 		return err == nil && term == 1
 	})
 	p.signal("entry-0", syscall.SIGSTOP)
-	p.faults("")
-	until(t, "order under the next lease", func() bool { return order(1, "new") == nil })
+	p.setFaults("")
+	waitUntil(t, "order under the next lease", func() bool { return order(1, "new") == nil })
 	p.signal("entry-0", syscall.SIGCONT)
 	err := <-frozen
 	require.True(t, failure.IsNotRun(err), "%v", err)
-	until(t, "new model loaded", func() bool { return slices.Contains(p.models("server-0"), "new") })
+	waitUntil(t, "new model loaded", func() bool { return slices.Contains(p.models("server-0"), "new") })
 	require.NotContains(t, p.models("server-0"), "old")
 }
 
-// faults sets the fault switches of the table's stand-in.
-func (p *processes) faults(query string) {
-	status, _, err := fasthttp.Post(nil, "http://"+p.objs+"/faults?"+query, nil)
+// setFaults sets the faults that the stand-in of the table injects.
+func (p *processes) setFaults(query string) {
+	status, _, err := fasthttp.Post(nil, "http://"+p.objectAddress+"/faults?"+query, nil)
 	require.NoError(p.t, err)
 	require.Equal(p.t, fasthttp.StatusOK, status)
 }
 
 func (p *processes) tableClient() *tableclient.Client {
-	conn, err := app.DialGRPC(p.table)
+	conn, err := app.DialGRPC(p.tableAddress)
 	require.NoError(p.t, err)
 	p.t.Cleanup(func() { conn.Close() })
 	return tableclient.New(conn)
 }
 
-// models are the models that a server has loaded, as entry 1 knows.
+// models returns the models that a server has loaded according to entry 1.
 func (p *processes) models(server string) []string {
 	resp, err := kingcupv1.NewOperatorServiceClient(p.conns[1]).BackendServers(p.t.Context(), &kingcupv1.BackendServersRequest{})
 	require.NoError(p.t, err)
@@ -278,20 +276,20 @@
 	return nil
 }
 
-// Real processes: entries and agents get SIGTERM twice under load. Each process
-// must end by itself with code 0 and every stream must be whole.
+// With separate processes under load, an entry and an agent get SIGTERM twice. Both must exit with
+// code 0 and every stream must be complete.
 func TestProcessesTerminatedUnderLoad(t *testing.T) {
 	p := newProcesses(t)
 	c := p.startAll()
-	var all []*seen
-	var waits []<-chan struct{}
+	var streams []*observedStream
+	var dones []<-chan struct{}
 	for i := range 8 {
-		at, done := stream(t, c, fmt.Sprintf("t%d", i), 150)
-		all, waits = append(all, at), append(waits, done)
+		got, done := stream(t, c, fmt.Sprintf("t%d", i), 150)
+		streams, dones = append(streams, got), append(dones, done)
 	}
-	until(t, "all streaming", func() bool {
-		for _, at := range all {
-			if at.count() == 0 {
+	waitUntil(t, "all streaming", func() bool {
+		for _, got := range streams {
+			if got.count() == 0 {
 				return false
 			}
 		}
@@ -301,9 +299,9 @@
 		p.signal(name, syscall.SIGTERM)
 		p.signal(name, syscall.SIGTERM)
 	}
-	for i, done := range waits {
-		requireWholeSoon(t, all[i], done, 150)
-		require.Zero(t, all[i].res.Resumes, "a stream was cut off")
+	for i, done := range dones {
+		requireCompleteSoon(t, streams[i], done, 150)
+		require.Zero(t, streams[i].res.Resumes, "a stream was resumed")
 	}
 	for _, name := range []string{"entry-0", "server-0"} {
 		require.NoError(t, p.procs[name].Wait(), name)
@@ -311,8 +309,8 @@
 	}
 }
 
-// A bad setting must end the program with code 2 and one line that names the
-// flag and the value, before anything starts; help and version end with 0.
+// With an invalid setting a program must exit with code 2 before it starts anything, and its output
+// must name the flag and the value. With -help and -version it must exit with code 0.
 func TestBadSettings(t *testing.T) {
 	dir, err := binaries()
 	require.NoError(t, err)
--- a/internal/proof/regions_test.go
+++ b/internal/proof/regions_test.go
@@ -13,48 +13,48 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// The far region loses the other one and the store for two minutes, with streams
-// under way on both sides. Streams must end whole, the far side must go on with
-// idempotent work and refuse claims as not run, a change made on the near side
-// must come into force on the far side within seven seconds of the healing, and
-// no version may fall.
-func TestRegionsPartForMinutes(t *testing.T) {
-	virtual(t, func(t *testing.T) {
+// The second region is partitioned from the first and from the store for two minutes, with streams
+// in progress in both regions. All streams must be complete. The second region must serve
+// idempotent requests and refuse calls that need a claim as not run. It must apply a change that
+// was made in the first region within seven seconds after the partition ends, and no version may
+// decrease.
+func TestRegionPartition(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newSystem(t, setup{entries: 3, servers: 6, resumes: true})
 		defer s.close()
 		stop := make(chan struct{})
 		var watch sync.WaitGroup
 		watch.Go(func() { s.watchVersions(stop) })
-		var all []*seen
-		var waits []<-chan struct{}
+		var streams []*observedStream
+		var dones []<-chan struct{}
 		for i := range 12 {
-			at, done := s.generate(s.client(client.DefaultOptions(), i%2), request(fmt.Sprintf("r%d", i), 400))
-			all, waits = append(all, at), append(waits, done)
+			got, done := s.generate(s.client(client.DefaultOptions(), i%2), request(fmt.Sprintf("r%d", i), 400))
+			streams, dones = append(streams, got), append(dones, done)
 		}
 		time.Sleep(2 * time.Second)
-		s.part(true)
+		s.partitionRegions(true)
 		time.Sleep(time.Second)
 		resp, err := s.operator(0).Apply(t.Context(), &kingcupv1.ApplyRequest{ChangeId: "parted", Puts: []*kingcupv1.Row{teamRow(team, 7)}})
 		require.NoError(t, err)
 		require.True(t, resp.GetSpread())
-		_, err = s.book(1, "far-slot")
+		_, err = s.callNonIdempotent(1, "far-slot")
 		require.True(t, failure.IsNotRun(err), "%v", err)
 		require.Zero(t, s.service.RunCount(team, "far-slot"))
-		for i, done := range waits {
+		for i, done := range dones {
 			<-done
-			requireWhole(t, all[i], 400)
+			requireComplete(t, streams[i], 400)
 		}
 		time.Sleep(2 * time.Minute)
-		at, done := s.generate(s.client(once, 1), request("far", 10))
+		got, done := s.generate(s.client(noRetries, 1), request("far", 10))
 		<-done
-		requireWhole(t, at, 10)
+		requireComplete(t, got, 10)
 		require.Less(t, s.entries[1].Sync.Replica().Version(), resp.GetVersion())
-		s.part(false)
+		s.partitionRegions(false)
 		time.Sleep(7 * time.Second)
 		for i, e := range s.entries {
-			require.Equal(t, resp.GetVersion(), e.Sync.Replica().Version(), s.eopts[i].Name)
+			require.Equal(t, resp.GetVersion(), e.Sync.Replica().Version(), s.entryOptions[i].Name)
 		}
-		for _, n := range s.nodes {
+		for _, n := range s.backendServers {
 			require.Equal(t, resp.GetVersion(), n.agent.Sync.Replica().Version(), n.opts.Name)
 		}
 		close(stop)
@@ -62,34 +62,34 @@
 	})
 }
 
-// All VMs of one failure domain die at once under load: an entry, its agents and
-// their engines. Every stream must end whole, at servers of the other domains,
-// and the callers of the lost entry must find another one by themselves.
+// All VMs of one failure domain crash at once under load: an entry, the agents and their engines.
+// Every stream must be completed by servers of the other domains, and the callers of the crashed
+// entry must fail over to another entry.
 func TestFailureDomainLost(t *testing.T) {
-	virtual(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		s := newSystem(t, setup{entries: 3, servers: 6, resumes: true})
 		defer s.close()
-		var all []*seen
-		var waits []<-chan struct{}
+		var streams []*observedStream
+		var dones []<-chan struct{}
 		for i := range 18 {
-			at, done := s.generate(s.client(client.DefaultOptions()), request(fmt.Sprintf("r%d", i), 300))
-			all, waits = append(all, at), append(waits, done)
+			got, done := s.generate(s.client(client.DefaultOptions()), request(fmt.Sprintf("r%d", i), 300))
+			streams, dones = append(streams, got), append(dones, done)
 		}
 		time.Sleep(2 * time.Second)
 		began := time.Now()
 		s.killEntry(1)
 		for _, i := range []int{1, 4} {
-			require.Equal(t, domains[1], s.nodes[i].opts.FailureDomain)
+			require.Equal(t, domains[1], s.backendServers[i].opts.FailureDomain)
 			s.killAgent(i)
 			s.killEngine(i)
 		}
 		slowest := time.Duration(0)
-		for i, done := range waits {
+		for i, done := range dones {
 			<-done
-			requireWhole(t, all[i], 300)
+			requireComplete(t, streams[i], 300)
 			slowest = max(slowest, time.Since(began))
 		}
-		t.Logf("all 18 streams whole %v after the loss; undisturbed they take 4s more", slowest)
+		t.Logf("all 18 streams complete %v after the crash; without faults it takes 4s", slowest)
 		require.Less(t, slowest, 20*time.Second)
 	})
 }
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -39,99 +39,105 @@
 
 var domains = []string{"d0", "d1", "d2"}
 
-// virtual runs f in virtual time. yamux keeps timers in a pool of the process,
-// and a timer made in one bubble may not be used in the next; two collections
-// empty the pool and its victim cache.
-func virtual(t *testing.T, f func(t *testing.T)) {
+// inVirtualTime runs f in virtual time, in a synctest bubble. yamux keeps timers in a sync.Pool of
+// the process, and a timer that was created in one bubble must not be used in another. Two garbage
+// collections empty the pool and its victim cache.
+func inVirtualTime(t *testing.T, f func(t *testing.T)) {
 	runtime.GC()
 	runtime.GC()
 	synctest.Test(t, f)
 }
 
-// swap is an engine that can be killed and replaced behind its agent.
-type swap struct {
-	mu  sync.Mutex
-	cur *engines.Engine
-	// killed are the logs of engines that are gone.
-	killed []engines.Run
+// replaceableEngine is an engine that can be killed and replaced while its agent runs.
+type replaceableEngine struct {
+	mu    sync.Mutex
+	inner *engines.Engine
+	// pastRuns are the runs at engines that have been replaced.
+	pastRuns []engines.Run
 }
 
-func (s *swap) get() *engines.Engine {
+func (s *replaceableEngine) current() *engines.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cur
+	return s.inner
 }
 
-func (s *swap) replace(cfg engines.Config) {
-	old := s.get()
+func (s *replaceableEngine) replace(cfg engines.Config) {
+	old := s.current()
 	log := old.Log()
 	old.Kill()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.killed = append(s.killed, log...)
-	s.cur = engines.New(cfg)
+	s.pastRuns = append(s.pastRuns, log...)
+	s.inner = engines.New(cfg)
 }
 
-func (s *swap) log() []engines.Run {
+func (s *replaceableEngine) log() []engines.Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append(append([]engines.Run(nil), s.killed...), s.cur.Log()...)
+	return append(append([]engines.Run(nil), s.pastRuns...), s.inner.Log()...)
 }
 
-func (s *swap) Generate(ctx context.Context, r engine.Request) (engine.Stream, error) {
-	return s.get().Generate(ctx, r)
+func (s *replaceableEngine) Generate(ctx context.Context, r engine.Request) (engine.Stream, error) {
+	return s.current().Generate(ctx, r)
+}
+func (s *replaceableEngine) Attach(ctx context.Context, id string, next uint64) (engine.Stream, error) {
+	return s.current().Attach(ctx, id, next)
+}
+func (s *replaceableEngine) Cancel(ctx context.Context, id string, a uint32) error {
+	return s.current().Cancel(ctx, id, a)
+}
+func (s *replaceableEngine) List(ctx context.Context) ([]engine.RunningStream, error) {
+	return s.current().List(ctx)
 }
-func (s *swap) Attach(ctx context.Context, id string, next uint64) (engine.Stream, error) {
-	return s.get().Attach(ctx, id, next)
+func (s *replaceableEngine) Load(ctx context.Context) (engine.Status, error) {
+	return s.current().Load(ctx)
 }
-func (s *swap) Cancel(ctx context.Context, id string, a uint32) error {
-	return s.get().Cancel(ctx, id, a)
+func (s *replaceableEngine) Order(ctx context.Context, o engine.Order) error {
+	return s.current().Order(ctx, o)
 }
-func (s *swap) List(ctx context.Context) ([]engine.RunningStream, error) { return s.get().List(ctx) }
-func (s *swap) Load(ctx context.Context) (engine.Status, error)          { return s.get().Load(ctx) }
-func (s *swap) Order(ctx context.Context, o engine.Order) error          { return s.get().Order(ctx, o) }
 
-// node is one agent with what stands behind it.
-type node struct {
+// server is an agent with its engine or service.
+type server struct {
 	opts    app.AgentOptions
 	backend app.Backend
-	engine  *swap
+	engine  *replaceableEngine
 	cfg     engines.Config
 	agent   *app.Agent
 }
 
-// system is the whole system in one process, in virtual time.
+// system is the whole system in one process and in virtual time.
 type system struct {
-	t       *testing.T
-	net     *memnet.Network
-	table   *tables.Table
-	plat    app.Platform
-	service *services.Service
-	nodes   []*node
-	eopts   []app.EntryOptions
-	entries []*app.Entry
-	conns   []*grpc.ClientConn
-	log     logrus.FieldLogger
-	random  *lockedRand
-	buffer  int
-	// parted is true while the second region is cut off.
-	parted   atomic.Bool
-	domainOf map[string]string
-	// fakes stand in an agent's place.
-	fakes []*wire.Server
-}
-
-// lockedRand is a seeded random source for many goroutines.
-type lockedRand struct {
+	t                *testing.T
+	net              *memnet.Network
+	table            *tables.Table
+	platformServices app.Platform
+	service          *services.Service
+	backendServers   []*server
+	entryOptions     []app.EntryOptions
+	entries          []*app.Entry
+	conns            []*grpc.ClientConn
+	log              logrus.FieldLogger
+	random           *lockedRandom
+	buffer           int
+	// partitioned is true while the second region is disconnected from the first and from the store.
+	partitioned atomic.Bool
+	domainOf    map[string]string
+	// fakeAgents are the servers that replace agents.
+	fakeAgents []*wire.Server
+}
+
+// lockedRandom is a seeded random source that is safe for concurrent use.
+type lockedRandom struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-func newLockedRand(seed uint64) *lockedRand {
-	return &lockedRand{rnd: rand.New(rand.NewPCG(seed, seed))}
+func newLockedRandom(seed uint64) *lockedRandom {
+	return &lockedRandom{rnd: rand.New(rand.NewPCG(seed, seed))}
 }
 
-func (l *lockedRand) Uint64() uint64 {
+func (l *lockedRandom) Uint64() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rnd.Uint64()
@@ -144,7 +150,7 @@
 	memory           uint64
 	seed             uint64
 	buffer           int
-	// table replaces the platform's table, for broken variants.
+	// table wraps the platform's table, for tests with a table that violates its guarantees.
 	table func(*tables.Table) storage.Table
 }
 
@@ -152,10 +158,10 @@
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	t.Logf("seed %d", o.seed)
-	s := &system{t: t, random: newLockedRand(o.seed), buffer: o.buffer, domainOf: make(map[string]string), net: memnet.New(), table: tables.New(), service: services.New(), log: quiet}
-	s.plat = app.Platform{Table: s.table, Objects: s.table, VMs: s.table}
+	s := &system{t: t, random: newLockedRandom(o.seed), buffer: o.buffer, domainOf: make(map[string]string), net: memnet.New(), table: tables.New(), service: services.New(), log: quiet}
+	s.platformServices = app.Platform{Table: s.table, Objects: s.table, VMs: s.table}
 	if o.table != nil {
-		s.plat.Table = o.table(s.table)
+		s.platformServices.Table = o.table(s.table)
 	}
 	if o.memory == 0 {
 		o.memory = 100000
@@ -165,12 +171,12 @@
 			Step: 20 * time.Millisecond, Memory: o.memory, Resumes: o.resumes, ChecksTerm: o.checksTerm,
 			Retain: 30 * time.Second, Models: []string{model}, Nonce: uint64(i),
 		}
-		sw := &swap{cur: engines.New(cfg)}
-		s.addNode(fmt.Sprintf("server-%d", i), i, app.Backend{Engine: sw}, model)
-		s.nodes[i].engine, s.nodes[i].cfg = sw, cfg
+		sw := &replaceableEngine{inner: engines.New(cfg)}
+		s.addServer(fmt.Sprintf("server-%d", i), i, app.Backend{Engine: sw}, model)
+		s.backendServers[i].engine, s.backendServers[i].cfg = sw, cfg
 	}
 	for i := range 2 {
-		s.addNode(fmt.Sprintf("desk-%d", i), i, app.Backend{Service: s.service}, service)
+		s.addServer(fmt.Sprintf("desk-%d", i), i, app.Backend{Service: s.service}, service)
 	}
 	for i := range o.entries {
 		s.addEntry(i)
@@ -179,7 +185,7 @@
 	return s
 }
 
-func (s *system) common(name string, i int) app.CommonOptions {
+func (s *system) commonOptions(name string, i int) app.CommonOptions {
 	s.domainOf[name] = domains[i%len(domains)]
 	return app.CommonOptions{
 		Name: name, FailureDomain: domains[i%len(domains)], InnerAddress: name,
@@ -187,77 +193,77 @@
 	}
 }
 
-func (s *system) addNode(name string, i int, b app.Backend, serves string) {
-	n := &node{opts: app.DefaultAgentOptions(s.common(name, i)), backend: b}
+func (s *system) addServer(name string, i int, b app.Backend, serves string) {
+	n := &server{opts: app.DefaultAgentOptions(s.commonOptions(name, i)), backend: b}
 	if s.buffer > 0 {
 		n.opts.BufferBytes = s.buffer
 	}
 	if b.Service != nil {
 		n.opts.Services = []string{serves}
 	}
-	s.nodes = append(s.nodes, n)
+	s.backendServers = append(s.backendServers, n)
 	s.startAgent(n)
 	s.table.PutVM(vmlist.VM{Name: name, Address: name, FailureDomain: n.opts.FailureDomain, Role: vmlist.RoleAgent, Models: []string{serves}})
 }
 
-// platform is what the platform gives to one process: nothing, while its region
-// is parted from the store's.
-func (s *system) platform(c app.CommonOptions) app.Platform {
-	p := s.plat
-	p.Table = gated{p.Table, func() bool { return s.parted.Load() && far(c.InnerAddress, s) }}
+// platformFor returns the platform services of one process. The table is unavailable while the
+// process's region is partitioned from the store.
+func (s *system) platformFor(c app.CommonOptions) app.Platform {
+	p := s.platformServices
+	p.Table = partitionableTable{p.Table, func() bool { return s.partitioned.Load() && inSecondRegion(c.InnerAddress, s) }}
 	return p
 }
 
-// gated is a table that cannot be reached while away is true.
-type gated struct {
+// partitionableTable is a table whose calls fail while unavailable returns true.
+type partitionableTable struct {
 	storage.Table
-	away func() bool
+	unavailable func() bool
 }
 
-func (g gated) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
-	if g.away() {
+func (g partitionableTable) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
+	if g.unavailable() {
 		return 0, storage.ErrUnavailable
 	}
 	return g.Table.Commit(ctx, txn)
 }
 
-func (g gated) Read(ctx context.Context, keys ...string) ([]storage.Row, error) {
-	if g.away() {
+func (g partitionableTable) Read(ctx context.Context, keys ...string) ([]storage.Row, error) {
+	if g.unavailable() {
 		return nil, storage.ErrUnavailable
 	}
 	return g.Table.Read(ctx, keys...)
 }
 
-// far reports whether a place is in the second region, which has the domains
-// with odd numbers.
-func far(address string, s *system) bool {
+// inSecondRegion reports whether an address is in the second region, which consists of domains[1].
+func inSecondRegion(address string, s *system) bool {
 	return s.domainOf[address] == domains[1]
 }
 
-// part cuts the regions off from each other, and the far one from the store.
-func (s *system) part(on bool) {
-	s.parted.Store(on)
+// partitionRegions starts or ends a partition between the regions, and between the second region
+// and the store.
+func (s *system) partitionRegions(on bool) {
+	s.partitioned.Store(on)
 	if !on {
 		s.net.Partition(nil)
 		return
 	}
 	s.net.Partition(func(a, b string) bool {
-		return a != "" && s.domainOf[a] != "" && s.domainOf[b] != "" && far(a, s) != far(b, s)
+		return a != "" && s.domainOf[a] != "" && s.domainOf[b] != "" && inSecondRegion(a, s) != inSecondRegion(b, s)
 	})
 }
 
-func (s *system) startAgent(n *node) {
-	a, err := app.StartAgent(context.Background(), n.opts, n.backend, s.platform(n.opts.CommonOptions), s.net.From(n.opts.InnerAddress), s.log)
+func (s *system) startAgent(n *server) {
+	a, err := app.StartAgent(context.Background(), n.opts, n.backend, s.platformFor(n.opts.CommonOptions), s.net.From(n.opts.InnerAddress), s.log)
 	require.NoError(s.t, err)
 	n.agent = a
 }
 
 func (s *system) addEntry(i int) {
-	o := app.DefaultEntryOptions(s.common(fmt.Sprintf("entry-%d", i), i))
+	o := app.DefaultEntryOptions(s.commonOptions(fmt.Sprintf("entry-%d", i), i))
 	o.CallerAddress = o.Name + "-callers"
 	o.Random = s.random.Uint64
 	s.table.PutVM(vmlist.VM{Name: o.Name, Address: o.InnerAddress, FailureDomain: o.FailureDomain, Role: vmlist.RoleEntry})
-	s.eopts = append(s.eopts, o)
+	s.entryOptions = append(s.entryOptions, o)
 	s.entries = append(s.entries, nil)
 	s.startEntry(i)
 	conn, err := grpc.NewClient("passthrough:///"+o.CallerAddress,
@@ -268,12 +274,12 @@
 }
 
 func (s *system) startEntry(i int) {
-	e, err := app.StartEntry(s.eopts[i], s.platform(s.eopts[i].CommonOptions), s.net.From(s.eopts[i].InnerAddress), s.log)
+	e, err := app.StartEntry(s.entryOptions[i], s.platformFor(s.entryOptions[i].CommonOptions), s.net.From(s.entryOptions[i].InnerAddress), s.log)
 	require.NoError(s.t, err)
 	s.entries[i] = e
 }
 
-// configure sets up the team and model and waits until they are in force.
+// configure configures the models and teams and waits until all processes have applied the change.
 func (s *system) configure() {
 	rows := []*kingcupv1.Row{
 		{Row: &kingcupv1.Row_Model{Model: &kingcupv1.Model{Name: model, Kind: kingcupv1.ModelKind_MODEL_KIND_GENERATION}}},
@@ -294,7 +300,7 @@
 	return kingcupv1.NewOperatorServiceClient(s.conns[i])
 }
 
-// client calls through the given entries in turn; none means all.
+// client returns a client that uses the given entries, or all entries if none is given.
 func (s *system) client(o client.Options, entries ...int) *client.Client {
 	var conns []grpc.ClientConnInterface
 	for i, c := range s.conns {
@@ -310,8 +316,8 @@
 	return client.New(o, conns...)
 }
 
-// once are options of a caller that never comes back by itself.
-var once = client.Options{}
+// noRetries are the options of a client that does not retry.
+var noRetries = client.Options{}
 
 func (s *system) close() {
 	for _, c := range s.conns {
@@ -322,15 +328,15 @@
 			e.Close()
 		}
 	}
-	for _, f := range s.fakes {
+	for _, f := range s.fakeAgents {
 		f.Close()
 	}
-	for _, n := range s.nodes {
+	for _, n := range s.backendServers {
 		if n.agent != nil {
 			n.agent.Close()
 		}
 		if n.engine != nil {
-			n.engine.get().Kill()
+			n.engine.current().Kill()
 		}
 	}
 }
@@ -341,20 +347,20 @@
 }
 
 func (s *system) killAgent(i int) {
-	s.net.Disconnect(s.nodes[i].opts.InnerAddress)
-	s.nodes[i].agent.Close()
-	s.nodes[i].agent = nil
-	s.net.Restore(s.nodes[i].opts.InnerAddress)
+	s.net.Disconnect(s.backendServers[i].opts.InnerAddress)
+	s.backendServers[i].agent.Close()
+	s.backendServers[i].agent = nil
+	s.net.Restore(s.backendServers[i].opts.InnerAddress)
 }
 
 func (s *system) killEngine(i int) {
-	s.nodes[i].engine.replace(s.nodes[i].cfg)
+	s.backendServers[i].engine.replace(s.backendServers[i].cfg)
 }
 
-// runs counts the executions of a request at all engines.
+// runs returns the runs of a request at all engines.
 func (s *system) runs(requestID string) []engines.Run {
 	var out []engines.Run
-	for _, n := range s.nodes {
+	for _, n := range s.backendServers {
 		if n.engine == nil {
 			continue
 		}
@@ -367,7 +373,7 @@
 	return out
 }
 
-// freshRuns are the executions that began a generation.
+// freshRuns returns the runs of a request that began at its first token.
 func (s *system) freshRuns(requestID string) []engines.Run {
 	var out []engines.Run
 	for _, r := range s.runs(requestID) {
@@ -378,9 +384,9 @@
 	return out
 }
 
-// index finds a node by the name in a result.
-func (s *system) index(server string) int {
-	for i, n := range s.nodes {
+// serverIndex returns the index of the server with a name.
+func (s *system) serverIndex(server string) int {
+	for i, n := range s.backendServers {
 		if n.opts.Name == server {
 			return i
 		}
