--- a/engine/engine.go
+++ b/engine/engine.go
@@ -107,8 +107,8 @@
 	Cancel(ctx context.Context, id string, attempt uint32) error
 	// List returns the streams that the engine has.
 	List(ctx context.Context) ([]RunningStream, error)
-	// Load reads the engine's status.
-	Load(ctx context.Context) (Status, error)
+	// ReadStatus reads the engine's status.
+	ReadStatus(ctx context.Context) (Status, error)
 	// Order loads or unloads a model or adapter.
 	Order(ctx context.Context, o Order) error
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -166,7 +166,7 @@
 // because the engine may start later than its agent.
 func (a *Agent) waitForEngine(ctx context.Context) (engine.Status, error) {
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		status, err := a.engine.Load(ctx)
+		status, err := a.engine.ReadStatus(ctx)
 		if err == nil {
 			return status, nil
 		}
@@ -210,7 +210,7 @@
 	for {
 		select {
 		case <-t.C:
-			if status, err := a.engine.Load(a.ctx); err == nil {
+			if status, err := a.engine.ReadStatus(a.ctx); err == nil {
 				a.engineStatus.Store(&status)
 			}
 		case <-a.ctx.Done():
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -90,8 +90,8 @@
 func (s *replaceableEngine) List(ctx context.Context) ([]engine.RunningStream, error) {
 	return s.current().List(ctx)
 }
-func (s *replaceableEngine) Load(ctx context.Context) (engine.Status, error) {
-	return s.current().Load(ctx)
+func (s *replaceableEngine) ReadStatus(ctx context.Context) (engine.Status, error) {
+	return s.current().ReadStatus(ctx)
 }
 func (s *replaceableEngine) Order(ctx context.Context, o engine.Order) error {
 	return s.current().Order(ctx, o)
--- a/internal/slopes/clock.go
+++ b/internal/slopes/clock.go
@@ -73,7 +73,7 @@
 // Order implements engine.Engine.
 func (e *clockEngine) Order(context.Context, engine.Order) error { return nil }
 
-// Load implements engine.Engine.
-func (e *clockEngine) Load(context.Context) (engine.Status, error) {
+// ReadStatus implements engine.Engine.
+func (e *clockEngine) ReadStatus(context.Context) (engine.Status, error) {
 	return engine.Status{MemoryCapacity: 1 << 40, Models: []string{model}}, nil
 }
--- a/internal/standin/engines/server.go
+++ b/internal/standin/engines/server.go
@@ -102,7 +102,7 @@
 
 // Load implements EngineService.
 func (s *Server) Load(ctx context.Context, _ *platformv1.EngineLoadRequest) (*platformv1.EngineLoadResponse, error) {
-	load, err := s.Engine.Load(ctx)
+	load, err := s.Engine.ReadStatus(ctx)
 	if err != nil {
 		return nil, rpcError(err)
 	}
