--- a/conf/store.go
+++ b/conf/store.go
@@ -87,8 +87,8 @@
 }
 
 // Commit commits d if the head version is d.Version - 1. Errors: *ConflictError,
-// storage.ErrUnavailable (certainly not committed), storage.ErrUnsettled (may be
-// committed).
+// storage.ErrUnavailable (certainly not committed), storage.ErrOutcomeUnknown (may
+// be committed).
 func (s *Store) Commit(ctx context.Context, d *kingcupv1.Delta) error {
 	h, err := s.readHead(ctx)
 	if err != nil {
@@ -108,13 +108,13 @@
 			{Key: deltaKey(d.GetVersion()), Value: value},
 		},
 	}
-	return s.commitSettled(ctx, d, txn)
+	return s.commitUntilKnown(ctx, d, txn)
 }
 
-// commitSettled retries a commit whose response was lost until it is known which
+// commitUntilKnown retries a commit whose response was lost until it is known which
 // change has the version. Retries are safe: the transaction is conditional on the
 // head's revision, so it is applied at most once.
-func (s *Store) commitSettled(ctx context.Context, d *kingcupv1.Delta, txn storage.Txn) error {
+func (s *Store) commitUntilKnown(ctx context.Context, d *kingcupv1.Delta, txn storage.Txn) error {
 	mayBeCommitted := false
 	for range maxCommitAttempts {
 		_, err := s.table.Commit(ctx, txn)
@@ -175,8 +175,8 @@
 }
 
 // tableTimeout limits a call to the table in CatchUp. It does not apply to the
-// snapshot, which may be long; the object store's client has its own timeout for
-// silence.
+// snapshot, which may be large; the object store's client has its own timeout for a
+// transfer that receives no data.
 const tableTimeout = 4 * time.Second
 
 // CatchUp updates r to the head version. It reads the snapshot first if r is more
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -49,7 +49,7 @@
 }
 
 // claimWriter returns the writer for a claim's row: this entry, or a
-// remoteClaimWriter for the entry that groups the row's writes. It returns nil in
+// remoteClaimWriter for the entry that batches the row's writes. It returns nil in
 // a small system, where every entry writes its own claims.
 func (e *Entry) claimWriter(key string) claim.Putter {
 	e.mu.Lock()
--- a/internal/logging/formatter.go
+++ b/internal/logging/formatter.go
@@ -12,7 +12,8 @@
 )
 
 // jsonFormatter writes the same bytes as logrus.JSONFormatter, but does not copy the fields, and
-// uses no reflection for values of common types. Log lines are formatted in the goroutine of a request, which waits for it.
+// uses no reflection for values of common types. It saves this time because a log line is
+// formatted in the goroutine of a request, which waits for it.
 type jsonFormatter struct{ timestampFormat string }
 
 // Format implements logrus.Formatter.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -32,7 +32,7 @@
 
 // Valid reports whether the holder may give an order at now.
 func (l Lease) Valid(now time.Time) bool {
-	// The lease of a paused process may have expired without its notice. The
+	// A paused process does not notice that its lease expires. The
 	// holder therefore checks its monotonic clock, which continues during a
 	// pause, directly before it acts. If an order is delayed after the check, the
 	// agent refuses it once it has seen a higher term.
--- a/sched/config.go
+++ b/sched/config.go
@@ -24,6 +24,7 @@
 // DisabledFeatures are the features of the policy that are switched off; a zero
 // value leaves all of them on.
 type DisabledFeatures struct {
+	// If a field is set, this changes:
 	// Forecast: admission counts only the memory that a job uses now.
 	// Shares: teams have no share; queued jobs start in order of arrival.
 	// Preemption: the policy pauses no stream.
