--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -37,9 +37,9 @@
 	c := New(table, time.Millisecond)
 	defer c.Close()
 	key := Key{"team", "id"}
-	loseAnswer := func() { table.LoseCommitResponses(1, 1) }
+	loseResponse := func() { table.LoseCommitResponses(1, 1) }
 
-	loseAnswer()
+	loseResponse()
 	won, existing, err := c.Claim(ctx, key, Record{Nonce: "first"})
 	require.NoError(t, err)
 	require.Nil(t, existing)
@@ -47,11 +47,11 @@
 	require.NoError(t, err)
 	require.Equal(t, "first", existing.Nonce)
 
-	loseAnswer()
+	loseResponse()
 	require.NoError(t, c.Release(ctx, won))
 	won, _, err = c.Claim(ctx, key, Record{Nonce: "third"})
 	require.NoError(t, err)
-	loseAnswer()
+	loseResponse()
 	require.NoError(t, c.Finish(ctx, won, []byte("answer")))
 	_, existing, err = c.Claim(ctx, key, Record{Nonce: "fourth"})
 	require.NoError(t, err)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -82,7 +82,8 @@
 	generations map[string]*generation
 	// scheduled are the generations whose job the policy keeps.
 	scheduled map[*sched.Job]*generation
-	acts      []sched.Action
+	// acts is the buffer that schedule reuses for the policy's actions.
+	acts []sched.Action
 	// openByTeam counts the scheduled generations of each team.
 	openByTeam map[string]int
 	// openRelays counts the relays in progress, which a drain waits for.
--- a/internal/agent/generation.go
+++ b/internal/agent/generation.go
@@ -82,7 +82,7 @@
 	// VMs lags by half a minute. Leave sets the flag under the same lock, so no
 	// request is accepted after it.
 	if a.leaving.Load() {
-		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, leavingRetryAfter, "backend server is leaving")
+		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, shortRetryAfter, "backend server is leaving")
 	}
 	if a.engine == nil {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_UNKNOWN_MODEL, 0, "no model engine here")
@@ -108,7 +108,9 @@
 }
 
 const (
-	leavingRetryAfter     = 100 * time.Millisecond
+	// shortRetryAfter is the retry delay that a leaving agent sends, and that of a
+	// withdrawn request.
+	shortRetryAfter       = 100 * time.Millisecond
 	streamLimitRetryAfter = time.Second
 )
 
@@ -173,7 +175,7 @@
 	}
 	a.unschedule(g)
 	a.policy.Finish(a.now(), g.job, false)
-	g.buf.Fail(failure.NotRun(reason, leavingRetryAfter, "%s", detail))
+	g.buf.Fail(failure.NotRun(reason, shortRetryAfter, "%s", detail))
 	a.schedule()
 	return true
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -153,7 +153,7 @@
 	a.activeCalls.Add(1)
 	defer a.activeCalls.Add(-1)
 	if a.leaving.Load() {
-		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, leavingRetryAfter, "backend server is leaving")
+		return nil, failure.NotRun(kingcupv1.Reason_REASON_LEAVING, shortRetryAfter, "backend server is leaving")
 	}
 	if a.service == nil {
 		return nil, failure.NotRun(kingcupv1.Reason_REASON_UNKNOWN_MODEL, 0, "no plain service here")
--- a/internal/app/agent.go
+++ b/internal/app/agent.go
@@ -94,8 +94,9 @@
 
 func (r *Agent) serve(ctx context.Context, o AgentOptions, network wire.Network, rec *metrics.Recorder) error {
 	// The agent first fetches the running streams from the engine and only then accepts
-	// connections. An entry that reattached earlier would get the answer that its stream
-	// is unknown, and would move the stream although the engine still runs it.
+	// connections. An entry that reattached earlier would get the reply that its stream is
+	// unknown, and would continue it at another backend server although the engine still
+	// runs it.
 	if err := r.Agent.Start(ctx); err != nil {
 		return err
 	}
--- a/internal/changewire/changewire.go
+++ b/internal/changewire/changewire.go
@@ -33,9 +33,9 @@
 const routesPerPart = 400
 
 // Encode returns the head of a response that carries a change, and the parts that follow
-// it. The parts can be decoded one by one. Encode calls pause after each part, so that the
-// caller can yield the CPU.
-func Encode(ch *routing.Change, pause func()) (head *peerv1.Change, parts [][]byte, err error) {
+// it. The parts can be decoded one by one. Encode calls yieldCPU after each
+// part, so that other goroutines of the caller can run.
+func Encode(ch *routing.Change, yieldCPU func()) (head *peerv1.Change, parts [][]byte, err error) {
 	access, err := marshalCompressed(accessToProto(ch))
 	if err != nil {
 		return nil, nil, err
@@ -46,7 +46,7 @@
 			return nil, nil, err
 		}
 		parts = append(parts, part)
-		pause()
+		yieldCPU()
 	}
 	return &peerv1.Change{Base: ch.Base, Version: ch.Version, Access: access, Parts: uint32(len(parts))}, parts, nil
 }
--- a/internal/changewire/changewire_test.go
+++ b/internal/changewire/changewire_test.go
@@ -14,8 +14,8 @@
 	"kingcupplank.example/kingcup/routing"
 )
 
-// noPause is a pause function that does nothing.
-func noPause() {}
+// noYield is a yieldCPU function that does nothing.
+func noYield() {}
 
 // fill sets every field of a struct to a value other than zero, so that a field that is not
 // encoded is detected.
@@ -61,7 +61,7 @@
 
 // roundTrip encodes a change and decodes it again.
 func roundTrip(t require.TestingT, ch *routing.Change) *routing.Change {
-	head, parts, err := Encode(ch, noPause)
+	head, parts, err := Encode(ch, noYield)
 	require.NoError(t, err)
 	require.Len(t, parts, int(head.GetParts()))
 	access, err := DecodeHead(head)
@@ -77,7 +77,7 @@
 func beginUpdate(t require.TestingT, ch *routing.Change) *routing.Update {
 	r := routing.NewReplica()
 	if ch.Base != 0 {
-		r.Put(routing.Content{Version: ch.Base}, noPause)
+		r.Put(routing.Content{Version: ch.Base}, noYield)
 	}
 	u, err := r.Begin(ch)
 	require.NoError(t, err)
@@ -118,7 +118,7 @@
 // far below what a link of low bandwidth can send during the permitted pause between two
 // events of a stream.
 func TestChangeIsSmall(t *testing.T) {
-	_, parts, err := Encode(randomRoutes(1400), noPause)
+	_, parts, err := Encode(randomRoutes(1400), noYield)
 	require.NoError(t, err)
 	size := 0
 	for _, part := range parts {
@@ -133,13 +133,13 @@
 func BenchmarkEncode(b *testing.B) {
 	ch := randomRoutes(1400)
 	for b.Loop() {
-		Encode(ch, noPause)
+		Encode(ch, noYield)
 	}
 }
 
 // BenchmarkDecode decodes 1,400 routes, as each peer does.
 func BenchmarkDecode(b *testing.B) {
-	head, parts, _ := Encode(randomRoutes(1400), noPause)
+	head, parts, _ := Encode(randomRoutes(1400), noYield)
 	for b.Loop() {
 		ch, _ := DecodeHead(head)
 		u := beginUpdate(b, ch)
@@ -153,7 +153,7 @@
 // can be committed, or an error.
 func FuzzDecode(f *testing.F) {
 	corpus := fuzzseed.New(f)
-	head, parts, err := Encode(randomRoutes(3), noPause)
+	head, parts, err := Encode(randomRoutes(3), noYield)
 	require.NoError(f, err)
 	corpus.Add(head.GetAccess(), parts[1])
 	corpus.Add([]byte{}, []byte{})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -51,8 +51,9 @@
 	MaxStreamBytes int
 	// PropagationTimeout bounds the wait until witnesses have a change.
 	PropagationTimeout time.Duration
-	// MaxServersPerRequest bounds the backend servers that one placement of a
-	// request is offered to.
+	// MaxServersPerRequest bounds the number of backend servers to which a request
+	// is offered until one accepts it. The count starts again if the accepted
+	// request has to be placed once more.
 	MaxServersPerRequest int
 	// MaxRequests bounds the requests in progress and thereby the memory they
 	// use; 0 means no bound.
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -75,7 +75,7 @@
 
 // relayToEnd relays st and the streams that replace it after failures. err is
 // the error of opening st; if it is not nil, relayToEnd returns it.
-func (f *inflight) relayToEnd(ctx context.Context, st *agentStream, err error) error {
+func (f *inflight) relayToEnd(ctx context.Context, st *peerStream, err error) error {
 	for err == nil {
 		if err = f.relay(ctx, st); err == nil {
 			return nil
@@ -87,7 +87,7 @@
 
 // recoverFrom returns a stream that continues the generation after err, or the
 // error for the caller if the generation can't continue.
-func (f *inflight) recoverFrom(ctx context.Context, err error) (*agentStream, error) {
+func (f *inflight) recoverFrom(ctx context.Context, err error) (*peerStream, error) {
 	if ctx.Err() != nil {
 		return nil, f.contextError(ctx)
 	}
@@ -131,7 +131,7 @@
 // failOver continues the generation at another backend server, after the tokens
 // that the caller already has. It returns cause if the generation must not be
 // repeated.
-func (f *inflight) failOver(ctx context.Context, cause *failure.Error) (*agentStream, error) {
+func (f *inflight) failOver(ctx context.Context, cause *failure.Error) (*peerStream, error) {
 	f.mayHaveRun = true
 	f.lostServers++
 	if f.lostServers == maxLostServers {
@@ -151,7 +151,7 @@
 
 // place offers the generation to backend servers until one accepts it. It
 // returns the accepting server's stream, or the error for the caller.
-func (f *inflight) place(ctx context.Context) (*agentStream, error) {
+func (f *inflight) place(ctx context.Context) (*peerStream, error) {
 	for range f.e.cfg.MaxServersPerRequest {
 		server := f.pickServer()
 		if server == "" {
@@ -226,9 +226,9 @@
 	return servers[i].Name
 }
 
-// agentStream is a stream to an agent or another entry, with the use of the
+// peerStream is a stream to an agent or another entry, with the use of the
 // session that carries it.
-type agentStream struct {
+type peerStream struct {
 	*wire.Stream
 	releaseSession func()
 	// stopCloseOnDone unregisters the function that runs when the caller's
@@ -236,14 +236,14 @@
 	stopCloseOnDone func() bool
 }
 
-func (s *agentStream) close() {
+func (s *peerStream) close() {
 	s.stopCloseOnDone()
 	s.Stream.Close()
 	s.releaseSession()
 }
 
 // offer sends Start to an agent and waits until the agent accepts or refuses it.
-func (f *inflight) offer(ctx context.Context, server string) (*agentStream, error) {
+func (f *inflight) offer(ctx context.Context, server string) (*peerStream, error) {
 	start := &innerv1.Start{GenerationId: f.id, Attempt: f.attempt, Request: f.req}
 	if f.delivered.NextIndex() > 0 {
 		prefix, err := f.delivered.Prefix()
@@ -277,7 +277,7 @@
 // withdrawOnDone removes the request from the agent's queue when its caller's
 // context ends. A non-idempotent request stays queued: its key is claimed, so
 // the caller could not send it again, but may come back for the answer.
-func (f *inflight) withdrawOnDone(ctx context.Context, st *agentStream) {
+func (f *inflight) withdrawOnDone(ctx context.Context, st *peerStream) {
 	if f.req.GetNonIdempotent() || f.delivered.NextIndex() > 0 {
 		return
 	}
@@ -297,11 +297,11 @@
 	return failure.Unknown(kingcupv1.Reason_REASON_BACKEND_LOST, time.Second, "%v", err)
 }
 
-// openStream opens a stream to an agent or another entry, over the link to it or,
+// openStream opens a stream to the named agent or entry, over the link to it or,
 // if it is not watched, over a new session. The boolean is false if certainly no
 // byte of open was written.
-func (e *Entry) openStream(ctx context.Context, server string, open *innerv1.Open) (*agentStream, bool, error) {
-	sess, release, err := e.session(ctx, server)
+func (e *Entry) openStream(ctx context.Context, name string, open *innerv1.Open) (*peerStream, bool, error) {
+	sess, release, err := e.session(ctx, name)
 	if err != nil {
 		return nil, false, err
 	}
@@ -311,23 +311,23 @@
 		release()
 		return nil, sent, err
 	}
-	return &agentStream{Stream: st, releaseSession: release, stopCloseOnDone: st.CloseOnDone(ctx)}, true, nil
+	return &peerStream{Stream: st, releaseSession: release, stopCloseOnDone: st.CloseOnDone(ctx)}, true, nil
 }
 
 // session returns a session to the named process and a function that ends its
 // use.
-func (e *Entry) session(ctx context.Context, server string) (*wire.Session, func(), error) {
-	if l := e.links.Get(server); l != nil {
+func (e *Entry) session(ctx context.Context, name string) (*wire.Session, func(), error) {
+	if l := e.links.Get(name); l != nil {
 		sess, release := l.Acquire()
 		if sess == nil {
-			return nil, nil, errors.Errorf("no session to %s", server)
+			return nil, nil, errors.Errorf("no session to %s", name)
 		}
 		l.RecordSent()
 		return sess, release, nil
 	}
-	address, ok := e.addressOf(server)
+	address, ok := e.addressOf(name)
 	if !ok {
-		return nil, nil, errors.Errorf("backend server %s is not in the list", server)
+		return nil, nil, errors.Errorf("backend server %s is not in the list", name)
 	}
 	sess, err := e.links.Dial(ctx, address)
 	if err != nil {
@@ -338,7 +338,7 @@
 
 // announce sends the caller the Started event, which names the backend server
 // that runs its generation.
-func (f *inflight) announce(server string, st *agentStream) (*agentStream, error) {
+func (f *inflight) announce(server string, st *peerStream) (*peerStream, error) {
 	f.server = server
 	started := &kingcupv1.Started{GenerationId: f.id, BackendServer: server, Entry: f.e.cfg.Identity.Name}
 	err := f.out.Send(&kingcupv1.GenerateResponse{Event: &kingcupv1.GenerateResponse_Started{Started: started}})
@@ -355,7 +355,7 @@
 // whose process was replaced. The timeout counts from the last frame received
 // from the agent, so that a stream that broke after a long stall fails over
 // without a further wait.
-func (f *inflight) reattach(ctx context.Context) (*agentStream, error) {
+func (f *inflight) reattach(ctx context.Context) (*peerStream, error) {
 	deadline := f.lastReceived.Add(f.e.cfg.ReattachTimeout)
 	for {
 		st, _, err := f.e.openStream(ctx, f.server, f.attachRequest())
@@ -377,7 +377,7 @@
 
 // relay copies frames from the agent to the caller until the generation ends. It
 // closes st. It returns errStreamBroken if the agent's stream fails.
-func (f *inflight) relay(ctx context.Context, st *agentStream) error {
+func (f *inflight) relay(ctx context.Context, st *peerStream) error {
 	defer st.close()
 	reply := &innerv1.Reply{}
 	for {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -133,8 +133,10 @@
 	lastHeartbeat      *innerv1.Heartbeat
 	lastHeartbeatTime  time.Time
 	sentSinceHeartbeat int
-	isRetired          bool
-	streamCount        int
+	// isRetired is set when the peer is no longer watched.
+	isRetired bool
+	// streamCount is the number of calls of Acquire that are not yet released.
+	streamCount int
 }
 
 // Status describes a link and its peer's last heartbeat.
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -75,7 +75,7 @@
 // Dropped returns the number of lines that were dropped.
 func (q *Writer) Dropped() uint64 { return q.dropped.Load() }
 
-// Close writes the queued lines and stops the queue. Later lines are dropped.
+// Close writes the queued lines and ends the goroutine. Later lines are dropped.
 func (q *Writer) Close() {
 	q.mu.Lock()
 	if !q.closed {
--- a/sched/memory.go
+++ b/sched/memory.go
@@ -57,21 +57,23 @@
 }
 
 // newContribution computes the contribution of a stream. At each horizon the
-// stream uses its whole context if it still runs, and nothing if it has ended.
+// stream uses its whole context if it still runs, and nothing if it has ended. l
+// gives the probability that it still runs. If l has no output as long as emitted,
+// the probability is taken as one half.
 func newContribution(l *forecast.LengthHistogram, prompt, emitted, maxTokens int) contribution {
 	c := contribution{emitted: emitted}
-	reachedNow := l.Survival(float64(emitted))
+	survivalNow := l.Survival(float64(emitted))
 	for k, ahead := range horizons {
 		if maxTokens > 0 && emitted+int(ahead) > maxTokens {
 			break
 		}
-		stillRuns := 0.5
-		if reachedNow > 0 {
-			stillRuns = min(1, l.Survival(float64(emitted)+ahead)/reachedNow)
+		runProbability := 0.5
+		if survivalNow > 0 {
+			runProbability = min(1, l.Survival(float64(emitted)+ahead)/survivalNow)
 		}
 		size := float64(prompt+emitted) + ahead
-		c.mean[k] = stillRuns * size
-		c.variance[k] = stillRuns * (1 - stillRuns) * size * size
+		c.mean[k] = runProbability * size
+		c.variance[k] = runProbability * (1 - runProbability) * size * size
 	}
 	return c
 }
--- a/sched/refuse.go
+++ b/sched/refuse.go
@@ -4,7 +4,8 @@
 
 // estimateWait estimates how long j would wait for its start: the queued memory
 // of its team divided by the team's part of the rate at which running jobs free
-// memory.
+// memory. It returns 0 if no job of the team is queued or no memory has been
+// freed yet.
 func (p *Forecasting) estimateWait(t *teamState, j *Job) time.Duration {
 	if len(t.queue) == 0 {
 		return 0
--- a/sched/victims.go
+++ b/sched/victims.go
@@ -17,6 +17,7 @@
 // pauseForMemory pauses streams when the engine is about to run out of memory.
 // The engine would otherwise evict a stream by itself, without regard to shares.
 func (p *Forecasting) pauseForMemory(acts []Action) []Action {
+	// In its next step the engine adds one token to each running stream.
 	if p.cfg.Disabled.Preemption || float64(p.batch.used+len(p.running)) <= highWatermark*float64(p.cfg.Capacity) {
 		return acts
 	}
