--- a/engine/engineclient/client.go
+++ b/engine/engineclient/client.go
@@ -117,8 +117,8 @@
 	return out, nil
 }
 
-// Load implements engine.Engine.
-func (c *Client) Load(ctx context.Context) (engine.Status, error) {
+// ReadStatus implements engine.Engine.
+func (c *Client) ReadStatus(ctx context.Context) (engine.Status, error) {
 	resp, err := c.rpc.Load(ctx, &platformv1.EngineLoadRequest{})
 	if err != nil {
 		return engine.Status{}, engineError(err)
--- a/internal/standin/engines/engine.go
+++ b/internal/standin/engines/engine.go
@@ -359,8 +359,8 @@
 	return out, nil
 }
 
-// Load implements engine.Engine.
-func (e *Engine) Load(context.Context) (engine.Status, error) {
+// ReadStatus implements engine.Engine.
+func (e *Engine) ReadStatus(context.Context) (engine.Status, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.killed {
