--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -186,7 +186,7 @@
 }
 
 // Cancel implements CallerService. It asks every watched agent to cancel the
-// generation, since a failover may have moved the generation.
+// generation, since the generation may have failed over to another server.
 func (e *Entry) Cancel(ctx context.Context, req *kingcupv1.CancelRequest) (*kingcupv1.CancelResponse, error) {
 	open := &innerv1.Open{Kind: &innerv1.Open_Cancel{Cancel: &innerv1.Cancel{GenerationId: req.GetGenerationId(), Team: req.GetTeam()}}}
 	found := false
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -40,6 +40,7 @@
 				AgentLinks: 96, EntryLinks: 4,
 			}, Deps{})
 			peers := e.choosePeers(vmsByName)
+			// 108 is the sum of AgentLinks, EntryLinks and claimWriterCount.
 			require.LessOrEqual(t, len(peers), 108)
 			for _, p := range peers {
 				watchers[p.Name]++
--- a/internal/mux/frame.go
+++ b/internal/mux/frame.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxFrameBytes bounds the message in a frame. A frame that announces more is
-// rejected before memory is allocated for it.
+// MaxFrameBytes bounds the encoded message in a frame. A frame that announces more
+// bytes is rejected before memory is allocated for it.
 const MaxFrameBytes = 4 << 20
 
 // frameHeaderLen is the size of the length that precedes a message, in bytes.
