--- a/backends/restore_test.go
+++ b/backends/restore_test.go
@@ -38,7 +38,7 @@
 }
 
 // A server that an old copy of the directory brings back, and whose entry stays, is used again
-// in the end.
+// after departureMemory.
 func TestServerOfAnOldCopyIsUsedLater(t *testing.T) {
 	r := New("z", func(string) ServiceTraits { return ServiceTraits{MemoryTokens: 0} }, func(Server, LeaveReason) {})
 	s := Server{ID: "a", Service: "s", Address: "a", Slots: 8}
--- a/backends/signals_test.go
+++ b/backends/signals_test.go
@@ -186,8 +186,8 @@
 	require.Equal(t, 1, r.CountReady(svc), "a response of the earlier incarnation")
 }
 
-// Guards against peers not being told of a leaving server because its entry says so already:
-// the peers' entries may be stale.
+// Guards against a server's own report that it is leaving not being forwarded to peers because the
+// entry here says so already: the peers' entries may be stale.
 func TestLeavingIsReportedToPeersThoughTheEntrySaysSo(t *testing.T) {
 	r, s := newRegistryWithServer()
 	s.Leaving = true
--- a/routing/change_test.go
+++ b/routing/change_test.go
@@ -14,7 +14,8 @@
 // noPause is a pause function that does nothing.
 func noPause() {}
 
-// drawContent draws a random version that is small, so that versions share routes, teams and keys.
+// drawContent draws a random version. It is small, so that several versions share routes, teams and
+// keys.
 func drawContent(t *rapid.T, version uint64) Content {
 	c := Content{Version: version, KeysRequired: true, Services: []*Service{{Name: "s"}}}
 	for i := range 6 {
@@ -36,7 +37,7 @@
 			c.Teams = append(c.Teams, team)
 		}
 	}
-	// Only one team holds a key.
+	// A key belongs to one team only.
 	held := make(map[string]bool)
 	for _, team := range c.Teams {
 		var own []string
