--- a/backends/signals_test.go
+++ b/backends/signals_test.go
@@ -120,15 +120,15 @@
 }
 
 // maxInWindow returns the maximum number of times that lie within any window.
-func maxInWindow(times []time.Duration, window time.Duration) (most int) {
+func maxInWindow(times []time.Duration, window time.Duration) (maxCount int) {
 	slices.Sort(times)
 	for first, i := 0, 0; i < len(times); i++ {
 		for times[i]-times[first] >= window {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
 // Guards against many gateways together exceeding a server's rate limit, most of which know it
@@ -186,8 +186,8 @@
 	require.Equal(t, 1, r.CountReady(svc), "a response of the earlier incarnation")
 }
 
-// Guards against peers not being told of a leaving server because its entry says so already:
-// the peers' entries may be stale.
+// Guards against a server's own report that it is leaving not being forwarded to peers because the
+// entry here says so already: the peers' entries may be stale.
 func TestLeavingIsReportedToPeersThoughTheEntrySaysSo(t *testing.T) {
 	r, s := newRegistryWithServer()
 	s.Leaving = true
