--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -17,10 +17,10 @@
 
 // benchGateway starts two gateways and the servers of a service, and returns the first
 // gateway.
-func benchGateway(b *testing.B, service string, behaviour fleet.Behavior) *testGateway {
+func benchGateway(b *testing.B, service string, behavior fleet.Behavior) *testGateway {
 	s := newSystem(b)
 	for range benchServers {
-		s.server(service, behaviour)
+		s.server(service, behavior)
 	}
 	gateways := []*testGateway{s.gateway("vm-1"), s.gateway("vm-2")}
 	gateways[0].eventually(func() bool { return gateways[0].registry.CountReady(service) == benchServers }, "all servers are known")
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -63,8 +63,8 @@
 }
 
 // MayCallStore implements follow.Sharing.
-func (s *configSharing) MayCallStore(without time.Duration) bool {
-	return tableSharing{s.group, operator.Table}.MayCallStore(without)
+func (s *configSharing) MayCallStore(withoutTable time.Duration) bool {
+	return tableSharing{s.group, operator.Table}.MayCallStore(withoutTable)
 }
 
 // Share implements follow.Sharing. For changes, only the new revision is announced.
@@ -162,7 +162,7 @@
 }
 
 // changeReader builds a new configuration version from a peer's response while the response
-// arrives. It implements peers.Taker.
+// arrives. It implements peers.AnswerHandler.
 type changeReader struct {
 	replica *routing.Replica
 	head    *peerv1.Change
@@ -170,7 +170,7 @@
 	bytes   int
 }
 
-// Head implements peers.Taker.
+// Head implements peers.AnswerHandler.
 func (t *changeReader) Head(head *peerv1.Change) error {
 	t.head, t.bytes = head, len(head.GetAccess())
 	if head.GetVersion() == head.GetBase() {
@@ -184,7 +184,7 @@
 	return err
 }
 
-// Part implements peers.Taker.
+// Part implements peers.AnswerHandler.
 func (t *changeReader) Part(part []byte) error {
 	t.bytes += len(part)
 	if t.update == nil {
@@ -195,7 +195,7 @@
 
 // Errors of a fetch.
 var (
-	errVersionUnknown   = errors.New("requested changes since a version newer than this gateway's")
+	errVersionUnknown   = errors.New("the peer has a newer version than this gateway")
 	errConfigUnreadable = errors.New("the newest configuration in the store is unreadable")
 	errPeerNotAhead     = errors.New("the peer has nothing newer than this gateway")
 )
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -15,7 +15,7 @@
 // restoreOutage is how long the store is unavailable before it is restored.
 const restoreOutage = 300 * time.Millisecond
 
-// restoreStore has an outage of the store that ends with its restore from a copy.
+// restoreStore makes the store unavailable for restoreOutage and restores it from a copy.
 func (s *system) restoreStore(backup *fleet.Backup) {
 	s.fleet.Store.SetFault(fleet.Reset)
 	time.Sleep(restoreOutage)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -125,9 +125,9 @@
 			return store.New(platform.Store, platform.LinkMbps, rec)
 		},
 		func(l *lateDeps) *upstream.Client {
-			return upstream.New(func(s backends.Server, signals backends.Signals, begun time.Duration) {
+			return upstream.New(func(s backends.Server, signals backends.Signals, sentAt time.Duration) {
 				if r := l.relay.Load(); r != nil {
-					r.HandleSignals(s, signals, begun)
+					r.HandleSignals(s, signals, sentAt)
 				}
 			})
 		},
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -65,7 +65,7 @@
 }
 
 // An invalid request gets the right status and doesn't affect other requests.
-func TestWrongRequests(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	n := s.gateway("vm-1")
@@ -113,8 +113,8 @@
 	require.NotEmpty(t, second.Executions()[0].Header.Get("Kv-From"))
 }
 
-// The same while the store is unavailable: only the engine itself reports that it is
-// leaving.
+// An engine is reclaimed while the store is unavailable, so that only the engine itself
+// reports that it is leaving. The caller's stream continues on another engine.
 func TestStreamOutlivesAnEngineThatLeavesDuringAnOutage(t *testing.T) {
 	s := newSystem(t)
 	b := slowStream
--- a/internal/gateway/growth_test.go
+++ b/internal/gateway/growth_test.go
@@ -22,7 +22,7 @@
 }
 
 // waitUntilLinked waits until each of the gateways receives the states of all others, and
-// until the calls have returned in which it followed the store before that.
+// then until the calls to the store that were in flight at that time have returned.
 func waitUntilLinked(gateways ...*testGateway) {
 	for _, n := range gateways {
 		n.eventually(func() bool { return len(n.group.links.LiveStates()) == len(gateways)-1 }, "linked")
@@ -30,14 +30,14 @@
 	time.Sleep(DefaultOptions().FeedTimeout + followMargin)
 }
 
-// followMargin covers the check of which gateways read the store.
+// followMargin covers the time in which gateways notice that others read the store for them.
 const followMargin = 300 * time.Millisecond
 
 // A configuration grows by 1,400 routes. Its row would occupy a link of 10 Mbit/s for a
 // second, in which the callers of a VM with such a link would wait; the change alone takes
 // 15 ms and comes from a peer. The VM's connection to the store is cut here, so that
 // nothing can have come from there.
-func TestThinVMNeedsNoRowFromTheStore(t *testing.T) {
+func TestVMOnSlowLinkNeedsNoRowFromTheStore(t *testing.T) {
 	s := newSystem(t)
 	s.server(fleet.DeskService, fleet.Behavior{})
 	s.linkMbps = 200
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -115,7 +115,7 @@
 	return out
 }
 
-// removeRow removes the row of a gateway that has been unreachable for long, unless the row
+// removeRow removes the row of a gateway that has been unreachable for too long, unless the row
 // has been written again.
 func (g *group) removeRow(m peers.Member) {
 	if m.Revision.IsZero() {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -28,7 +28,7 @@
 // tableStore is the part of the store's client that the group uses.
 type tableStore interface {
 	Put(ctx context.Context, table, key string, data []byte) error
-	Remove(ctx context.Context, table, key string, at revision.Revision) error
+	Remove(ctx context.Context, table, key string, expected revision.Revision) error
 	Table(name string) follow.Feed
 }
 
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -118,7 +118,7 @@
 		return u
 	})
 	if tried {
-		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team}).Info("trying a request whose quarantine is in doubt")
+		s.log.WithFields(logrus.Fields{"content": id.String(), "team": id.Team}).Info("trying a quarantined request whose quarantine decision is ambiguous")
 	}
 	return tried
 }
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -73,18 +73,18 @@
 }
 
 // mayRead decides whether a follower may call the store although others read it: it
-// receives nothing from them, or has been without a table for the duration without (0 if it
-// has one).
-func (r *readerRole) mayRead(now, without time.Duration) bool {
-	if without > 0 && without < joinTimeout && !r.joined.Load() {
+// receives nothing from them, or has been without a table for some time. withoutTable is
+// that time, 0 if the follower has a table.
+func (r *readerRole) mayRead(now, withoutTable time.Duration) bool {
+	if withoutTable > 0 && withoutTable < joinTimeout && !r.joined.Load() {
 		return false
 	}
 	inputs := readers.Inputs{Now: now, StoreReached: true, ProcessCount: r.group.contendingGateways(), Random: rand.Float64()}
 	switch {
-	case without > 0 && r.isInitialReader.Load():
+	case withoutTable > 0 && r.isInitialReader.Load():
 		inputs.ProcessCount = 1
-	case without > 0:
-		inputs.ProcessCount = float64(r.group.links.KnownCount()) * max(0, 1-without.Seconds()/startDeferral.Seconds())
+	case withoutTable > 0:
+		inputs.ProcessCount = float64(r.group.links.KnownCount()) * max(0, 1-withoutTable.Seconds()/startDeferral.Seconds())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -216,8 +216,8 @@
 func (s tableSharing) IsReader(reached bool) bool { return s.role.shouldRead(s.storeTime(), reached) }
 
 // MayCallStore implements follow.Sharing.
-func (s tableSharing) MayCallStore(without time.Duration) bool {
-	return s.role.mayRead(s.storeTime(), without)
+func (s tableSharing) MayCallStore(withoutTable time.Duration) bool {
+	return s.role.mayRead(s.storeTime(), withoutTable)
 }
 
 // storeTime returns the store's clock, or this VM's steady clock while the store's is not
--- a/internal/gateway/suspectrows_test.go
+++ b/internal/gateway/suspectrows_test.go
@@ -38,24 +38,24 @@
 func TestTrialsAreWrittenToTheStore(t *testing.T) {
 	s := newQuietGroup(fakeStore(nil)).quarantine
 	x, y := quarantine.NewID("team", "POST", "h", "/x", nil), quarantine.NewID("team", "POST", "h", "/y", nil)
-	end := func(server uint64, at time.Duration, ran ...quarantine.ID) {
-		s.update("test", 0, func(b *quarantine.Tracker) quarantine.Update { return b.Crashed(server, at, ran) })
+	crash := func(server uint64, at time.Duration, ran ...quarantine.ID) {
+		s.update("test", 0, func(tracker *quarantine.Tracker) quarantine.Update { return tracker.Crashed(server, at, ran) })
 	}
 	for server := range uint64(3) {
-		end(server, time.Duration(1+server)*time.Second, x, y)
+		crash(server, time.Duration(1+server)*time.Second, x, y)
 	}
 	require.ElementsMatch(t, []quarantine.ID{x, y}, s.takeDue())
 	s.storeRow(t, x, 1)
 	s.storeRow(t, y, 2)
 	require.Empty(t, s.takeDue(), "the store has them")
 	tried := false
-	s.update("test", 0, func(b *quarantine.Tracker) (c quarantine.Update) {
-		c, tried = b.StartTrial(x, 10*time.Second)
-		return c
+	s.update("test", 0, func(tracker *quarantine.Tracker) (u quarantine.Update) {
+		u, tried = tracker.StartTrial(x, 10*time.Second)
+		return u
 	})
 	require.True(t, tried)
 	require.Equal(t, []quarantine.ID{x}, s.takeDue())
 	s.storeRow(t, x, 3)
-	end(9, 11*time.Second, x)
+	crash(9, 11*time.Second, x)
 	require.Equal(t, []quarantine.ID{x}, s.takeDue())
 }
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -88,10 +88,10 @@
 	return out
 }
 
-// rowsReader collects the rows of a response. It implements peers.Taker.
+// rowsReader collects the rows of a response. It implements peers.AnswerHandler.
 type rowsReader struct{ page follow.Page }
 
-// Head implements peers.Taker.
+// Head implements peers.AnswerHandler.
 func (t *rowsReader) Head(head *peerv1.Change) error {
 	t.page = follow.Page{
 		Revision: revision.FromWire(head.GetRevision()), Changed: revision.FromWire(head.GetChanged()), Whole: head.GetBase() == 0,
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// Part implements peers.Taker.
+// Part implements peers.AnswerHandler.
 func (t *rowsReader) Part(part []byte) error {
 	rows, err := changewire.DecodeRows(part)
 	if err != nil {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -59,10 +59,10 @@
 }
 
 // Each gateway is linked to only a part of the others. Guards against gateways reading the
-// store themselves for ever because they are linked to neither of the two readers, as half
+// store themselves forever because they are linked to neither of the two readers, as half
 // of 103 gateways and four fifths of 330 did. While nothing fails only the readers may call
-// the store, and no view may be older than the wait of a reader's call plus the time of a
-// few links.
+// the store, and no configuration may be older than the timeout of a reader's call plus the
+// time in which a page passes a few links.
 func TestOnlyReadersCallTheStore(t *testing.T) {
 	_, gateways := startPartialMesh(t)
 	before := make([]int, len(gateways))
@@ -85,7 +85,7 @@
 // A server starts to leave, and the operator revokes a key. Gateways that are linked to no
 // reader must learn of both from their peers, within the time that a peer's next states
 // take; their own connection to the store is cut.
-func TestChangesReachGatewaysThatHearNoReader(t *testing.T) {
+func TestChangesReachGatewaysNotLinkedToAReader(t *testing.T) {
 	s, gateways := startPartialMesh(t)
 	readers := activeReaders(gateways)
 	require.Len(t, readers, 2)
@@ -109,8 +109,8 @@
 }
 
 // Both gateways that read the store lose power at once, and the others notice it at the
-// same time. New readers must take over before keys expire, and not every gateway may call
-// the store.
+// same time. New readers must take over before API keys are no longer accepted, and not
+// every gateway may call the store.
 func TestReadersAreReplacedAfterLossOfBoth(t *testing.T) {
 	_, gateways := startPartialMesh(t)
 	readers := activeReaders(gateways)
@@ -156,7 +156,7 @@
 // The store is unavailable to all gateways, and then available again. Gateways that are
 // linked must not each retry it on their own: the number of calls would grow with the
 // number of gateways.
-func TestOutageIsNotTriedByEveryone(t *testing.T) {
+func TestOutageCausesNoRetriesByEveryGateway(t *testing.T) {
 	s, gateways := startPartialMesh(t)
 	s.fleet.Store.SetFault(fleet.Busy)
 	before := s.fleet.Store.Calls()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -90,7 +90,8 @@
 const soon = 3 * time.Second
 
 // Gateway a knows the address of b. b gets to know a by its first state, and both must be
-// linked. When b ends, its state must be removed, because its requests have ended with it.
+// linked. When b stops, its state must be removed, because the requests of b
+// have ended with it.
 func TestPeersLinkAndExpire(t *testing.T) {
 	a, receiverA, _ := startManager(t, "a")
 	b, receiverB, stopB := startManager(t, "b")
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -60,7 +60,7 @@
 // Table is the platform's transactional table service.
 type Table interface {
 	// Commit applies txn and returns the new revision of the rows it wrote.
-	// Errors: *ConflictError, ErrUnavailable, ErrUnsettled.
+	// Errors: *ConflictError, ErrUnavailable, ErrOutcomeUnknown.
 	Commit(ctx context.Context, txn Txn) (uint64, error)
 	// Read returns the rows with the given keys, in their order. It omits rows that do not
 	// exist.
