--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -82,7 +82,8 @@
 	generations map[string]*generation
 	// scheduled are the generations whose job the policy keeps.
 	scheduled map[*sched.Job]*generation
-	acts      []sched.Action
+	// acts is the buffer that schedule reuses for the policy's actions.
+	acts []sched.Action
 	// openByTeam counts the scheduled generations of each team.
 	openByTeam map[string]int
 	// openRelays counts the relays in progress, which a drain waits for.
@@ -166,7 +167,7 @@
 // because the engine may start later than its agent.
 func (a *Agent) waitForEngine(ctx context.Context) (engine.Status, error) {
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		status, err := a.engine.Load(ctx)
+		status, err := a.engine.ReadStatus(ctx)
 		if err == nil {
 			return status, nil
 		}
@@ -210,7 +211,7 @@
 	for {
 		select {
 		case <-t.C:
-			if status, err := a.engine.Load(a.ctx); err == nil {
+			if status, err := a.engine.ReadStatus(a.ctx); err == nil {
 				a.engineStatus.Store(&status)
 			}
 		case <-a.ctx.Done():
