--- a/internal/slopes/claims.go
+++ b/internal/slopes/claims.go
@@ -11,33 +11,34 @@
 	"kingcupplank.example/kingcup/storage"
 )
 
-// Claims is what claims of one entry cost the table.
-type Claims struct {
-	// PerSecond is the rate of claims offered.
+// ClaimCost is the load that claims of one entry cause at the table.
+type ClaimCost struct {
+	// PerSecond is the rate of claims.
 	PerSecond float64
-	// Commits and Reads are per claim, from the claim to its outcome.
+	// Commits and Reads are the table operations for one claim and its outcome.
 	Commits, Reads float64
 }
 
-// slowTable answers after the time that a table in another failure domain takes.
-type slowTable struct {
+// delayedTable delays commits by the latency of a table in another failure domain.
+type delayedTable struct {
 	storage.Table
 	delay time.Duration
 }
 
 // Commit implements storage.Table.
-func (s slowTable) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
+func (s delayedTable) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
 	time.Sleep(s.delay)
 	return s.Table.Commit(ctx, txn)
 }
 
-// MeasureClaims claims and finishes keys at several rates with one window.
-func MeasureClaims(window time.Duration) []Claims {
+// MeasureClaims measures the cost of claims at several rates. window is how long an entry collects
+// claims for one transaction.
+func MeasureClaims(window time.Duration) []ClaimCost {
 	const span = 2 * time.Second
-	var out []Claims
+	var out []ClaimCost
 	for _, rate := range []int{2, 50, 400, 2000} {
 		table := tables.New()
-		claims := claim.New(slowTable{table, time.Millisecond}, window)
+		claims := claim.New(delayedTable{table, time.Millisecond}, window)
 		var wg sync.WaitGroup
 		n := int(float64(rate) * span.Seconds())
 		tick := time.NewTicker(time.Second / time.Duration(rate))
@@ -45,9 +46,9 @@
 			<-tick.C
 			wg.Go(func() {
 				key := claim.Key{Team: team, RequestID: fmt.Sprint(i)}
-				held, _, err := claims.Claim(context.Background(), key, claim.Record{Nonce: fmt.Sprint(i)})
+				claimed, _, err := claims.Claim(context.Background(), key, claim.Record{Nonce: fmt.Sprint(i)})
 				if err == nil {
-					claims.Finish(context.Background(), held, []byte("done"))
+					claims.Finish(context.Background(), claimed, []byte("done"))
 				}
 			})
 		}
@@ -55,7 +56,7 @@
 		tick.Stop()
 		claims.Close()
 		c := table.Counts()
-		out = append(out, Claims{float64(rate), float64(c.Commits) / float64(n), float64(c.Reads) / float64(n)})
+		out = append(out, ClaimCost{float64(rate), float64(c.Commits) / float64(n), float64(c.Reads) / float64(n)})
 	}
 	return out
 }
--- a/internal/slopes/clock.go
+++ b/internal/slopes/clock.go
@@ -9,20 +9,20 @@
 	"kingcupplank.example/kingcup/engine"
 )
 
-// clockEngine is an engine whose tokens carry the time at which they were made,
-// so that a caller can tell how long each was on its way.
-type clockEngine struct {
+// timestampEngine is an engine whose tokens contain the time at which they were generated, so that a
+// caller can compute their latency.
+type timestampEngine struct {
 	step   time.Duration
 	tokens uint64
 	epoch  time.Time
 }
 
-func newClockEngine(step time.Duration, tokens uint64, epoch time.Time) *clockEngine {
-	return &clockEngine{step: step, tokens: tokens, epoch: epoch}
+func newTimestampEngine(step time.Duration, tokens uint64, epoch time.Time) *timestampEngine {
+	return &timestampEngine{step: step, tokens: tokens, epoch: epoch}
 }
 
-type clockStream struct {
-	e      *clockEngine
+type timestampStream struct {
+	e      *timestampEngine
 	ctx    context.Context
 	next   uint64
 	at     time.Time
@@ -30,13 +30,13 @@
 	text   [8]byte
 }
 
-// Generate implements engine.Engine. Streams begin at a random phase of a step.
-func (e *clockEngine) Generate(ctx context.Context, _ engine.Request) (engine.Stream, error) {
-	return &clockStream{e: e, ctx: ctx, at: time.Now().Add(rand.N(e.step)), digest: engine.NewDigest()}, nil
+// Generate implements engine.Engine. The first token comes after a random offset of up to one step.
+func (e *timestampEngine) Generate(ctx context.Context, _ engine.Request) (engine.Stream, error) {
+	return &timestampStream{e: e, ctx: ctx, at: time.Now().Add(rand.N(e.step)), digest: engine.NewDigest()}, nil
 }
 
 // Recv implements engine.Stream.
-func (s *clockStream) Recv() (engine.Token, error) {
+func (s *timestampStream) Recv() (engine.Token, error) {
 	if s.next == s.e.tokens {
 		return engine.Token{Index: s.next, End: true, FinishReason: "stop", Digest: s.digest.Sum()}, nil
 	}
@@ -54,26 +54,26 @@
 	return engine.Token{Index: s.next - 1, Text: s.text[:]}, nil
 }
 
-// age is how long ago a token was made.
-func (e *clockEngine) age(text []byte) time.Duration {
+// age returns the time since a token was generated.
+func (e *timestampEngine) age(text []byte) time.Duration {
 	return time.Since(e.epoch) - time.Duration(binary.LittleEndian.Uint64(text))
 }
 
 // Attach implements engine.Engine.
-func (e *clockEngine) Attach(context.Context, string, uint64) (engine.Stream, error) {
+func (e *timestampEngine) Attach(context.Context, string, uint64) (engine.Stream, error) {
 	return nil, engine.ErrUnknownStream
 }
 
 // Cancel implements engine.Engine.
-func (e *clockEngine) Cancel(context.Context, string, uint32) error { return nil }
+func (e *timestampEngine) Cancel(context.Context, string, uint32) error { return nil }
 
 // List implements engine.Engine.
-func (e *clockEngine) List(context.Context) ([]engine.RunningStream, error) { return nil, nil }
+func (e *timestampEngine) List(context.Context) ([]engine.RunningStream, error) { return nil, nil }
 
 // Order implements engine.Engine.
-func (e *clockEngine) Order(context.Context, engine.Order) error { return nil }
+func (e *timestampEngine) Order(context.Context, engine.Order) error { return nil }
 
 // Load implements engine.Engine.
-func (e *clockEngine) Load(context.Context) (engine.Status, error) {
+func (e *timestampEngine) Load(context.Context) (engine.Status, error) {
 	return engine.Status{MemoryCapacity: 1 << 40, Models: []string{model}}, nil
 }
--- a/internal/slopes/fit.go
+++ b/internal/slopes/fit.go
@@ -1,5 +1,5 @@
-// Package slopes measures what one more watched agent, stream, team, row or
-// heartbeat costs, so that docs/CAPACITY.md can be worked out from figures.
+// Package slopes measures the cost of each additional watched agent, stream, team, row and
+// heartbeat. docs/CAPACITY.md is computed from these figures.
 package slopes
 
 import (
@@ -25,34 +25,34 @@
 	Residual float64
 }
 
-// Fit fits a line.
+// Fit returns the least-squares fit through points.
 func Fit(points []Point) Line {
 	n := float64(len(points))
-	var sx, sy, sxx, sxy, most float64
+	var sx, sy, sxx, sxy, maxCost float64
 	for _, p := range points {
 		sx += p.Size
 		sy += p.Cost
 		sxx += p.Size * p.Size
 		sxy += p.Size * p.Cost
-		most = max(most, math.Abs(p.Cost))
+		maxCost = max(maxCost, math.Abs(p.Cost))
 	}
 	l := Line{Slope: (n*sxy - sx*sy) / (n*sxx - sx*sx)}
 	l.Intercept = (sy - l.Slope*sx) / n
 	for _, p := range points {
-		l.Residual = max(l.Residual, math.Abs(p.Cost-l.Intercept-l.Slope*p.Size)/most)
+		l.Residual = max(l.Residual, math.Abs(p.Cost-l.Intercept-l.Slope*p.Size)/maxCost)
 	}
 	return l
 }
 
-// cpu is the processor time that this process has used.
-func cpu() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memory is the heap and stack in use after a collection, in bytes.
-func memory() float64 {
+// memoryInUse returns the heap and stack memory in use after a garbage collection, in bytes.
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -60,49 +60,48 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// counted is a network on loopback that counts what its dialing side sends and
-// receives.
-type counted struct {
+// countingNetwork is a loopback network that counts what the dialing side sends and receives.
+type countingNetwork struct {
 	wire.TCP
-	// Bytes and segments in both directions.
+	// bytes and segments count both directions.
 	bytes, segments atomic.Int64
 }
 
-// segmentOverhead is the IP and TCP header of a segment, with timestamps.
+// segmentOverhead is the size of the IP and TCP headers of a segment with timestamps, in bytes.
 const segmentOverhead = 52
 
-// onWire is what the counted traffic takes on the wire: headers are counted
-// for each write and for the acknowledgement that answers it.
-func (c *counted) onWire() float64 {
+// wireBytes returns the size of the counted traffic on the wire. Headers are counted for each read or
+// write and for its acknowledgment.
+func (c *countingNetwork) wireBytes() float64 {
 	return float64(c.bytes.Load() + 2*segmentOverhead*c.segments.Load())
 }
 
 // Dial implements wire.Network.
-func (c *counted) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (c *countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := c.TCP.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{conn, c}, nil
+	return &countingConn{conn, c}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	c *counted
+	network *countingNetwork
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.c.bytes.Add(int64(n))
-	c.c.segments.Add(1)
+	c.network.bytes.Add(int64(n))
+	c.network.segments.Add(1)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.c.bytes.Add(int64(n))
-	c.c.segments.Add(1)
+	c.network.bytes.Add(int64(n))
+	c.network.segments.Add(1)
 	return n, err
 }
--- a/internal/slopes/fit_test.go
+++ b/internal/slopes/fit_test.go
@@ -16,13 +16,13 @@
 	require.Greater(t, off.Residual, 0.01)
 }
 
-// The slopes that need no load must be measurable in CI, so that the page can be
-// checked against the code.
+// The slopes that need no load must be measurable in CI, so that the capacity page can be compared
+// with the code.
 func TestSmallSlopes(t *testing.T) {
 	c, err := MeasureConfiguration()
 	require.NoError(t, err)
 	require.Equal(t, 1515, c.Rows)
 	require.Greater(t, c.Memory.Slope, 50.0)
 	require.Less(t, c.SnapshotBytes, 200_000)
-	DefaultTarget().print(io.Discard, Watched{}, Streams{}, c)
+	DefaultTarget().print(io.Discard, WatchCost{}, StreamCost{}, c)
 }
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -19,64 +19,64 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// Watched is what watching agents costs, both ends together.
-type Watched struct {
-	// CPU is processor time a heartbeat in microseconds, Bytes what a
-	// heartbeat takes on the wire, Memory bytes a watched agent.
+// WatchCost is the cost of watching agents, of entry and agents together.
+type WatchCost struct {
+	// CPU is the CPU time per heartbeat in microseconds, Bytes the bytes per heartbeat on the wire,
+	// and Memory the bytes of memory per watched agent.
 	CPU, Bytes, Memory Line
-	// Points and MemoryPoints are what CPU and Memory were fitted to.
+	// Points and MemoryPoints are the measurements to which CPU and Memory are fitted.
 	Points, MemoryPoints []Point
 }
 
-// MeasureWatched watches 50 to 200 agents with one entry.
-func MeasureWatched() (Watched, error) {
+// MeasureWatchCost measures one entry that watches 50 to 200 agents.
+func MeasureWatchCost() (WatchCost, error) {
 	const period, span = 100 * time.Millisecond, 3 * time.Second
-	var cpus, bytes, mems []Point
+	var cpus, bytes, memories []Point
 	for _, n := range []int{50, 100, 150, 200} {
-		network := &counted{}
-		sys := newNodes(network, period, time.Minute)
+		network := &countingNetwork{}
+		sys := newProcesses(network, period, time.Minute)
 		for range n {
 			if err := sys.addAgent(nil); err != nil {
-				return Watched{}, err
+				return WatchCost{}, err
 			}
 		}
-		before := memory()
+		before := memoryInUse()
 		if err := sys.addEntry(n); err != nil {
-			return Watched{}, err
+			return WatchCost{}, err
 		}
-		if err := until("all agents watched", func() bool { return sys.connected() == n }); err != nil {
-			return Watched{}, err
+		if err := waitUntil("all agents connected", func() bool { return sys.countConnected() == n }); err != nil {
+			return WatchCost{}, err
 		}
-		mems = append(mems, Point{float64(n), memory() - before})
-		startCPU, startBytes := cpu(), network.onWire()
+		memories = append(memories, Point{float64(n), memoryInUse() - before})
+		startCPU, startBytes := cpuTime(), network.wireBytes()
 		time.Sleep(span)
 		seconds := span.Seconds()
-		cpus = append(cpus, Point{float64(n) / period.Seconds(), float64((cpu() - startCPU).Microseconds()) / seconds})
-		bytes = append(bytes, Point{float64(n) / period.Seconds(), (network.onWire() - startBytes) / seconds})
+		cpus = append(cpus, Point{float64(n) / period.Seconds(), float64((cpuTime() - startCPU).Microseconds()) / seconds})
+		bytes = append(bytes, Point{float64(n) / period.Seconds(), (network.wireBytes() - startBytes) / seconds})
 		sys.close()
 	}
-	return Watched{CPU: Fit(cpus), Bytes: Fit(bytes), Memory: Fit(mems), Points: cpus, MemoryPoints: mems}, nil
+	return WatchCost{CPU: Fit(cpus), Bytes: Fit(bytes), Memory: Fit(memories), Points: cpus, MemoryPoints: memories}, nil
 }
 
-// Streams is what relaying costs.
-type Streams struct {
-	// CPU is processor time a token in microseconds through entry and agent,
-	// beyond a direct call of the engine in the same run.
+// StreamCost is the cost of relaying streams.
+type StreamCost struct {
+	// CPU is the CPU time per token in microseconds through entry and agent, minus that of a
+	// direct call of the engine in the same run.
 	CPU float64
-	// Allocated is bytes a token, beyond the direct call.
+	// Allocated is the allocated bytes per token, minus those of the direct call.
 	Allocated float64
-	// Request is processor time of a request in microseconds.
+	// Request is the CPU time per request in microseconds.
 	Request float64
-	// Memory is bytes a stream in entry, agent, engine and caller together.
+	// Memory is the bytes of memory per stream, of entry, agent, engine and caller together.
 	Memory Line
-	// Direct and Path are quantiles of a token's time on its way, First of
-	// the time to the first token beyond the engine's own step.
+	// Direct and Path are the latency of tokens, DirectFirst and PathFirst the time to the first
+	// token. Direct is a direct call of the engine, Path a call through entry and agent.
 	Direct, Path, DirectFirst, PathFirst Quantiles
 	Streams                              int
 	PerSecond                            float64
 }
 
-// Quantiles of a duration.
+// Quantiles are quantiles of a duration.
 type Quantiles struct{ P50, P95, P99 time.Duration }
 
 func quantiles(d []time.Duration) Quantiles {
@@ -85,74 +85,75 @@
 	return Quantiles{at(0.5), at(0.95), at(0.99)}
 }
 
-// sample gathers the ages of tokens from many callers.
-type sample struct {
+// tokenSample collects the latencies of tokens from concurrent callers.
+type tokenSample struct {
 	mu          sync.Mutex
 	ages, first []time.Duration
 }
 
-func (s *sample) add(ages []time.Duration, first time.Duration) {
+func (s *tokenSample) add(ages []time.Duration, first time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ages = append(s.ages, ages...)
 	s.first = append(s.first, first)
 }
 
-// cost is what a run of many streams took.
-type cost struct {
+// runCost is the cost of a run of many streams. cpu is in microseconds per token, allocated in bytes
+// per token.
+type runCost struct {
 	cpu, allocated float64
 	ages, first    Quantiles
 	elapsed        time.Duration
 }
 
-// runStreams has n callers stream at once, each by one.
-func runStreams(n, tokens int, one func(id int, out *sample)) cost {
-	var out sample
+// runStreams runs n concurrent streams. Each caller runs startStream.
+func runStreams(n, tokens int, startStream func(id int, out *tokenSample)) runCost {
+	var out tokenSample
 	var wg sync.WaitGroup
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	startCPU, began := cpu(), time.Now()
+	startCPU, start := cpuTime(), time.Now()
 	for i := range n {
-		wg.Go(func() { one(i, &out) })
+		wg.Go(func() { startStream(i, &out) })
 	}
 	wg.Wait()
-	elapsed := time.Since(began)
+	elapsed := time.Since(start)
 	total := float64(n * tokens)
-	used := float64((cpu() - startCPU).Microseconds()) / total
+	used := float64((cpuTime() - startCPU).Microseconds()) / total
 	runtime.ReadMemStats(&after)
-	return cost{used, float64(after.TotalAlloc-before.TotalAlloc) / total, quantiles(out.ages), quantiles(out.first), elapsed}
+	return runCost{used, float64(after.TotalAlloc-before.TotalAlloc) / total, quantiles(out.ages), quantiles(out.first), elapsed}
 }
 
-// MeasureStreams relays n streams at once through one entry and one agent, and
-// the same from the engine directly.
-func MeasureStreams(n int) (Streams, error) {
+// MeasureStreams compares n concurrent streams through one entry and one agent with n streams directly
+// from the engine.
+func MeasureStreams(n int) (StreamCost, error) {
 	const step, tokens = 40 * time.Millisecond, 150
 	epoch := time.Now()
-	e := newClockEngine(step, tokens, epoch)
-	sys := newNodes(&counted{}, time.Second, time.Minute)
+	e := newTimestampEngine(step, tokens, epoch)
+	sys := newProcesses(&countingNetwork{}, time.Second, time.Minute)
 	defer sys.close()
 	address, err := sys.addEngine(e)
 	if err != nil {
-		return Streams{}, err
+		return StreamCost{}, err
 	}
-	if err := sys.serve(); err != nil {
-		return Streams{}, err
+	if err := sys.addEntryAndWait(); err != nil {
+		return StreamCost{}, err
 	}
 	conn, err := app.DialGRPC(address)
 	if err != nil {
-		return Streams{}, err
+		return StreamCost{}, err
 	}
 	defer conn.Close()
-	// One round of each warms connections and pools; the second is measured.
-	var direct, path cost
+	// The first round warms up connections and pools. The second one is measured.
+	var direct, path runCost
 	for range 2 {
-		direct = runStreams(n, tokens, func(id int, out *sample) { e.callDirect(engineclient.New(conn), id, out) })
-		path = runStreams(n, tokens, func(id int, out *sample) {
+		direct = runStreams(n, tokens, func(id int, out *tokenSample) { e.callDirect(engineclient.New(conn), id, out) })
+		path = runStreams(n, tokens, func(id int, out *tokenSample) {
 			e.callPath(client.New(client.Options{}, sys.conns[len(sys.conns)-1]), id, out)
 		})
 	}
-	res := Streams{
+	res := StreamCost{
 		CPU: path.cpu - direct.cpu, Allocated: path.allocated - direct.allocated,
 		Direct: direct.ages, Path: path.ages, DirectFirst: direct.first, PathFirst: path.first,
 		Streams: n, PerSecond: float64(n*tokens) / path.elapsed.Seconds(),
@@ -160,18 +161,18 @@
 	return res, nil
 }
 
-// MeasureRequests is the processor time of a request in microseconds through
-// entry and agent, beyond a direct call, with its first token.
+// MeasureRequests returns the CPU time per request with one token through entry and agent, minus that
+// of a direct call, in microseconds.
 func MeasureRequests() (float64, error) {
 	const n, tokens = 2000, 1
-	e := newClockEngine(time.Millisecond, tokens, time.Now())
-	sys := newNodes(&counted{}, time.Second, time.Minute)
+	e := newTimestampEngine(time.Millisecond, tokens, time.Now())
+	sys := newProcesses(&countingNetwork{}, time.Second, time.Minute)
 	defer sys.close()
 	address, err := sys.addEngine(e)
 	if err != nil {
 		return 0, err
 	}
-	if err := sys.serve(); err != nil {
+	if err := sys.addEntryAndWait(); err != nil {
 		return 0, err
 	}
 	conn, err := app.DialGRPC(address)
@@ -179,29 +180,30 @@
 		return 0, err
 	}
 	defer conn.Close()
-	direct := runStreams(n, tokens, func(id int, out *sample) { e.callDirect(engineclient.New(conn), id, out) })
-	path := runStreams(n, tokens, func(id int, out *sample) {
+	direct := runStreams(n, tokens, func(id int, out *tokenSample) { e.callDirect(engineclient.New(conn), id, out) })
+	path := runStreams(n, tokens, func(id int, out *tokenSample) {
 		e.callPath(client.New(client.Options{}, sys.conns[len(sys.conns)-1]), id, out)
 	})
 	return path.cpu - direct.cpu, nil
 }
 
-// serve adds an entry and waits until it sees the agent and serves the team.
-func (n *nodes) serve() error {
+// addEntryAndWait adds an entry and waits until it is connected to the agents and the base
+// configuration is in force.
+func (n *processes) addEntryAndWait() error {
 	if err := n.addEntry(len(n.agents)); err != nil {
 		return err
 	}
 	if _, err := n.apply("base", baseRows()...); err != nil {
 		return err
 	}
-	return until("agent seen", func() bool {
-		return n.connected() == len(n.agents) && n.inForce(1) == len(n.agents)+1
+	return waitUntil("agents connected and base configuration in force", func() bool {
+		return n.countConnected() == len(n.agents) && n.countAtVersion(1) == len(n.agents)+1
 	})
 }
 
-func (e *clockEngine) callDirect(eng engine.Engine, id int, out *sample) {
+func (e *timestampEngine) callDirect(eng engine.Engine, id int, out *tokenSample) {
 	var ages []time.Duration
-	began := time.Now()
+	start := time.Now()
 	var first time.Duration
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -212,39 +214,39 @@
 			break
 		}
 		if t.Index == 0 {
-			first = time.Since(began)
+			first = time.Since(start)
 		}
 		ages = append(ages, e.age(t.Text))
 	}
 	out.add(ages, first)
 }
 
-func (e *clockEngine) callPath(c *client.Client, id int, out *sample) {
+func (e *timestampEngine) callPath(c *client.Client, id int, out *tokenSample) {
 	var ages []time.Duration
-	began := time.Now()
+	start := time.Now()
 	var first time.Duration
 	req := &kingcupv1.GenerateRequest{Team: team, RequestId: fmt.Sprint(id), Model: model}
 	c.Generate(context.Background(), req, client.Handler{Token: func(t client.Token) {
 		if t.Index == 0 {
-			first = time.Since(began)
+			first = time.Since(start)
 		}
 		ages = append(ages, e.age(t.Text))
 	}})
 	out.add(ages, first)
 }
 
-// MeasureStreamMemory opens idle streams and weighs them.
+// MeasureStreamMemory measures the memory of idle streams.
 func MeasureStreamMemory() (Line, error) {
 	var points []Point
 	for _, n := range []int{200, 400, 800} {
-		sys := newNodes(&counted{}, time.Second, time.Minute)
-		if _, err := sys.addEngine(newClockEngine(time.Hour, 1, time.Now())); err != nil {
+		sys := newProcesses(&countingNetwork{}, time.Second, time.Minute)
+		if _, err := sys.addEngine(newTimestampEngine(time.Hour, 1, time.Now())); err != nil {
 			return Line{}, err
 		}
-		if err := sys.serve(); err != nil {
+		if err := sys.addEntryAndWait(); err != nil {
 			return Line{}, err
 		}
-		before := memory()
+		before := memoryInUse()
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg, started sync.WaitGroup
 		started.Add(n)
@@ -256,7 +258,7 @@
 			})
 		}
 		started.Wait()
-		points = append(points, Point{float64(n), memory() - before})
+		points = append(points, Point{float64(n), memoryInUse() - before})
 		cancel()
 		wg.Wait()
 		sys.close()
@@ -264,9 +266,10 @@
 	return Fit(points), nil
 }
 
-// Configuration is what the configuration costs at the target size.
-type Configuration struct {
-	// Memory is bytes a row, Apply microseconds a change at all rows.
+// ConfigurationCost is the cost of the configuration at the target size.
+type ConfigurationCost struct {
+	// Memory is the bytes of memory per row. Apply is the time to apply a change to a configuration
+	// of all rows.
 	Memory                    Line
 	Apply                     time.Duration
 	SnapshotBytes, DeltaBytes int
@@ -281,11 +284,12 @@
 	return &kingcupv1.Row{Row: &kingcupv1.Row_Team{Team: t}}
 }
 
-// MeasureConfiguration weighs states of up to 1,500 teams and 15 models.
-func MeasureConfiguration() (Configuration, error) {
+// MeasureConfiguration measures configurations of up to 1,515 rows, the size of 1,500 teams and 15
+// models.
+func MeasureConfiguration() (ConfigurationCost, error) {
 	const rows = 1515
 	var points []Point
-	var out Configuration
+	var out ConfigurationCost
 	for _, n := range []int{500, 1000, rows} {
 		snap := &kingcupv1.Snapshot{Version: 1}
 		for i := range n {
@@ -296,33 +300,33 @@
 			return out, err
 		}
 		snap = nil
-		before := memory()
+		before := memoryInUse()
 		in := &kingcupv1.Snapshot{}
 		if err := proto.Unmarshal(raw, in); err != nil {
 			return out, err
 		}
 		state := conf.FromSnapshot(in)
 		in = nil
-		points = append(points, Point{float64(n), memory() - before})
+		points = append(points, Point{float64(n), memoryInUse() - before})
 		out.SnapshotBytes, out.Rows = len(raw), n
 		delta := &kingcupv1.Delta{Version: 2, ChangeId: "change-0001", Puts: []*kingcupv1.Row{teamRow(1)}}
 		out.DeltaBytes = proto.Size(delta)
 		const rounds = 100
-		began := time.Now()
+		start := time.Now()
 		for range rounds {
 			if _, err := state.WithDelta(delta); err != nil {
 				return out, err
 			}
 		}
-		out.Apply = time.Since(began) / rounds
+		out.Apply = time.Since(start) / rounds
 		runtime.KeepAlive(state)
 	}
 	out.Memory = Fit(points)
 	return out, nil
 }
 
-// Spread is how long a change takes to be in force at all processes.
-type Spread struct {
+// Propagation is the time that a change takes to be in force at all processes.
+type Propagation struct {
 	Processes      int
 	Accepted       time.Duration
 	WithStore      time.Duration
@@ -330,13 +334,13 @@
 	Reads, Commits float64
 }
 
-// MeasureSpread makes changes at systems of several sizes, with the store and
-// with the store gone as soon as the change is accepted.
-func MeasureSpread() ([]Spread, error) {
-	var out []Spread
+// MeasurePropagation makes changes in systems of several sizes: with the store, and with a store
+// outage from the moment at which the change is accepted.
+func MeasurePropagation() ([]Propagation, error) {
+	var out []Propagation
 	for _, n := range []int{40, 80, 160} {
-		sys := newNodes(&counted{}, time.Second, 4*time.Second)
-		s, err := sys.spread(n)
+		sys := newProcesses(&countingNetwork{}, time.Second, 4*time.Second)
+		s, err := sys.measurePropagation(n)
 		sys.close()
 		if err != nil {
 			return nil, err
@@ -346,10 +350,10 @@
 	return out, nil
 }
 
-func (n *nodes) spread(size int) (Spread, error) {
+func (n *processes) measurePropagation(size int) (Propagation, error) {
 	const agentLinks = 16
 	entries := size * 2 / 7
-	s := Spread{Processes: size}
+	s := Propagation{Processes: size}
 	for range size - entries {
 		if err := n.addAgent(nil); err != nil {
 			return s, err
@@ -361,40 +365,40 @@
 		}
 	}
 	want := entries * min(agentLinks, size-entries)
-	if err := until("agents watched", func() bool { return n.connected() >= want }); err != nil {
+	if err := waitUntil("agents connected", func() bool { return n.countConnected() >= want }); err != nil {
 		return s, err
 	}
 	if _, err := n.apply("base", baseRows()...); err != nil {
 		return s, err
 	}
-	if err := until("base in force", func() bool { return n.inForce(1) == size }); err != nil {
+	if err := waitUntil("base configuration in force", func() bool { return n.countAtVersion(1) == size }); err != nil {
 		return s, err
 	}
-	before, began := n.table.Counts(), time.Now()
+	before, start := n.table.Counts(), time.Now()
 	var err error
-	if s.Accepted, s.WithStore, err = n.change("with", size, false); err != nil {
+	if s.Accepted, s.WithStore, err = n.measureChange("with", size, false); err != nil {
 		return s, err
 	}
 	after := n.table.Counts()
 	s.Commits = float64(after.Commits - before.Commits)
-	s.Reads = float64(after.Reads-before.Reads) / time.Since(began).Seconds()
-	_, s.WithoutStore, err = n.change("without", size, true)
+	s.Reads = float64(after.Reads-before.Reads) / time.Since(start).Seconds()
+	_, s.WithoutStore, err = n.measureChange("without", size, true)
 	return s, err
 }
 
-func (n *nodes) change(id string, size int, outage bool) (accepted, inForce time.Duration, err error) {
-	began := time.Now()
+func (n *processes) measureChange(id string, size int, outage bool) (accepted, countAtVersion time.Duration, err error) {
+	start := time.Now()
 	resp, err := n.apply(id, teamRow(1))
 	if err != nil {
 		return 0, 0, err
 	}
 	n.table.SetOutage(outage)
-	accepted = time.Since(began)
-	err = until("change in force", func() bool { return n.inForce(resp.GetVersion()) == size })
-	return accepted, time.Since(began), err
+	accepted = time.Since(start)
+	err = waitUntil("change in force", func() bool { return n.countAtVersion(resp.GetVersion()) == size })
+	return accepted, time.Since(start), err
 }
 
-// listBytes is the size of the VM list's answer at the target size.
+// listBytes returns the size of the VM list response at the target size.
 func (t Target) listBytes() int {
 	list := &platformv1.ListVmsResponse{}
 	for i := range t.Entries + t.Servers {
--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -21,15 +21,15 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// Names of the measured configuration.
+// Names in the configuration of the measured system.
 const (
 	model   = "m"
 	service = "s"
 	team    = "t"
 )
 
-// nodes are light processes in this one, on loopback.
-type nodes struct {
+// processes are agents and entries that run in this process and communicate over loopback.
+type processes struct {
 	table    *tables.Table
 	network  wire.Network
 	log      logrus.FieldLogger
@@ -37,50 +37,51 @@
 	entries  []*app.Entry
 	conns    []*grpc.ClientConn
 	standins standin.Servers
-	// heartbeat and poll are the periods of the entries and of all nodes.
-	heartbeat, poll time.Duration
+	// heartbeat is the heartbeat interval of the entries, configPoll the poll interval for the
+	// configuration of all processes.
+	heartbeat, configPoll time.Duration
 }
 
-func newNodes(network wire.Network, heartbeat, poll time.Duration) *nodes {
+func newProcesses(network wire.Network, heartbeat, configPoll time.Duration) *processes {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	return &nodes{table: tables.New(), network: network, log: quiet, heartbeat: heartbeat, poll: poll}
+	return &processes{table: tables.New(), network: network, log: quiet, heartbeat: heartbeat, configPoll: configPoll}
 }
 
-// measuredBatch is above any number of streams that is measured.
-const measuredBatch = 1 << 14
+// maxMeasuredStreams is higher than any number of streams that is measured.
+const maxMeasuredStreams = 1 << 14
 
 // numDomains is the number of failure domains of the target size.
 const numDomains = 8
 
-func (n *nodes) common(role string, i int) (app.CommonOptions, error) {
+func (n *processes) commonOptions(role string, i int) (app.CommonOptions, error) {
 	inner, err := standin.FreeAddress()
 	return app.CommonOptions{
 		Name: fmt.Sprintf("%s-%d", role, i), FailureDomain: fmt.Sprintf("d%d", i%numDomains),
-		InnerAddress: inner, ConfigPoll: n.poll, ConfigStale: time.Minute,
+		InnerAddress: inner, ConfigPoll: n.configPoll, ConfigStale: time.Minute,
 	}, err
 }
 
-func (n *nodes) platform() app.Platform {
+func (n *processes) platform() app.Platform {
 	return app.Platform{Table: n.table, Objects: n.table, VMs: n.table}
 }
 
-// addAgent starts an agent before e, or before a plain service if e is nil.
-func (n *nodes) addAgent(e engine.Engine) error {
-	c, err := n.common("agent", len(n.agents))
+// addAgent starts an agent for the engine e, or for a service if e is nil.
+func (n *processes) addAgent(e engine.Engine) error {
+	c, err := n.commonOptions("agent", len(n.agents))
 	if err != nil {
 		return err
 	}
 	o := app.DefaultAgentOptions(c)
-	// Streams must not queue: what is measured is the relay.
-	o.Policy.MaxBatch = measuredBatch
+	// Only the relay is measured, so streams must not queue.
+	o.Policy.MaxBatch = maxMeasuredStreams
 	b, serves := app.Backend{Service: services.New()}, service
 	if e != nil {
 		b, serves = app.Backend{Engine: e}, model
 	} else {
 		o.Services = []string{service}
 	}
-	// The server side is not counted: the dialing side sees all traffic.
+	// The agent uses a network that does not count, since the dialing side counts all traffic.
 	a, err := app.StartAgent(context.Background(), o, b, n.platform(), wire.TCP{}, n.log)
 	if err != nil {
 		return err
@@ -91,8 +92,8 @@
 }
 
 // addEntry starts an entry that watches at most links agents.
-func (n *nodes) addEntry(links int) error {
-	c, err := n.common("entry", len(n.entries))
+func (n *processes) addEntry(links int) error {
+	c, err := n.commonOptions("entry", len(n.entries))
 	if err != nil {
 		return err
 	}
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// addEngine serves e by gRPC and starts an agent before it.
-func (n *nodes) addEngine(e engine.Engine) (string, error) {
+// addEngine serves e over gRPC and starts an agent for it. It returns the address of the engine.
+func (n *processes) addEngine(e engine.Engine) (string, error) {
 	address, err := n.standins.ServeEngine(e, "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -127,7 +128,7 @@
 	return address, n.addAgent(engineclient.New(conn))
 }
 
-func (n *nodes) close() {
+func (n *processes) close() {
 	for _, c := range n.conns {
 		c.Close()
 	}
@@ -141,12 +142,12 @@
 }
 
 // apply commits rows through the first entry.
-func (n *nodes) apply(id string, rows ...*kingcupv1.Row) (*kingcupv1.ApplyResponse, error) {
+func (n *processes) apply(id string, rows ...*kingcupv1.Row) (*kingcupv1.ApplyResponse, error) {
 	return n.entries[0].Entry.Apply(context.Background(), &kingcupv1.ApplyRequest{ChangeId: id, Puts: rows})
 }
 
-// inForce counts the processes that have version in force.
-func (n *nodes) inForce(version uint64) int {
+// countAtVersion counts the processes whose configuration has at least a version.
+func (n *processes) countAtVersion(version uint64) int {
 	count := 0
 	for _, a := range n.agents {
 		if a.Sync.Replica().Version() >= version {
@@ -161,8 +162,8 @@
 	return count
 }
 
-// connected counts the sessions of all entries to agents.
-func (n *nodes) connected() int {
+// countConnected counts the sessions of all entries to agents.
+func (n *processes) countConnected() int {
 	count := 0
 	for _, e := range n.entries {
 		resp, err := e.Entry.BackendServers(context.Background(), nil)
@@ -178,25 +179,25 @@
 	return count
 }
 
-const settleBound = time.Minute
+const settleTimeout = time.Minute
 
-// until polls done; it fails after a bound.
-func until(what string, done func() bool) error {
+// waitUntil polls done until it returns true. It returns an error after settleTimeout.
+func waitUntil(what string, done func() bool) error {
 	const poll = 2 * time.Millisecond
-	deadline := time.Now().Add(settleBound)
+	deadline := time.Now().Add(settleTimeout)
 	for !done() {
 		if time.Now().After(deadline) {
-			return errors.Errorf("never: %s", what)
+			return errors.Errorf("timed out: %s", what)
 		}
 		time.Sleep(poll)
 	}
 	return nil
 }
 
-// teamModels are what each of the many measured teams may use.
+// teamModels are the models that each of the measured teams may use.
 var teamModels = []string{"model-01", "model-02", "model-03"}
 
-// baseRows let team use model and service.
+// baseRows returns a configuration in which team may use model and service.
 func baseRows() []*kingcupv1.Row {
 	rows := []*kingcupv1.Row{
 		{Row: &kingcupv1.Row_Priority{Priority: &kingcupv1.Priority{Name: "interactive", Level: 1}}},
--- a/internal/slopes/report.go
+++ b/internal/slopes/report.go
@@ -9,31 +9,31 @@
 	"kingcupplank.example/kingcup/internal/entry"
 )
 
-// Target is the size that the system is designed for.
+// Target is the size for which the system is designed.
 type Target struct {
 	Entries, Servers                        int
 	Requests, Tokens                        float64
 	Teams, Models                           int
 	ChangesPerDay                           float64
-	Poll, Heartbeat                         time.Duration
+	PollInterval, HeartbeatInterval         time.Duration
 	AgentLinks, PeersPerEntry, ClaimWriters int
-	Claimed                                 float64
+	ClaimedFraction                         float64
 }
 
-// DefaultTarget is the plan of the users for the next two years. The share of
-// non-idempotent requests is assumed.
+// DefaultTarget returns the size that the users plan for the next two years. The fraction of
+// non-idempotent requests is an assumption.
 func DefaultTarget() Target {
 	return Target{
 		Entries: 330, Servers: 830, Requests: 8300, Tokens: 2.2e6, Teams: 1500, Models: 15,
-		ChangesPerDay: 430, Poll: 4 * time.Second, Heartbeat: time.Second,
-		AgentLinks: 96, PeersPerEntry: 4, ClaimWriters: 8, Claimed: 0.05,
+		ChangesPerDay: 430, PollInterval: 4 * time.Second, HeartbeatInterval: time.Second,
+		AgentLinks: 96, PeersPerEntry: 4, ClaimWriters: 8, ClaimedFraction: 0.05,
 	}
 }
 
 // Report measures every slope and prints the table of docs/CAPACITY.md.
 func Report(w io.Writer) error {
 	t := DefaultTarget()
-	watched, err := MeasureWatched()
+	watched, err := MeasureWatchCost()
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	for _, cl := range MeasureClaims(3 * time.Millisecond) {
 		fmt.Fprintf(w, "claims at %.0f/s at one entry: %.2f commits, %.2f reads a claim with its outcome\n", cl.PerSecond, cl.Commits, cl.Reads)
 	}
-	spreads, err := MeasureSpread()
+	spreads, err := MeasurePropagation()
 	if err != nil {
 		return err
 	}
@@ -72,8 +72,8 @@
 	return nil
 }
 
-func reportStreams(w io.Writer) (Streams, error) {
-	var last Streams
+func reportStreams(w io.Writer) (StreamCost, error) {
+	var last StreamCost
 	var err error
 	for _, n := range []int{100, 1000} {
 		s, err := MeasureStreams(n)
@@ -100,14 +100,14 @@
 	return last, nil
 }
 
-// readsAtStart are a process's first looks at the head, the deltas and the list.
-const readsAtStart = 3
+// startupReads is the number of reads of a starting process: the head, the deltas and the VM list.
+const startupReads = 3
 
-// print works the target out from the slopes.
-func (t Target) print(w io.Writer, watched Watched, s Streams, c Configuration) {
+// print prints the cost at the target size, computed from the slopes.
+func (t Target) print(w io.Writer, watched WatchCost, s StreamCost, c ConfigurationCost) {
 	links := float64(t.AgentLinks + t.PeersPerEntry + t.ClaimWriters)
 	watchers := float64(t.Entries) * float64(t.AgentLinks) / float64(t.Servers)
-	beats := 1 / t.Heartbeat.Seconds()
+	heartbeatsPerSecond := 1 / t.HeartbeatInterval.Seconds()
 	config := c.Memory.Slope * float64(t.Teams+t.Models) / 1024 / 1024
 	list := time.Duration(t.Entries+t.Servers) * entry.ListIntervalPerVM
 	listRate := float64(t.listBytes()) / list.Seconds()
@@ -120,33 +120,33 @@
 		links float64
 		other float64
 	}{{"entry", links, listRate}, {"agent", watchers, 0}} {
-		n := r.links * beats
+		n := r.links * heartbeatsPerSecond
 		fmt.Fprintf(w, "| %s | %.0f | %.0f | %.2f %% | %.1f | %.1f links + %.1f configuration |\n", r.name, r.links, n,
 			n*watched.CPU.Slope/1e6*100, (n*watched.Bytes.Slope+r.other)/1024, r.links*watched.Memory.Slope/1024/1024, config)
 	}
 	fmt.Fprintln(w, "\n## Data at the target size, a node")
 	fmt.Fprintln(w, "| role | requests/s | tokens/s | streams | cores | memory MB of streams |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|")
-	const between = 0.033
+	const secondsPerToken = 0.033
 	for _, r := range []struct {
-		name  string
-		nodes int
+		name      string
+		processes int
 	}{{"entry", t.Entries}, {"agent", t.Servers}} {
-		tokens := t.Tokens / float64(r.nodes)
-		open := tokens * between
-		requests := t.Requests / float64(r.nodes)
+		tokens := t.Tokens / float64(r.processes)
+		openStreams := tokens * secondsPerToken
+		requests := t.Requests / float64(r.processes)
 		cores := (tokens*s.CPU + requests*s.Request) / 1e6
-		fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.2f | %.0f |\n", r.name, requests, tokens, open, cores, open*s.Memory.Slope/1024/1024)
+		fmt.Fprintf(w, "| %s | %.0f | %.0f | %.0f | %.2f | %.0f |\n", r.name, requests, tokens, openStreams, cores, openStreams*s.Memory.Slope/1024/1024)
 	}
 	processes := float64(t.Entries + t.Servers)
 	fmt.Fprintln(w, "\n## Platform table at the target size")
 	fmt.Fprintf(w, "reads/s: configuration heads %.0f, VM lists %.0f, deltas in the %v after a change %.0f\n",
-		processes/t.Poll.Seconds(), float64(t.Entries)/list.Seconds(), t.Poll, processes/t.Poll.Seconds())
-	wave := processes / numDomains
+		processes/t.PollInterval.Seconds(), float64(t.Entries)/list.Seconds(), t.PollInterval, processes/t.PollInterval.Seconds())
+	restarting := processes / numDomains
 	fmt.Fprintf(w, "a failure domain's %.0f processes back at once: %.0f reads (head, deltas, list) and %.0f snapshots of %d bytes\n",
-		wave, wave*readsAtStart, wave, c.SnapshotBytes)
-	rows := 2 * t.Claimed * t.Requests
-	most := float64(t.ClaimWriters) / claim.ForwardedWindow.Seconds()
+		restarting, restarting*startupReads, restarting, c.SnapshotBytes)
+	rows := 2 * t.ClaimedFraction * t.Requests
+	maxTransactions := float64(t.ClaimWriters) / claim.ForwardedWindow.Seconds()
 	fmt.Fprintf(w, "writes/s: changes %.4f; at %.0f %% non-idempotent %.0f rows of claims and outcomes in at most %.0f transactions\n",
-		t.ChangesPerDay/86400, 100*t.Claimed, rows, min(rows, most))
+		t.ChangesPerDay/86400, 100*t.ClaimedFraction, rows, min(rows, maxTransactions))
 }
