--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -7,78 +7,78 @@
 	"kingcupplank.example/kingcup/sched"
 )
 
-// Engine describes the fake engine: continuous batching with a step time that
-// grows with the batch, its context and the prompt tokens taken in.
+// Engine describes the simulated engine. It uses continuous batching, and its step time grows with
+// the batch, its context and the prompt tokens that it processes.
 type Engine struct {
-	// Memory is in tokens, given out in blocks.
-	Memory int
-	Base   time.Duration
-	// PerStream, PerContext and PerPrefill are the cost of one stream, of one
-	// thousand tokens of context, and of one prompt token in a step.
+	// Memory is in tokens and is allocated in blocks of blockTokens.
+	Memory       int
+	BaseStepTime time.Duration
+	// PerStream, PerContext and PerPrefill are the step time for one stream, for one thousand
+	// tokens of context, and for one prompt token.
 	PerStream, PerContext, PerPrefill time.Duration
 	// PrefillBudget bounds the prompt tokens of one step.
 	PrefillBudget int
-	// CachedPrompt is the share of a prompt that the prefix cache holds when a
-	// team has run lately.
-	CachedPrompt float64
+	// CachedPromptFraction is the fraction of a prompt that the prefix cache contains when a stream
+	// starts for the first time, from recent requests of the same team.
+	CachedPromptFraction float64
 }
 
-// DefaultEngine is like a mid-sized model on one server.
+// DefaultEngine resembles a mid-sized model on one server.
 func DefaultEngine() Engine {
 	return Engine{
-		Memory: 64000, Base: 20 * time.Millisecond, PerStream: 30 * time.Microsecond,
+		Memory: 64000, BaseStepTime: 20 * time.Millisecond, PerStream: 30 * time.Microsecond,
 		PerContext: 30 * time.Microsecond, PerPrefill: 40 * time.Microsecond,
-		PrefillBudget: 512, CachedPrompt: 0.3,
+		PrefillBudget: 512, CachedPromptFraction: 0.3,
 	}
 }
 
-const block = 16
+const blockTokens = 16
 
-func blocks(tokens int) int { return (tokens + block - 1) / block * block }
+func roundUpToBlock(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
 
-// running is one stream at the engine.
-type running struct {
+// stream is one request that has been offered to the policy and has not ended.
+type stream struct {
 	job     *sched.Job
 	arrival Arrival
 	team    *Team
 	prefill int
 	emitted int
-	// last is when the caller got its last token; 0 before the first.
-	last    time.Duration
-	onBatch bool
+	// lastTokenAt is when the caller got its last token, 0 before the first.
+	lastTokenAt time.Duration
+	inBatch     bool
 }
 
-func (r *running) context() int { return r.arrival.Prompt + r.emitted }
+func (r *stream) context() int { return r.arrival.Prompt + r.emitted }
 
-// sim runs one policy over one load.
-type sim struct {
+// simulation runs one policy on one load.
+type simulation struct {
 	engine   Engine
 	policy   sched.Policy
 	teams    []Team
 	now      time.Duration
-	batch    []*running
-	jobs     map[*sched.Job]*running
+	batch    []*stream
+	jobs     map[*sched.Job]*stream
 	out      *Result
-	acts     []sched.Action
+	actions  []sched.Action
 	arrivals int
 }
 
-// followFor is longer than the longest output takes at the slowest step.
-const followFor = 15 * time.Minute
+// maxDrainTime is longer than the longest output takes with the slowest step.
+const maxDrainTime = 15 * time.Minute
 
-// Run measures a policy over a load that ends after length; streams that run
-// then are followed to their end.
+// Run measures a policy on a load that ends after length. Streams that run at that time are simulated
+// to their end, for at most maxDrainTime.
 func Run(e Engine, p sched.Policy, teams []Team, load []Arrival, length time.Duration) *Result {
-	s := &sim{engine: e, policy: p, teams: teams, jobs: make(map[*sched.Job]*running), out: newResult(teams, length)}
+	s := &simulation{engine: e, policy: p, teams: teams, jobs: make(map[*sched.Job]*stream), out: newResult(teams, length)}
 	next := 0
-	for s.now < length+followFor && (next < len(load) || len(s.jobs) > 0) {
+	for s.now < length+maxDrainTime && (next < len(load) || len(s.jobs) > 0) {
 		for next < len(load) && load[next].At <= s.now {
 			s.offer(load[next])
 			next++
 		}
-		s.act()
+		s.applyActions()
 		if len(s.batch) == 0 {
-			s.idle(load, next)
+			s.advanceIdle(load, next)
 			continue
 		}
 		s.step()
@@ -89,14 +89,14 @@
 
 const idleStep = 10 * time.Millisecond
 
-func (s *sim) idle(load []Arrival, next int) {
+func (s *simulation) advanceIdle(load []Arrival, next int) {
 	s.now += idleStep
 	if len(s.jobs) == 0 && next < len(load) {
 		s.now = max(s.now, load[next].At)
 	}
 }
 
-func (s *sim) offer(a Arrival) {
+func (s *simulation) offer(a Arrival) {
 	t := &s.teams[a.Team]
 	s.arrivals++
 	j := &sched.Job{
@@ -108,33 +108,33 @@
 		s.out.class(t).Refused++
 		return
 	}
-	s.jobs[j] = &running{job: j, arrival: a, team: t, emitted: a.Emitted}
+	s.jobs[j] = &stream{job: j, arrival: a, team: t, emitted: a.Emitted}
 }
 
-func (s *sim) act() {
-	s.acts = s.policy.Tick(s.now, s.acts[:0])
-	for _, act := range s.acts {
-		r := s.jobs[act.Job]
-		switch act.Kind {
+func (s *simulation) applyActions() {
+	s.actions = s.policy.Tick(s.now, s.actions[:0])
+	for _, applyActions := range s.actions {
+		r := s.jobs[applyActions.Job]
+		switch applyActions.Kind {
 		case sched.Start:
 			s.start(r)
 		case sched.Pause:
-			s.takeOff(r)
-			s.preempted(r)
+			s.removeFromBatch(r)
+			s.countPreemption(r)
 		case sched.Expire:
 			s.out.class(r.team).Refused++
-			delete(s.jobs, act.Job)
+			delete(s.jobs, applyActions.Job)
 		}
 	}
 }
 
-func (s *sim) start(r *running) {
+func (s *simulation) start(r *stream) {
 	r.prefill = r.context()
 	if r.emitted == r.arrival.Emitted {
-		r.prefill -= int(s.engine.CachedPrompt * float64(r.arrival.Prompt))
+		r.prefill -= int(s.engine.CachedPromptFraction * float64(r.arrival.Prompt))
 	}
-	r.onBatch = true
-	// Higher priorities come first on the batch, and so in the prefill budget.
+	r.inBatch = true
+	// Higher priorities come first in the batch and so get the prefill budget first.
 	i := len(s.batch)
 	for i > 0 && s.batch[i-1].team.Level < r.team.Level {
 		i--
@@ -142,100 +142,100 @@
 	s.batch = slices.Insert(s.batch, i, r)
 }
 
-func (s *sim) takeOff(r *running) {
-	r.onBatch = false
-	s.batch = slices.DeleteFunc(s.batch, func(o *running) bool { return o == r })
+func (s *simulation) removeFromBatch(r *stream) {
+	r.inBatch = false
+	s.batch = slices.DeleteFunc(s.batch, func(o *stream) bool { return o == r })
 }
 
-// preempted counts a stream that lost its place; its context is computed anew
-// when it continues.
-func (s *sim) preempted(r *running) {
+// countPreemption counts a stream that was removed from the batch. Its context is computed again when
+// it continues.
+func (s *simulation) countPreemption(r *stream) {
 	c := s.out.class(r.team)
 	c.Preemptions++
 	c.TokensLost += r.context()
 }
 
-// step runs the batch once.
-func (s *sim) step() {
-	s.makeRoom()
+// step simulates one step of the batch.
+func (s *simulation) step() {
+	s.freeMemory()
 	budget := s.engine.PrefillBudget
-	taken, context := 0, 0
-	decoding := 0
+	prefillTokens, context := 0, 0
+	decodingStreams := 0
 	for _, r := range s.batch {
 		context += r.context()
 		if r.prefill > 0 {
 			n := min(budget, r.prefill)
 			r.prefill -= n
 			budget -= n
-			taken += n
+			prefillTokens += n
 			continue
 		}
-		decoding++
+		decodingStreams++
 	}
-	s.now += s.engine.Base + time.Duration(decoding)*s.engine.PerStream +
-		time.Duration(context)*s.engine.PerContext/1000 + time.Duration(taken)*s.engine.PerPrefill
+	s.now += s.engine.BaseStepTime + time.Duration(decodingStreams)*s.engine.PerStream +
+		time.Duration(context)*s.engine.PerContext/1000 + time.Duration(prefillTokens)*s.engine.PerPrefill
 	s.emit()
 }
 
-// emit gives every decoding stream one token.
-func (s *sim) emit() {
+// emit generates one token of every stream whose prompt is processed.
+func (s *simulation) emit() {
 	batch := s.batch
-	keep := make([]*running, 0, len(batch))
+	remaining := make([]*stream, 0, len(batch))
 	for _, r := range batch {
 		if r.prefill > 0 {
-			keep = append(keep, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		r.emitted++
-		s.out.token(r, s.now)
-		r.last = s.now
+		s.out.recordToken(r, s.now)
+		r.lastTokenAt = s.now
 		s.policy.Progress(r.job, r.emitted)
 		if r.arrival.Cancel > 0 && r.emitted >= r.arrival.Cancel {
 			s.cancel(r)
 			continue
 		}
 		if r.emitted < r.arrival.Length {
-			keep = append(keep, r)
+			remaining = append(remaining, r)
 			continue
 		}
-		s.out.finished(r)
+		s.out.recordFinished(r)
 		delete(s.jobs, r.job)
 		s.policy.Finish(s.now, r.job, true)
 	}
-	s.batch = keep
+	s.batch = remaining
 }
 
-func (s *sim) cancel(r *running) {
-	s.out.class(r.team).Cancelled++
+func (s *simulation) cancel(r *stream) {
+	s.out.class(r.team).Canceled++
 	delete(s.jobs, r.job)
 	s.policy.Finish(s.now, r.job, false)
 }
 
-// makeRoom is the engine's own last resort: it takes the lowest priority's latest
-// arrival off until the next token of every stream fits.
-func (s *sim) makeRoom() {
+// freeMemory preempts streams until the next token of every stream fits into memory. The engine
+// chooses the latest arrival of the lowest priority. It does so whatever the policy is.
+func (s *simulation) freeMemory() {
 	for {
 		used := 0
 		for _, r := range s.batch {
-			used += blocks(r.context() + 1)
+			used += roundUpToBlock(r.context() + 1)
 		}
 		if used <= s.engine.Memory || len(s.batch) == 1 {
 			return
 		}
 		victim := s.batch[0]
 		for _, r := range s.batch {
-			if yields(r, victim) {
+			if isEvictedBefore(r, victim) {
 				victim = r
 			}
 		}
-		s.takeOff(victim)
-		s.preempted(victim)
+		s.removeFromBatch(victim)
+		s.countPreemption(victim)
 		s.policy.Evicted(s.now, victim.job)
 	}
 }
 
-// yields reports whether the engine takes a off before b.
-func yields(a, b *running) bool {
+// isEvictedBefore reports whether the engine preempts a before b.
+func isEvictedBefore(a, b *stream) bool {
 	if a.team.Level != b.team.Level {
 		return a.team.Level < b.team.Level
 	}
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -11,15 +11,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotLoad is the load that the plot shows.
+// plotLoad is the load in the plot, as a multiple of capacity.
 const plotLoad = 1.3
 
-var colours = []color.RGBA{
+var colors = []color.RGBA{
 	{200, 60, 60, 255}, {220, 150, 40, 255}, {120, 120, 120, 255}, {30, 90, 180, 255},
 }
 
-// Plot writes a PNG with the share of small teams' gaps between tokens that are
-// longer than a given time, for every contender.
+// Plot writes a PNG that shows for every contender the fraction of small teams' gaps between tokens
+// that are longer than a given time.
 func Plot(file string, d Deployment, contenders []Contender, o Options) error {
 	o.Loads = []float64{plotLoad}
 	p := plot.New()
@@ -29,11 +29,11 @@
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, ticks(20, 50, 100, 200, 500, 1000, 2000, 5000)
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, ticks(1e-6, 1e-5, 1e-4, 1e-3, 1e-2, 1e-1, 1)
 	for i, row := range Measure(d, contenders, o) {
-		line, err := plotter.NewLine(tail(row))
+		line, err := plotter.NewLine(tailDistribution(row))
 		if err != nil {
 			return errors.Wrap(err, "plot")
 		}
-		line.Color, line.Width = colours[i%len(colours)], vg.Points(1.5)
+		line.Color, line.Width = colors[i%len(colors)], vg.Points(1.5)
 		p.Add(line)
 		p.Legend.Add(row.Policy, line)
 	}
@@ -49,9 +49,10 @@
 	return out
 }
 
-// tail is the complementary distribution of small teams' gaps over all seeds.
-func tail(row Row) plotter.XYs {
-	const least = 1e-6
+// tailDistribution returns the complementary cumulative distribution of small teams' gaps over all
+// seeds.
+func tailDistribution(row Row) plotter.XYs {
+	const minShare = 1e-6
 	sum := histogram{}
 	for _, r := range row.Results {
 		h := &r.Small.between
@@ -70,8 +71,8 @@
 		if n == 0 {
 			continue
 		}
-		x := milliseconds(time.Duration(histogramLeast * pow(histogramGrowth, i+1)))
-		out = append(out, plotter.XY{X: x, Y: max(least, float64(left)/float64(sum.total))})
+		x := milliseconds(time.Duration(histogramMin * pow(histogramGrowth, i+1)))
+		out = append(out, plotter.XY{X: x, Y: max(minShare, float64(left)/float64(sum.total))})
 	}
 	return out
 }
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// stallAfter is the gap from which waiting inside a stream is stall time.
-const stallAfter = 200 * time.Millisecond
+// stallThreshold is the gap between tokens above which the rest of the gap counts as stall time.
+const stallThreshold = 200 * time.Millisecond
 
-// histogram counts durations in buckets that are one percent wide.
+// histogram counts durations in buckets whose bounds grow by one percent.
 type histogram struct {
 	count []uint64
 	total uint64
 }
 
 const (
-	histogramLeast  = float64(100 * time.Microsecond)
+	histogramMin    = float64(100 * time.Microsecond)
 	histogramGrowth = 1.01
 )
 
@@ -24,8 +24,8 @@
 
 func (h *histogram) add(d time.Duration) {
 	i := 0
-	if f := float64(d); f > histogramLeast {
-		i = int(math.Log(f/histogramLeast) / logHistogramGrowth)
+	if f := float64(d); f > histogramMin {
+		i = int(math.Log(f/histogramMin) / logHistogramGrowth)
 	}
 	for len(h.count) <= i {
 		h.count = append(h.count, 0)
@@ -34,22 +34,22 @@
 	h.total++
 }
 
-// Quantile is the duration below which the share q of all lies.
+// Quantile returns the duration below which the fraction q of all durations lies.
 func (h *histogram) Quantile(q float64) time.Duration {
 	left := uint64(q * float64(h.total))
 	for i, n := range h.count {
 		if left < n {
-			return time.Duration(histogramLeast * math.Pow(histogramGrowth, float64(i)+0.5))
+			return time.Duration(histogramMin * math.Pow(histogramGrowth, float64(i)+0.5))
 		}
 		left -= n
 	}
 	return 0
 }
 
-// Class sums what happened to the small or to the large teams.
+// Class is the sum of the results of the small or of the large teams.
 type Class struct {
 	Offered, Refused, Finished int
-	Cancelled                  int
+	Canceled                   int
 	Preemptions, TokensLost    int
 	Tokens                     int
 	Stall                      time.Duration
@@ -58,7 +58,7 @@
 	first                      histogram
 }
 
-// StallP99 is the 99th percentile of the waits that count as stalls.
+// StallP99 returns the 99th percentile of the stalls.
 func (c *Class) StallP99() time.Duration {
 	if len(c.stalls) == 0 {
 		return 0
@@ -67,13 +67,13 @@
 	return c.stalls[len(c.stalls)*99/100]
 }
 
-// Between is a quantile of the time between tokens.
-func (c *Class) Between(q float64) time.Duration { return c.between.Quantile(q) }
+// TimeBetweenTokens returns a quantile of the time between tokens.
+func (c *Class) TimeBetweenTokens(q float64) time.Duration { return c.between.Quantile(q) }
 
-// First is a quantile of the time to the first token.
-func (c *Class) First(q float64) time.Duration { return c.first.Quantile(q) }
+// TimeToFirstToken returns a quantile of the time to the first token.
+func (c *Class) TimeToFirstToken(q float64) time.Duration { return c.first.Quantile(q) }
 
-// Result is what one run gave.
+// Result is the result of one run.
 type Result struct {
 	Small, Large Class
 	Unfinished   int
@@ -94,39 +94,39 @@
 	return &r.Small
 }
 
-func (r *Result) token(s *running, now time.Duration) {
+func (r *Result) recordToken(s *stream, now time.Duration) {
 	c := r.class(s.team)
-	if s.last == 0 && s.arrival.Emitted == 0 {
+	if s.lastTokenAt == 0 && s.arrival.Emitted == 0 {
 		c.first.add(now - s.arrival.At)
 		return
 	}
-	gap := now - s.last
-	if s.last == 0 {
-		// A stream that was moved here waits from its arrival on.
+	gap := now - s.lastTokenAt
+	if s.lastTokenAt == 0 {
+		// A stream that migrated here waits from its arrival on.
 		gap = now - s.arrival.At
 	}
 	c.between.add(gap)
-	if gap > stallAfter {
-		c.Stall += gap - stallAfter
-		c.stalls = append(c.stalls, gap-stallAfter)
+	if gap > stallThreshold {
+		c.Stall += gap - stallThreshold
+		c.stalls = append(c.stalls, gap-stallThreshold)
 	}
 }
 
-func (r *Result) finished(s *running) {
+func (r *Result) recordFinished(s *stream) {
 	c := r.class(s.team)
 	c.Finished++
 	c.Tokens += s.emitted
 	r.tokens[s.arrival.Team] += s.emitted
 }
 
-// Goodput is the tokens of finished requests a second.
+// Goodput returns the tokens of finished requests per second.
 func (r *Result) Goodput() float64 {
 	return float64(r.Small.Tokens+r.Large.Tokens) / r.length.Seconds()
 }
 
-// Jain is Jain's index of the large teams' tokens over their weights; the small
-// teams ask for less than their share, so theirs follow their demand.
-func (r *Result) Jain() float64 {
+// JainIndex returns Jain's fairness index of the large teams' tokens divided by their weights. The small
+// teams request less than their share, so their tokens depend on their demand.
+func (r *Result) JainIndex() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 	for i, t := range r.teams {
 		if !t.Large {
--- a/internal/bench/robust.go
+++ b/internal/bench/robust.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Disturbance changes a load in a way that no forecast can see coming.
+// Disturbance changes a load in a way that no forecast can predict.
 type Disturbance struct {
 	Name   string
 	Change func(teams []Team, length time.Duration) func([]Arrival) []Arrival
 }
 
-// Disturbances are the ways in which a forecast is made wrong.
+// Disturbances returns the disturbances that are measured.
 func Disturbances() []Disturbance {
 	return []Disturbance{
 		{"none", func([]Team, time.Duration) func([]Arrival) []Arrival {
 			return func(a []Arrival) []Arrival { return a }
 		}},
-		{"large teams' outputs 4x longer from half time", lengths(4)},
-		{"large teams' outputs 4x shorter from half time", lengths(0.25)},
-		{"a lost failure domain's streams at half time, 1.5x arrivals after", lostDomain},
-		{"a large team opens and cancels 4x as many", cancels},
+		{"large teams' outputs 4x longer from half time", scaleLengths(4)},
+		{"large teams' outputs 4x shorter from half time", scaleLengths(0.25)},
+		{"a lost failure domain's streams at half time, 1.5x arrivals after", loseDomain},
+		{"a large team opens and cancels 4x as many", addCancellations},
 	}
 }
 
-// lengths scales the outputs of large teams in the second half.
-func lengths(factor float64) func([]Team, time.Duration) func([]Arrival) []Arrival {
+// scaleLengths scales the output lengths of large teams in the second half of the load.
+func scaleLengths(factor float64) func([]Team, time.Duration) func([]Arrival) []Arrival {
 	return func(teams []Team, length time.Duration) func([]Arrival) []Arrival {
 		return func(in []Arrival) []Arrival {
 			out := append([]Arrival(nil), in...)
@@ -40,21 +40,21 @@
 	}
 }
 
-// movedStreams is how many streams of lost servers continue here.
-const movedStreams = 20
+// migratedStreams is the number of streams of lost servers that continue here.
+const migratedStreams = 20
 
-// lostDomain moves streams here at half time, half done, and raises arrivals by
-// half from then on.
-func lostDomain(_ []Team, length time.Duration) func([]Arrival) []Arrival {
+// loseDomain simulates the loss of a failure domain in the middle of the load. Streams of which half is
+// generated continue here, and from then on there are 1.5 times as many arrivals.
+func loseDomain(_ []Team, length time.Duration) func([]Arrival) []Arrival {
 	return func(in []Arrival) []Arrival {
 		out := append([]Arrival(nil), in...)
-		moved := 0
+		migrated := 0
 		for i, a := range in {
 			if a.At <= length/2 {
 				continue
 			}
-			if moved < movedStreams {
-				moved++
+			if migrated < migratedStreams {
+				migrated++
 				a.At, a.Emitted = length/2, a.Length/2
 				out = append(out, a)
 			} else if i%2 == 0 {
@@ -66,9 +66,9 @@
 	}
 }
 
-// cancels has the last team send four times as many requests and cancel the
-// extra ones after a few tokens.
-func cancels(teams []Team, _ time.Duration) func([]Arrival) []Arrival {
+// addCancellations makes the last team send four times as many requests and cancel the additional ones
+// after 16 tokens.
+func addCancellations(teams []Team, _ time.Duration) func([]Arrival) []Arrival {
 	const extra, after = 3, 16
 	return func(in []Arrival) []Arrival {
 		out := append([]Arrival(nil), in...)
@@ -86,13 +86,13 @@
 	}
 }
 
-// PrintRobust prints the policy table at load 1.3 under every disturbance.
+// PrintRobust prints the table of policies at load 1.3 for every disturbance.
 func PrintRobust(w io.Writer, deployments []Deployment, contenders []Contender, o Options) {
 	o.Loads = []float64{1.3}
 	for _, d := range deployments {
-		for _, dis := range Disturbances() {
-			fmt.Fprintf(w, "%s: %s\n", d.Name, dis.Name)
-			Print(w, MeasureWith(d, contenders, o, dis.Change(d.Teams, o.Length)))
+		for _, disturbance := range Disturbances() {
+			fmt.Fprintf(w, "%s: %s\n", d.Name, disturbance.Name)
+			Print(w, MeasureWith(d, contenders, o, disturbance.Change(d.Teams, o.Length)))
 		}
 	}
 }
--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -15,7 +15,7 @@
 type Contender struct {
 	Name string
 	New  func(e Engine) sched.Policy
-	// Engine changes what the policy orders of the engine; nil changes nothing.
+	// Engine changes the engine for this contender. It may be nil.
 	Engine func(e *Engine)
 }
 
@@ -24,7 +24,7 @@
 	maxWait  = 10 * time.Second
 )
 
-// Baselines are the three simple policies.
+// Baselines returns the three simple policies.
 func Baselines() []Contender {
 	return []Contender{
 		{Name: "B0 first-come", New: func(e Engine) sched.Policy { return sched.NewFIFO(e.Memory, maxBatch, maxWait) }},
@@ -33,10 +33,10 @@
 	}
 }
 
-// Forecasting is the system's policy with some parts off.
-func Forecasting(name string, off sched.DisabledFeatures, change func(*sched.Config)) Contender {
+// Forecasting returns the system's policy with some features disabled.
+func Forecasting(name string, disabled sched.DisabledFeatures, change func(*sched.Config)) Contender {
 	return Contender{Name: name, New: func(e Engine) sched.Policy {
-		cfg := sched.Config{Capacity: e.Memory, MaxBatch: maxBatch, MaxWait: maxWait, Disabled: off}
+		cfg := sched.Config{Capacity: e.Memory, MaxBatch: maxBatch, MaxWait: maxWait, Disabled: disabled}
 		if change != nil {
 			change(&cfg)
 		}
@@ -44,7 +44,7 @@
 	}}
 }
 
-// Options set a table.
+// Options are the parameters of a table.
 type Options struct {
 	Length time.Duration
 	Seeds  int
@@ -57,8 +57,8 @@
 	return Options{Length: 240 * time.Second, Seeds: 5, Loads: []float64{1.0, 1.3, 2.0}, Engine: DefaultEngine()}
 }
 
-// Capacity is the goodput of first-come at three times an estimate of what the
-// engine can do; a load of 1.0 offers as much.
+// Capacity returns the goodput of the first-come policy at three times an estimate of the engine's
+// capacity. A load of 1.0 offers as many tokens per second.
 func Capacity(d Deployment, e Engine, length time.Duration) float64 {
 	const estimate, overload = 1500, 3
 	load := d.Arrivals(99, length, overload*estimate)
@@ -77,7 +77,7 @@
 	return MeasureWith(d, contenders, o, func(a []Arrival) []Arrival { return a })
 }
 
-// MeasureWith is Measure with every load changed by change.
+// MeasureWith is like Measure but applies change to every load.
 func MeasureWith(d Deployment, contenders []Contender, o Options, change func([]Arrival) []Arrival) []Row {
 	capacity := Capacity(d, o.Engine, o.Length)
 	var rows []Row
@@ -104,7 +104,7 @@
 	return rows
 }
 
-// Alone is one small team by itself on the engine, at its load in the mix.
+// Alone measures one small team alone on the engine, with the load that it has among the others.
 func Alone(d Deployment, o Options) Row {
 	capacity := Capacity(d, o.Engine, o.Length)
 	row := Row{Deployment: d.Name, Policy: "a small team alone", Load: 1}
@@ -116,18 +116,18 @@
 	return row
 }
 
-// Stat is a mean over seeds and their spread.
+// Stat is a mean over seeds, and half their range.
 type Stat struct{ Mean, Spread float64 }
 
-// Over is the statistic of f over the row's results.
-func (r Row) Over(f func(*Result) float64) Stat {
-	sum, least, most := 0.0, math.Inf(1), math.Inf(-1)
+// Aggregate returns the statistic of f over the results of a row.
+func (r Row) Aggregate(f func(*Result) float64) Stat {
+	sum, lowest, highest := 0.0, math.Inf(1), math.Inf(-1)
 	for _, res := range r.Results {
 		x := f(res)
 		sum += x
-		least, most = min(least, x), max(most, x)
+		lowest, highest = min(lowest, x), max(highest, x)
 	}
-	return Stat{sum / float64(len(r.Results)), (most - least) / 2}
+	return Stat{sum / float64(len(r.Results)), (highest - lowest) / 2}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -141,29 +141,31 @@
 func measures() []measure {
 	var out []measure
 	for _, c := range []struct {
-		name string
-		of   func(*Result) *Class
+		name        string
+		selectClass func(*Result) *Class
 	}{{"small", func(r *Result) *Class { return &r.Small }}, {"large", func(r *Result) *Class { return &r.Large }}} {
 		out = append(out,
-			measure{c.name + " stall s", func(r *Result) float64 { return c.of(r).Stall.Seconds() }},
-			measure{"stall p99 ms", func(r *Result) float64 { return milliseconds(c.of(r).StallP99()) }},
-			measure{"preempt", func(r *Result) float64 { return float64(c.of(r).Preemptions) }},
-			measure{"lost ktok", func(r *Result) float64 { return float64(c.of(r).TokensLost) / 1000 }},
-			measure{"tbt p50", func(r *Result) float64 { return milliseconds(c.of(r).Between(0.5)) }},
-			measure{"p95", func(r *Result) float64 { return milliseconds(c.of(r).Between(0.95)) }},
-			measure{"p99", func(r *Result) float64 { return milliseconds(c.of(r).Between(0.99)) }},
-			measure{"p99.9", func(r *Result) float64 { return milliseconds(c.of(r).Between(0.999)) }},
-			measure{"first p95 ms", func(r *Result) float64 { return milliseconds(c.of(r).First(0.95)) }},
-			measure{"refused %", func(r *Result) float64 { return 100 * float64(c.of(r).Refused) / float64(max(1, c.of(r).Offered)) }},
-			measure{"tok/s", func(r *Result) float64 { return float64(c.of(r).Tokens) / r.length.Seconds() }})
+			measure{c.name + " stall s", func(r *Result) float64 { return c.selectClass(r).Stall.Seconds() }},
+			measure{"stall p99 ms", func(r *Result) float64 { return milliseconds(c.selectClass(r).StallP99()) }},
+			measure{"preempt", func(r *Result) float64 { return float64(c.selectClass(r).Preemptions) }},
+			measure{"lost ktok", func(r *Result) float64 { return float64(c.selectClass(r).TokensLost) / 1000 }},
+			measure{"tbt p50", func(r *Result) float64 { return milliseconds(c.selectClass(r).TimeBetweenTokens(0.5)) }},
+			measure{"p95", func(r *Result) float64 { return milliseconds(c.selectClass(r).TimeBetweenTokens(0.95)) }},
+			measure{"p99", func(r *Result) float64 { return milliseconds(c.selectClass(r).TimeBetweenTokens(0.99)) }},
+			measure{"p99.9", func(r *Result) float64 { return milliseconds(c.selectClass(r).TimeBetweenTokens(0.999)) }},
+			measure{"first p95 ms", func(r *Result) float64 { return milliseconds(c.selectClass(r).TimeToFirstToken(0.95)) }},
+			measure{"refused %", func(r *Result) float64 {
+				return 100 * float64(c.selectClass(r).Refused) / float64(max(1, c.selectClass(r).Offered))
+			}},
+			measure{"tok/s", func(r *Result) float64 { return float64(c.selectClass(r).Tokens) / r.length.Seconds() }})
 	}
 	return append(out,
 		measure{"goodput", (*Result).Goodput},
-		measure{"jain", (*Result).Jain},
+		measure{"jain", (*Result).JainIndex},
 		measure{"unfinished", func(r *Result) float64 { return float64(r.Unfinished) }})
 }
 
-// Print writes rows as a table: means over seeds, ± half the range.
+// Print prints rows as a table of means over seeds ± half the range.
 func Print(w io.Writer, rows []Row) {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprint(tw, "deployment\tload\tpolicy\t")
@@ -174,16 +176,16 @@
 	for _, r := range rows {
 		fmt.Fprintf(tw, "%s\t%.1f\t%s\t", r.Deployment, r.Load, r.Policy)
 		for _, m := range measures() {
-			s := r.Over(m.value)
-			fmt.Fprintf(tw, "%s±%s\t", short(s.Mean), short(s.Spread))
+			s := r.Aggregate(m.value)
+			fmt.Fprintf(tw, "%s±%s\t", formatShort(s.Mean), formatShort(s.Spread))
 		}
 		fmt.Fprintln(tw)
 	}
 	tw.Flush()
 }
 
-// short prints three significant digits.
-func short(x float64) string {
+// formatShort formats a number with two significant digits below 9.95, and without decimals above.
+func formatShort(x float64) string {
 	if x != 0 && math.Abs(x) < 9.95 {
 		return fmt.Sprintf("%.2g", x)
 	}
