--- a/internal/slopes/nodes.go
+++ b/internal/slopes/nodes.go
@@ -58,7 +58,7 @@
 	inner, err := standin.FreeAddress()
 	return app.CommonOptions{
 		Name: fmt.Sprintf("%s-%d", role, i), FailureDomain: fmt.Sprintf("d%d", i%numDomains),
-		InnerAddress: inner, ConfigPoll: n.configPoll, ConfigStale: time.Minute,
+		InnerAddress: inner, ConfigPollInterval: n.configPoll, ConfigStaleAfter: time.Minute,
 	}, err
 }
 
