--- a/internal/slopes/clock.go
+++ b/internal/slopes/clock.go
@@ -73,7 +73,7 @@
 // Order implements engine.Engine.
 func (e *timestampEngine) Order(context.Context, engine.Order) error { return nil }
 
-// Load implements engine.Engine.
-func (e *timestampEngine) Load(context.Context) (engine.Status, error) {
+// ReadStatus implements engine.Engine.
+func (e *timestampEngine) ReadStatus(context.Context) (engine.Status, error) {
 	return engine.Status{MemoryCapacity: 1 << 40, Models: []string{model}}, nil
 }
