--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -283,8 +283,9 @@
 }
 
 const (
-	// popularRun is how long a server takes to answer the popular request, popularInterval the mean
-	// time between two of them, crashingInterval that between two of one crashing request.
+	// popularRun is how long a server takes to answer the popular request, which many callers make.
+	// popularInterval is the mean time between two calls of it, crashingInterval that between two
+	// calls of one crashing request.
 	popularRun, popularInterval = 900 * time.Millisecond, 25 * time.Millisecond
 	crashingInterval            = 150 * time.Millisecond
 	// maxUnserved bounds the time without a response to the popular request while a server is up.
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -29,8 +29,8 @@
 	MaxRecords, MaxRecordsPerTeam int
 }
 
-// Default returns the policy of gateways. With a lower CrashThreshold, a harmless request that ran
-// twice on the same server as a crashing one would be quarantined. With a higher one, each crashing
+// Default returns the policy of gateways. With a lower CrashThreshold, a harmless request that twice
+// ran on the same server as a crashing one would be quarantined. With a higher one, each crashing
 // request would crash one more server, with all requests that run there.
 func Default() Policy {
 	return Policy{CrashThreshold: 3, Window: time.Hour, QuarantineTime: time.Hour, TrialDelay: 1500 * time.Millisecond, TrialTimeout: time.Second, MaxTrialCrashes: 2,
@@ -42,7 +42,8 @@
 type Tracker struct {
 	policy  Policy
 	records map[ID]*Record
-	// quarantined are the requests that have reached the crash threshold.
+	// quarantined are the requests that have reached the crash threshold, also those whose
+	// QuarantineTime is over but whose records have not been deleted yet.
 	quarantined map[ID]decision
 }
 
@@ -50,8 +51,8 @@
 type decision struct {
 	// lastCrash is the time of the latest crash under the request.
 	lastCrash time.Duration
-	// ambiguous is set if fewer than CrashThreshold crashes are the request's alone: the others
-	// happened also under requests that several servers crashed under.
+	// ambiguous is set if fewer than CrashThreshold of the counted crashes are the request's alone.
+	// A crash is shared if another request ran on the server that has more than one crash.
 	ambiguous bool
 }
 
@@ -63,7 +64,8 @@
 // Len returns the number of records.
 func (t *Tracker) Len() int { return len(t.records) }
 
-// QuarantinedCount returns the number of quarantined requests.
+// QuarantinedCount returns the number of quarantined requests. It includes those whose
+// QuarantineTime has ended since their records were last expired.
 func (t *Tracker) QuarantinedCount() int { return len(t.quarantined) }
 
 // Update lists what a call to a Tracker has changed.
@@ -84,8 +86,8 @@
 }
 
 // Clear records that a server has answered a request, or that an operator has released it:
-// earlier crashes do not count any more. It changes nothing if no crash counts against the
-// request.
+// earlier crashes do not count any more. If no crash counts against the request, it changes
+// nothing.
 func (t *Tracker) Clear(id ID, at time.Duration) Update {
 	if r := t.records[id]; r == nil || len(r.countedCrashes(t.policy.Window)) == 0 {
 		return Update{}
@@ -165,8 +167,8 @@
 	return len(r.countedCrashes(t.policy.Window)) >= t.policy.CrashThreshold
 }
 
-// Expired reports whether a record is too old to count. One that lies far in the future
-// comes from a clock that has started again.
+// Expired reports whether a record is too old to count. A record far in the future is also
+// expired: it comes from a clock that has restarted since.
 func (t *Tracker) Expired(r Record, now time.Duration) bool {
 	age, maxAge := now-r.lastChange(), max(t.policy.Window, t.policy.QuarantineTime)
 	return age >= maxAge || age <= -maxAge
@@ -198,8 +200,8 @@
 // quarantined already. Otherwise a request that many callers make would be quarantined first and
 // absorb the crashes that a crashing request causes, which would then never be quarantined. A
 // harmless request that is quarantined shares its crashes with others under which several
-// servers crashed; its decision is ambiguous, and a trial shows that it is harmless. Its
-// decision stays ambiguous when one of those others has been cleared by a trial.
+// servers crashed. Its decision is therefore ambiguous, and a trial shows that it is harmless.
+// The decision stays ambiguous when one of those others has been cleared by a trial.
 func (t *Tracker) decide() (quarantined, released []ID) {
 	previous := t.quarantined
 	t.quarantined = make(map[ID]decision, len(previous))
@@ -237,8 +239,9 @@
 // every further record causes a scan of all records.
 const evictionShare = 1.0 / 8
 
-// evict deletes the records with the least evidence of each team above its bound, then of all
-// teams: a team may send ten thousand different crashing requests.
+// evict deletes the records with the least evidence: first of each team above its bound, then of
+// all teams together. The bounds are needed as a team may send ten thousand different crashing
+// requests.
 func (t *Tracker) evict() {
 	if len(t.records) <= t.policy.MaxRecordsPerTeam {
 		return
@@ -255,8 +258,7 @@
 	}
 }
 
-// evictFrom deletes records if there are more than maxRecords, those with the fewest crashes
-// first, and of these the oldest first.
+// evictFrom deletes records with the least evidence if there are more than maxRecords.
 func (t *Tracker) evictFrom(records []*Record, maxRecords int) {
 	if len(records) <= maxRecords {
 		return
@@ -267,6 +269,8 @@
 	}
 }
 
+// compareEvidence orders records from the least to the most evidence: by the number of uncleared
+// crashes, and of equal numbers the oldest first.
 func compareEvidence(x, y *Record) int {
 	return cmp.Or(cmp.Compare(x.unclearedCrashes(), y.unclearedCrashes()), cmp.Compare(x.lastChange(), y.lastChange()), compareIDs(x.ID, y.ID))
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -58,8 +58,8 @@
 	require.Equal(t, []ID{id}, tracker.Crashed(6, 7*time.Second, []ID{id}).Quarantined)
 }
 
-// A popular request runs on each server that crashes under either of two crashing requests, and is
-// quarantined first. Crashes must count against all requests that ran on the server, or the crashing
+// A popular request, which many callers make at the same time, runs on each server that crashes under
+// either of two crashing requests, and is quarantined first. Crashes must count against all requests that ran on the server, or the crashing
 // requests would never be quarantined. The decision on the popular request is ambiguous, so it is tried.
 func TestCrashCountsDespiteQuarantinedRequest(t *testing.T) {
 	tracker, popular := NewTracker(Default()), request("popular")
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -9,7 +9,8 @@
 	// trialTurn is the length of a turn, in which one of the requests with shared crashes may
 	// start a trial. Records reach all processes within it.
 	trialTurn = 250 * time.Millisecond
-	// maxTurns bounds the number of turns in one rotation, and so the wait for a turn.
+	// maxTurns bounds the number of turns in one rotation, and so the wait for a turn. More
+	// requests than that share turns.
 	maxTurns = 4
 )
 
