--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -10,8 +10,8 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// attempt is one attempt of a request at a server. Only send may be called from another goroutine
-// than the request's own.
+// attempt is an Attempt that is about to be sent or is in flight, with its reservation and its
+// context. Only send may be called from another goroutine than the request's own.
 type attempt struct {
 	*Attempt
 	relay       *Relay
@@ -41,7 +41,8 @@
 	return r.finishAttempt(j, t.send())
 }
 
-// startAttempt counts an attempt that is about to be sent. Errors: *NotRunError.
+// startAttempt checks that the server is still eligible, completes the attempt and counts it. The
+// caller sends it then. Errors: *NotRunError.
 func (r *Relay) startAttempt(ctx context.Context, j *job, reservation *backends.Reservation, a *Attempt) (*attempt, error) {
 	a.Recheck = func() error { return r.recheck(j, reservation, a) }
 	if err := a.Recheck(); err != nil {
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -32,6 +32,8 @@
 	sharedRetryShare = 0.8
 )
 
+// retryBudget returns the retry budget of a service, updated to the settings and to the number of
+// gateways; mu must be locked.
 func (r *Relay) retryBudget(service string) *retry.Budget {
 	cfg := r.cfg.Load()
 	b := r.retryBudgets[service]
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -35,10 +35,10 @@
 // there. Its fields are guarded by the Relay's mu.
 type crashCheck struct {
 	server backends.Server
-	// requests are those not yet reported as running during a crash.
+	// requests are those that have not been reported to the quarantine yet.
 	requests []brokenRequest
-	// done is closed when the checks that requests may wait for are over. crashed is their
-	// result.
+	// done is closed when the checks that requests may wait for are over. crashed is set once the
+	// server is known to have crashed.
 	done    chan struct{}
 	crashed bool
 }
@@ -65,9 +65,9 @@
 	return quarantine.NewID(j.team, j.Method, j.Host, j.Target, j.Body)
 }
 
-// handleBrokenResponse checks whether a server crashed whose response to a request broke off. A
-// crash of a server that was not leaving counts against the request. After a reset connection, a
-// network partition or a dropped request the server still listens.
+// handleBrokenResponse starts a check of a server whose response to a request broke off. If the
+// server has crashed, and was not leaving, the crash counts against the request. A reset connection,
+// a network partition or a dropped request is no crash: the server still listens.
 //
 // A request that one more crash would quarantine waits for the result, as it would otherwise be
 // sent to the next server.
@@ -216,15 +216,17 @@
 	return r.Quarantine.Quarantined(j.quarantineID())
 }
 
-// mustRefuse reports whether a request is quarantined and no trial of it is due. The trial itself
-// starts only when a server is available: otherwise it would count as a trial without a result.
-func (r *Relay) mustRefuse(j *job) (retryAfter time.Duration, refuse bool) {
+// refusedByQuarantine reports whether a request is quarantined and no trial of it is due. The trial
+// itself starts only when a server is available: otherwise it would count as a trial without a
+// result.
+func (r *Relay) refusedByQuarantine(j *job) (retryAfter time.Duration, refuse bool) {
 	retryAfter, quarantined := r.quarantined(j)
 	return retryAfter, quarantined && !(j.attempts == 0 && r.Quarantine.TrialDue(j.quarantineID()))
 }
 
-// mustNotSend reports whether a request must not be sent to a server now. It may start a trial of
-// a quarantined request, and must be called only by the request's own goroutine.
+// mustNotSend reports whether a request must not be sent to a server now because it is
+// quarantined. It may start a trial of the request, and must be called only by the request's own
+// goroutine.
 func (r *Relay) mustNotSend(j *job) (retryAfter time.Duration, quarantined bool) {
 	if j.isTrial {
 		return 0, false
--- a/internal/relay/crash_simulation_test.go
+++ b/internal/relay/crash_simulation_test.go
@@ -15,7 +15,7 @@
 const (
 	// The simulated load: gateways in front of engines that are half full, a quarter of which
 	// crash at the same time. Memory, prompts and rates are those of a deployment with short and
-	// long responses.
+	// long responses; simLongOf3 of three generations are long.
 	simGateways, simEngines = 23, 43
 	simMemory               = 21900
 	simArrivalRate          = 70 // generations a second, over all gateways
@@ -39,7 +39,7 @@
 	lastRefusedAttempt time.Duration
 }
 
-// reportLoads sends the loads and losses of a gateway to the others, as a state message does.
+// reportLoads sends the loads and server statuses of a gateway to the others, as a state message does.
 func (sim *crashSimulation) reportLoads(i int) {
 	time.Sleep(simPeerDelay)
 	f := sim.gateways[i]
@@ -124,7 +124,7 @@
 }
 
 // run returns the number of generations sent after the crash, and how many of them were refused.
-func (sim *crashSimulation) run() (sent, notRun int) {
+func (sim *crashSimulation) run() (sent, refused int) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -149,12 +149,12 @@
 				sent++
 			}
 			if afterCrash && c.refusal != nil {
-				notRun++
+				refused++
 			}
 		})
 	}
 	wg.Wait()
-	return sent, notRun
+	return sent, refused
 }
 
 // Guards against generations being refused for lack of capacity, with three quarters of the
@@ -162,12 +162,12 @@
 func TestRefusedConnectionsUseNoRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newCrashSimulation(t)
-		sent, notRun := sim.run()
+		sent, refused := sim.run()
 		attempts := 0
 		for _, n := range sim.refusedAttempts {
 			attempts += n
 		}
-		t.Logf("%d sent after the crash, %d refused, %d attempts at crashed engines by %d gateways, the last %v after the crash", sent, notRun, attempts, len(sim.refusedAttempts), sim.lastRefusedAttempt-simCrashAt-time.Second)
-		require.Zero(t, notRun)
+		t.Logf("%d sent after the crash, %d refused, %d attempts at crashed engines by %d gateways, the last %v after the crash", sent, refused, attempts, len(sim.refusedAttempts), sim.lastRefusedAttempt-simCrashAt-time.Second)
+		require.Zero(t, refused)
 	})
 }
--- a/internal/relay/enginequeue.go
+++ b/internal/relay/enginequeue.go
@@ -29,7 +29,8 @@
 	// reached an engine; the rest covers a slow first token.
 	eventTimeoutShare = 0.9
 	// minRetryShare and maxRetryShare bound the random retry time of callers refused because of
-	// saturation, as parts of the time that callers accept as a wait. Bursts last seconds, and
+	// saturation, as parts of the time that callers are willing to wait (see callerWaitDivisor).
+	// Bursts last seconds, and
 	// callers that all retried at once would cause the next one.
 	minRetryShare, maxRetryShare = 0.4, 1.0
 )
@@ -79,8 +80,8 @@
 	return wakeup
 }
 
-// mustRefuse reports whether a queued request cannot be served in time any more.
-func (eq *engineQueue) mustRefuse(w *flow.Waiter, now time.Duration) bool {
+// shouldReject reports whether a queued request can no longer be served in time.
+func (eq *engineQueue) shouldReject(w *flow.Waiter, now time.Duration) bool {
 	eq.mu.Lock()
 	defer eq.mu.Unlock()
 	return eq.queue.ShouldReject(w, now)
@@ -122,7 +123,8 @@
 	return false
 }
 
-// reportQueue reports the queue to the peers. It counts only requests that have found no server
+// reportQueue adds change to the number of unplaced requests and reports the queue to the peers. It
+// counts only requests that have found no server
 // with capacity: a request that is placed at once does not compete.
 func (r *Relay) reportQueue(service string, eq *engineQueue, change int) {
 	eq.mu.Lock()
@@ -163,8 +165,8 @@
 	readTime := r.promptReadTime(j)
 	runTime := readTime + time.Duration(outputMargin*float64(j.expectedEvents(0))*float64(r.currentMeanPause()))
 	dispatchDeadline := j.arrived + j.timeLeft() - runTime
-	if s := j.route.EventTimeout; s > 0 {
-		dispatchDeadline = min(dispatchDeadline, j.arrived+time.Duration(eventTimeoutShare*float64(s))-readTime)
+	if timeout := j.route.EventTimeout; timeout > 0 {
+		dispatchDeadline = min(dispatchDeadline, j.arrived+time.Duration(eventTimeoutShare*float64(timeout))-readTime)
 	}
 	return &flow.Waiter{
 		Priority: j.priority, Level: r.teamLevel(j, eq), PromptTokens: j.promptTokens(), Arrived: j.arrived,
@@ -212,7 +214,7 @@
 		if ready, _ := r.Registry.CountReadyWithin(j.service, j.regions); ready == 0 && r.Now()-j.arrived > j.maxWait() {
 			return nil, r.refuse(j, ReasonNoServer)
 		}
-		if eq.mustRefuse(w, r.Now()) {
+		if eq.shouldReject(w, r.Now()) {
 			return nil, r.refuseSaturated(j)
 		}
 		// Reported each time, as the rank of the first request changes over time.
@@ -231,7 +233,7 @@
 	if !servers.MustWait() || servers.HasRateLimited || r.Now()+servers.BackoffWait <= w.DispatchDeadline {
 		return nil
 	}
-	return r.refuseLateTurn(j, servers, servers.BackoffWait)
+	return r.refuseLongWait(j, servers, servers.BackoffWait)
 }
 
 // spillAfter is how long a request waits for an engine of its own gateway's cell before it may
--- a/internal/relay/enginequeue_test.go
+++ b/internal/relay/enginequeue_test.go
@@ -141,7 +141,7 @@
 
 // An engine seems to be empty and does not begin to respond: runs of gateways that lost power
 // still run on it. The next caller is sent to another engine, although that one is known to have
-// less free memory.
+// less free memory, and does not wait behind the first one.
 func TestEngineThatDoesNotBeginGetsNoMoreRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -168,9 +168,9 @@
 	return backends.Server{ID: id, Service: service, Address: id + ":1", FailureDomain: "zone-1", Slots: 6}
 }
 
-func (f *fixture) newIncarnation(id string, born int64) backends.Server {
+func (f *fixture) newIncarnation(id string, startTime int64) backends.Server {
 	s := f.newEntry(id, modelService)
-	s.StartTime = born
+	s.StartTime = startTime
 	return s
 }
 
@@ -214,8 +214,8 @@
 
 func (c *caller) Refuse(f Refusal) { c.refusal = &f }
 
-func (c *caller) Begin(a *Response) error {
-	c.status = a.Status
+func (c *caller) Begin(response *Response) error {
+	c.status = response.Status
 	return nil
 }
 
@@ -254,14 +254,14 @@
 	f.mu.Lock()
 	f.sent = append(f.sent, a)
 	f.mu.Unlock()
-	answer, err := f.send(ctx, a)
+	response, err := f.send(ctx, a)
 	if err == nil {
 		// A real connection is closed when its request's context is canceled.
-		if s, ok := answer.Body.(*io.PipeReader); ok {
+		if s, ok := response.Body.(*io.PipeReader); ok {
 			context.AfterFunc(ctx, func() { s.CloseWithError(ctx.Err()) })
 		}
 	}
-	return answer, err
+	return response, err
 }
 
 func (f *fakeUpstream) CopyRun(ctx context.Context, from backends.Server, id, to string, final bool) (string, error) {
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -131,7 +131,7 @@
 	s.forceRetry(s.job.service)
 	ctx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(maxMigrationWait, cancel)
-	next, err := s.send(ctx, s.job, standby.reservation, &Attempt{LastEventID: s.run.lastEvent(), ResumeFrom: &standby.KVCopy})
+	next, err := s.send(ctx, s.job, standby.reservation, &Attempt{LastEventID: s.run.lastDeliveredID(), ResumeFrom: &standby.KVCopy})
 	inTime := timer.Stop() && err == nil
 	if !inTime || !next.isStream() {
 		if err == nil {
@@ -171,8 +171,8 @@
 	u.lastEventAt = max(u.lastEventAt, at)
 }
 
-// lastEvent returns the id of the last event that the caller has received, empty for none.
-func (u *run) lastEvent() string {
+// lastDeliveredID returns the id of the last event that the caller has received, empty for none.
+func (u *run) lastDeliveredID() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.lastEventID
@@ -185,7 +185,8 @@
 	u.cancel()
 }
 
-// switchTo replaces a response by one that resumed the run from a copy.
+// switchTo replaces a response by one that resumed the run from a copy. Both are the same run, so the
+// old server no longer counts as one that may have run the request.
 func (s *session) switchTo(next, old *placedResponse) {
 	s.job.maybeRun--
 	old.reservation.Release(backends.ResultInconclusive, s.Now())
--- a/internal/relay/ineligible_test.go
+++ b/internal/relay/ineligible_test.go
@@ -96,7 +96,7 @@
 		f.upstream.send = func(context.Context, *Attempt) (*Response, error) { return newResponse(200, "ok"), nil }
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		served, notRun := 0, 0
+		served, refused := 0, 0
 		for range 30 {
 			wg.Go(func() {
 				start := time.Now()
@@ -107,14 +107,14 @@
 					served++
 					return
 				}
-				notRun++
+				refused++
 				require.Less(t, time.Since(start), 600*time.Millisecond, "refused in time to retry")
 				require.Positive(t, c.refusal.RetryAfter)
 			})
 		}
 		wg.Wait()
 		require.GreaterOrEqual(t, served, 9, "of half a second")
-		require.Equal(t, 30, served+notRun)
+		require.Equal(t, 30, served+refused)
 	})
 }
 
--- a/internal/relay/migration.go
+++ b/internal/relay/migration.go
@@ -15,8 +15,8 @@
 
 const (
 	// migrationTimeout bounds how long after the start of an evacuation runs continue on the old
-	// server while the links are busy. Reclaimed engines stop 1.5 s or more after their notice,
-	// others run for several seconds.
+	// server while the links are busy. Reclaimed engines stop 1.5 s or more after they report that
+	// they are leaving, others run for several seconds.
 	migrationTimeout = 4 * time.Second
 	// maxIdleLinkCopy is the duration of an incremental copy up to which the links count as idle.
 	// A final copy behind another run's whole KV cache (0.2 to 0.4 s) would stop the stream for
@@ -24,11 +24,11 @@
 	maxIdleLinkCopy = 60 * time.Millisecond
 	// maxCopyTargets is the number of servers tried for a copy; a refusal takes a few ms.
 	maxCopyTargets = 8
-	// maxCopyTargetMemory is the part of a server's memory up to which its expected peak usage
-	// may add up for the server to be preferred for a copy: copies to fuller servers were mostly
-	// refused.
+	// maxCopyTargetMemory is a part of a server's memory. Servers whose expected peak usage is
+	// below it are preferred for a copy: copies to fuller servers were mostly refused.
 	maxCopyTargetMemory = 0.9
-	// maxMigrationWait bounds how long a broken stream waits for the migration in progress.
+	// maxMigrationWait bounds how long a broken stream waits for the migration in progress, and
+	// how long a standby server may take to respond.
 	maxMigrationWait = 1500 * time.Millisecond
 )
 
@@ -262,7 +262,7 @@
 }
 
 // migratableRuns returns the runs to migrate off a server, those with the most remaining events
-// first: runs that are about to end by themselves come last.
+// first, as they would lose most. Runs that are about to end by themselves come last.
 func (r *Relay) migratableRuns(s backends.Server) []*run {
 	runs := slices.DeleteFunc(r.runsAt(s), func(u *run) bool {
 		_, quarantined := r.quarantined(u.job)
--- a/internal/relay/outputs.go
+++ b/internal/relay/outputs.go
@@ -68,7 +68,7 @@
 	// maxCountedGrowth is the number of tokens of a run's future growth that count as memory in
 	// use: three seconds at the usual pace. Counting the whole expected output leaves a tenth of
 	// each engine empty, as the runs of a batch do not peak at the same time: in three seconds a
-	// third of them ends, and each frees ten times that much.
+	// third of them ends, and each of these frees ten times as many tokens as a run grows by.
 	maxCountedGrowth = 300
 	// memoryUpdateInterval is the number of events after which a run's expected memory is
 	// updated: half a second at the usual pace.
--- a/internal/relay/pacedqueue.go
+++ b/internal/relay/pacedqueue.go
@@ -45,7 +45,7 @@
 		pq.add(w)
 	}
 	if wait := pq.estimateWait(w, servers, r.Now()); r.Now()+wait > w.DispatchDeadline {
-		return r.refuseLateTurn(j, servers, wait)
+		return r.refuseLongWait(j, servers, wait)
 	}
 	return nil
 }
@@ -102,8 +102,9 @@
 // and the retry may reach another gateway that has its turn sooner.
 const maxRateLimitRetryAfter = 10 * time.Second
 
-// refuseLateTurn refuses a request whose turn would come too late.
-func (r *Relay) refuseLateTurn(j *job, servers backends.Availability, wait time.Duration) *Refusal {
+// refuseLongWait refuses a request that would have to wait too long for servers that are
+// rate-limited or backing off.
+func (r *Relay) refuseLongWait(j *job, servers backends.Availability, wait time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoCapacity)
 	if servers.HasRateLimited {
 		wait = min(wait, maxRateLimitRetryAfter)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// discountAttempt does not count an attempt that never reached a server towards the retry budget.
-// The budget protects servers that are up, and callers would be refused for servers that are
-// down. Peers are notified of a server that is down, as each would find out only by attempts of
+// discountAttempt undoes the counting of an attempt that never reached a server, so that the next
+// one takes nothing from the retry budget. The budget protects servers that are up; callers must not
+// be refused because of servers that are down. Peers are notified of a server that is down, as each would find out only by attempts of
 // its own.
 func (r *Relay) discountAttempt(j *job, reason NotRunReason) {
 	if reason == NotRunUnreachable || reason == NotRunDown {
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -66,13 +66,14 @@
 	}
 }
 
-// sendRefusal sends a refusal as the final response.
+// sendRefusal sends a refusal as the final response. If the request has been quarantined in the
+// meantime, it sends the refusal of a quarantined request instead.
 func (r *Relay) sendRefusal(ctx context.Context, j *job, f Refusal, out Responder) string {
 	if context.Cause(ctx) == context.Canceled {
 		out.Abort()
 		return OutcomeCallerGone
 	}
-	if retryAfter, refuse := r.mustRefuse(j); refuse {
+	if retryAfter, refuse := r.refusedByQuarantine(j); refuse {
 		f = *j.quarantineRefusal(retryAfter)
 	}
 	j.log.WithField("content", f.Content).WithField("reason", f.Reason).WithField("may_have_run", f.MayHaveRun).WithField("retry_after_ms", f.RetryAfter.Milliseconds()).Info("gave up")
@@ -88,21 +89,21 @@
 	hasMore bool
 }
 
-func bufferResponse(a *Response) (*bufferedResponse, error) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedSize+1))
+func bufferResponse(response *Response) (*bufferedResponse, error) {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedSize+1))
 	if err != nil {
-		a.Body.Close()
+		response.Body.Close()
 		return nil, err
 	}
-	buffered := &bufferedResponse{Response: a, body: body, hasMore: len(body) > maxBufferedSize}
+	buffered := &bufferedResponse{Response: response, body: body, hasMore: len(body) > maxBufferedSize}
 	if !buffered.hasMore {
-		a.Body.Close()
+		response.Body.Close()
 	}
 	return buffered, nil
 }
 
-// isValid reports whether the response is as the server sent it. A success without the server's
-// signature, or recoded on the way, is not valid.
+// isValid reports whether the response may be forwarded. A success must be as the server sent it:
+// signed by the server and not recoded on the way.
 func (b *bufferedResponse) isValid() bool {
 	return b.Status >= 300 || b.Signed && !b.Recoded
 }
--- a/internal/relay/prober.go
+++ b/internal/relay/prober.go
@@ -46,7 +46,7 @@
 		wg.Go(func() {
 			leaving, err := r.Upstream.IsLeaving(ctx, s)
 			if err != nil {
-				// A server that is busy or unreachable does not tell whether it is leaving.
+				// An error of a busy or unreachable server does not show whether it is leaving.
 				r.Log.WithError(err).WithField("server", s.ID).Debug("cannot determine whether the server is leaving")
 				return
 			}
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -22,8 +22,8 @@
 // returns the reservation of the attempt that the response or the error belongs to.
 //
 // A server that hangs sends nothing. Without a race, its requests would fail at their callers'
-// deadlines until enough are lost for the server to be avoided, and a retry after that would come
-// too late.
+// deadlines until enough are lost for the server to be avoided. A retry that starts only when the
+// first attempt has failed would come too late.
 func (r *Relay) sendWithRace(ctx context.Context, j *job, reservation *backends.Reservation, a *Attempt) (*placedResponse, *backends.Reservation, error) {
 	if !j.canRace() {
 		placed, err := r.sendWithStandby(ctx, j, reservation, a)
--- a/internal/relay/race_test.go
+++ b/internal/relay/race_test.go
@@ -35,10 +35,10 @@
 // Guards against an idempotent request being lost because its server hangs.
 func TestRaceAnswersWhenFirstServerHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cut := false
+		canceled := false
 		f := newRaceFixture(t, Config{}, func(ctx context.Context, n int, _ *Attempt) (*Response, error) {
 			if n == 1 {
-				defer func() { cut = true }()
+				defer func() { canceled = true }()
 				return blockUntilCanceled(ctx)
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -48,7 +48,7 @@
 		f.serve(request("/safe/x")).requireWhole(t, "ok")
 		require.Less(t, time.Since(start), routeTarget)
 		synctest.Wait()
-		require.True(t, cut, "the first attempt is canceled")
+		require.True(t, canceled, "the first attempt is canceled")
 		require.Empty(t, f.registry.Loads())
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -74,7 +74,8 @@
 	// StartTrial reports whether a quarantined request may be sent to one server, to find out
 	// whether it crashes servers. A call that returns true starts the trial.
 	StartTrial(id quarantine.ID) bool
-	// NearThreshold reports whether one more crash would quarantine a request.
+	// NearThreshold reports whether one more crash would quarantine a request, or whether it is
+	// quarantined already.
 	NearThreshold(id quarantine.ID) bool
 	// Crashed records that a server crashed while it ran requests.
 	Crashed(s backends.Server, requests []quarantine.ID)
@@ -116,7 +117,8 @@
 	cfg atomic.Pointer[Config]
 	Deps
 
-	mu           sync.Mutex
+	mu sync.Mutex
+	// retryBudgets and the queues are keyed by service, runs by the id of the server.
 	retryBudgets map[string]*retry.Budget
 	runs         map[string]map[*run]struct{}
 	engineQueues map[string]*engineQueue
@@ -184,8 +186,8 @@
 	arrived       time.Duration
 	deadline      time.Time
 	configVersion uint64
-	// excluded are the servers that must not be asked again; maybeRun counts the servers that may
-	// have run the request.
+	// excluded are the servers that the request is not sent to, because they failed or refused it;
+	// see resetExcluded. maybeRun counts the servers that may have run the request.
 	excluded []string
 	maybeRun int
 	// attempts counts the attempts at servers; arrivals counts those that may have reached a
@@ -321,7 +323,7 @@
 	if j.engine != nil && req.Generation != nil && req.Generation.PromptTokens > j.engine.MemoryTokens {
 		return nil, &Refusal{Reason: ReasonPromptTooLarge}
 	}
-	if retryAfter, refuse := r.mustRefuse(j); refuse {
+	if retryAfter, refuse := r.refusedByQuarantine(j); refuse {
 		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: retryAfter, Content: j.quarantineID().String()}
 	}
 	j.deadline = time.Now().Add(effectiveTimeout(req.Timeout, route.Timeout))
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -102,9 +102,9 @@
 		f := newFixture(t, Config{})
 		f.addServer("a", deskService)
 		f.upstream.send = func(context.Context, *Attempt) (*Response, error) {
-			a := newResponse(200, "forged")
-			a.Signed = false
-			return a, nil
+			response := newResponse(200, "forged")
+			response.Signed = false
+			return response, nil
 		}
 		c := f.serve(request("/once/x"))
 		require.True(t, c.refusal.MayHaveRun)
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -17,7 +17,7 @@
 	maxRestartSilence = 300 * time.Millisecond
 )
 
-// HandleLeaving processes that a server has begun to leave or has restarted. It does not block.
+// HandleLeaving handles a server that has begun to leave or has restarted. It does not block.
 func (r *Relay) HandleLeaving(s backends.Server, reason backends.LeaveReason) {
 	if reason == backends.LeaveRestarted {
 		r.HandleRestart(s)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -11,9 +11,9 @@
 	"kingcupplank.example/kingcup/backends"
 )
 
-// restartServer puts the entry of a server's incarnation in force.
-func (f *fixture) restartServer(id string, born int64) {
-	f.registry.Put(f.newIncarnation(id, born), f.now())
+// startIncarnation puts the entry of a new incarnation of a server in the registry.
+func (f *fixture) startIncarnation(id string, startTime int64) {
+	f.registry.Put(f.newIncarnation(id, startTime), f.now())
 }
 
 // A server crashes behind a network partition while it runs a stream, and restarts under its id.
@@ -23,7 +23,7 @@
 func TestStreamContinuesAfterServerRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
-		f.restartServer("a", 100)
+		f.startIncarnation("a", 100)
 		old := newFakeBody()
 		f.upstream.copyRun = func(ctx context.Context, _ backends.Server, _, _ string, _ bool) (string, error) {
 			if len(f.upstream.copies) > 1 {
@@ -52,7 +52,7 @@
 			f.registry.MarkLeaving(f.newIncarnation("a", 100))
 			time.Sleep(time.Second)
 			restartedAt = f.now()
-			f.restartServer("a", 200)
+			f.startIncarnation("a", 200)
 		}()
 		f.serve(request("/plan/x")).requireWhole(t, events(1, 6))
 		require.LessOrEqual(t, f.now()-restartedAt, restartCheckDelay+maxMigrationWait)
@@ -65,13 +65,13 @@
 func TestStreamOfEarlierIncarnationEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
-		f.restartServer("a", 100)
+		f.startIncarnation("a", 100)
 		old := newFakeBody()
 		f.upstream.send = func(context.Context, *Attempt) (*Response, error) { return old.response(), nil }
 		go func() {
 			old.write(events(1, 3))
 			time.Sleep(time.Second)
-			f.restartServer("a", 200)
+			f.startIncarnation("a", 200)
 		}()
 		c := f.serve(request("/plan/x"))
 		require.True(t, c.aborted)
@@ -85,7 +85,7 @@
 func TestStreamOfNewIncarnationIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, Config{})
-		f.restartServer("a", 100)
+		f.startIncarnation("a", 100)
 		body := newFakeBody()
 		f.upstream.send = func(context.Context, *Attempt) (*Response, error) { return body.response(), nil }
 		go func() {
@@ -93,7 +93,7 @@
 				body.write(event(n))
 				time.Sleep(40 * time.Millisecond)
 				if n == 5 {
-					f.restartServer("a", 200)
+					f.startIncarnation("a", 200)
 				}
 			}
 			body.writer.Close()
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -18,10 +18,11 @@
 // session is a stream that is being forwarded to its caller.
 type session struct {
 	*Relay
-	job         *job
-	out         Responder
-	seq         sequence
-	run         *run
+	job *job
+	out Responder
+	seq sequence
+	run *run
+	// started is set once the response to the caller has begun.
 	started     bool
 	lastEventAt time.Duration
 }
@@ -57,8 +58,8 @@
 
 // isStream reports whether the response is a stream as the server sent it.
 func (p *placedResponse) isStream() bool {
-	a := p.response
-	return a.Status == http.StatusOK && a.IsStream && a.Signed && !a.Recoded
+	resp := p.response
+	return resp.Status == http.StatusOK && resp.IsStream && resp.Signed && !resp.Recoded
 }
 
 func (s *session) forward(ctx context.Context, placed *placedResponse) string {
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -76,7 +76,8 @@
 
 // KVCopy identifies a copy of a run's KV cache at another server.
 type KVCopy struct {
-	// Source is the address of the server that the run was on.
+	// Source is the address of the server that assigned Handle and from which the copy can be
+	// dropped: the server that the run was on, or for a standby copy the server that keeps it.
 	Source string
 	Handle string
 }
@@ -160,7 +161,7 @@
 // and then End or Abort.
 type Responder interface {
 	Refuse(f Refusal)
-	Begin(a *Response) error
+	Begin(response *Response) error
 	// Write sends bytes to the caller without buffering.
 	Write(p []byte) error
 	End()
