--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -242,8 +242,8 @@
 
 // Three different requests crash the servers that run them. Each is sent twice a second to any
 // gateway, and twenty harmless requests run beside them on each server. Each crashing one is
-// quarantined after three crashes and those of its attempts in flight. The harmless ones are served
-// as often as if the same servers had crashed for other reasons.
+// quarantined after its third crash; its attempts in flight may crash further servers. The harmless
+// ones are served as often as if the same servers had crashed for other reasons.
 func TestCrashingRequestsAreDistinguishedFromHarmless(t *testing.T) {
 	for _, gateways := range []int{6, 24, 103} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -52,7 +52,7 @@
 	// lastCrash is the time of the latest crash under the request.
 	lastCrash time.Duration
 	// ambiguous is set if fewer than CrashThreshold of the counted crashes are the request's alone.
-	// A crash is shared if another request ran on the server that has more than one crash.
+	// A crash is shared if another request with more than one crash ran on the server too.
 	ambiguous bool
 }
 
