--- a/internal/app/options.go
+++ b/internal/app/options.go
@@ -1,5 +1,5 @@
-// Package app wires the programs: it turns settings into running parts with
-// dig, for the binaries, the all-in-one program and tests.
+// Package app builds entries and agents from their options by dependency injection with
+// dig. The binaries, the all-in-one program kingcup-dev and tests use it.
 package app
 
 import (
@@ -19,47 +19,50 @@
 	"kingcupplank.example/kingcup/vmlist"
 )
 
-// CommonOptions are the settings of every daemon.
+// CommonOptions are the options that entries and agents share.
 type CommonOptions struct {
-	Name               string
-	FailureDomain      string
+	Name          string
+	FailureDomain string
+	// InnerAddress is the listen address for the system's own processes, AdminAddress that
+	// for metrics, health and reports. An empty AdminAddress disables the latter.
 	InnerAddress       string
 	AdminAddress       string
 	TableAddress       string
 	ObjectAddress      string
 	ConfigPollInterval time.Duration
-	ConfigStaleAfter   time.Duration
-	DrainTimeout       time.Duration
-	LogLevel           string
-	LogFormat          string
+	// ConfigStaleAfter is how long a process stays ready without a confirmed configuration.
+	ConfigStaleAfter time.Duration
+	DrainTimeout     time.Duration
+	LogLevel         string
+	LogFormat        string
 }
 
-// AddCommonFlags defines the settings of every daemon; the returned function reads
-// them after parsing.
+// AddCommonFlags defines the flags of CommonOptions. The returned function returns the
+// options; call it after the flags are parsed.
 func AddCommonFlags(s *settings.Set) func() CommonOptions {
 	name := s.String("name", "", "name of this VM, unique in the system", true)
-	domain := s.String("failure-domain", "", "failure domain of this VM", true)
-	level := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
-	format := s.Choice("log-format", "json", []string{"json", "text"}, "form of log lines")
-	drain := s.Duration("drain-timeout", 30*time.Minute, 0, 24*time.Hour, "longest wait for work in progress after SIGTERM")
+	failureDomain := s.String("failure-domain", "", "failure domain of this VM", true)
+	logLevel := s.Choice("log-level", "info", []string{"debug", "info", "warning", "error"}, "least severe messages to log")
+	logFormat := s.Choice("log-format", "json", []string{"json", "text"}, "form of log lines")
+	drainTimeout := s.Duration("drain-timeout", 30*time.Minute, 0, 24*time.Hour, "longest wait for work in progress after SIGTERM")
 	s.Group("Addresses")
-	inner := s.Address("inner-address", "", "address for the system's own processes", true)
-	admin := s.Address("admin-address", "", "address for metrics, health and reports; empty for none", false)
+	innerAddress := s.Address("inner-address", "", "address for the system's own processes", true)
+	adminAddress := s.Address("admin-address", "", "address for metrics, health and reports; empty for none", false)
 	s.Group("Platform")
-	table := s.Address("table-address", "", "table service of the platform", true)
-	objects := s.Address("object-address", "", "object store of the platform", true)
-	poll := s.Duration("config-poll", 4*time.Second, 100*time.Millisecond, time.Minute, "mean time between looks at the configuration head")
-	stale := s.Duration("config-stale", 30*time.Second, time.Second, time.Hour, "longest time ready without a confirmed configuration")
+	tableAddress := s.Address("table-address", "", "table service of the platform", true)
+	objectAddress := s.Address("object-address", "", "object store of the platform", true)
+	pollInterval := s.Duration("config-poll", 4*time.Second, 100*time.Millisecond, time.Minute, "mean time between looks at the configuration head")
+	staleAfter := s.Duration("config-stale", 30*time.Second, time.Second, time.Hour, "longest time ready without a confirmed configuration")
 	return func() CommonOptions {
 		return CommonOptions{
-			Name: *name, FailureDomain: *domain, InnerAddress: *inner, AdminAddress: *admin,
-			TableAddress: *table, ObjectAddress: *objects, ConfigPollInterval: *poll, ConfigStaleAfter: *stale,
-			DrainTimeout: *drain, LogLevel: *level, LogFormat: *format,
+			Name: *name, FailureDomain: *failureDomain, InnerAddress: *innerAddress, AdminAddress: *adminAddress,
+			TableAddress: *tableAddress, ObjectAddress: *objectAddress, ConfigPollInterval: *pollInterval, ConfigStaleAfter: *staleAfter,
+			DrainTimeout: *drainTimeout, LogLevel: *logLevel, LogFormat: *logFormat,
 		}
 	}
 }
 
-// NewLog returns the logger that the settings ask for.
+// NewLog returns a logger to standard error with the level and format of c.
 func NewLog(c CommonOptions) logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
@@ -72,14 +75,15 @@
 	return log.WithField("vm", c.Name).WithField("failure_domain", c.FailureDomain)
 }
 
-// Platform is what the platform gives.
+// Platform holds the clients of the platform's services.
 type Platform struct {
 	Table   storage.Table
 	Objects storage.Objects
 	VMs     vmlist.Lister
 }
 
-// DialPlatform connects to the platform that the settings name.
+// DialPlatform returns clients for the table service and the object store at the addresses
+// in c.
 func DialPlatform(c CommonOptions) (Platform, error) {
 	conn, err := DialGRPC(c.TableAddress)
 	if err != nil {
@@ -89,10 +93,12 @@
 	return Platform{Table: table, Objects: objectclient.New(c.ObjectAddress), VMs: table}, nil
 }
 
-// MaxMessageBytes bounds a gRPC message in bytes, towards callers and engines.
+// MaxMessageBytes bounds the size of a gRPC message that is received from callers and
+// engines.
 const MaxMessageBytes = 8 << 20
 
-// DialGRPC connects to a gRPC server on the platform's private network.
+// DialGRPC returns a connection to a gRPC server on the platform's private network, without
+// TLS. The connection is established on first use.
 func DialGRPC(address string) (*grpc.ClientConn, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -100,7 +106,7 @@
 	return conn, errors.Wrapf(err, "connect to %s", address)
 }
 
-// Identity is the wire identity of the settings.
+// Identity returns the identity that the daemon announces to its peers.
 func (c CommonOptions) Identity() wire.Identity {
 	return wire.Identity{Name: c.Name, FailureDomain: c.FailureDomain}
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -14,14 +14,15 @@
 	kingcupv1 "kingcupplank.example/kingcup/proto/kingcup/v1"
 )
 
-// Handler answers one stream; the stream is closed when it returns. ctx ends
-// with the session.
+// Handler serves one stream, whose first frame is open. The stream is closed
+// when the handler returns. ctx ends with the session.
 type Handler func(ctx context.Context, open *innerv1.Open, st *Stream)
 
-// Server accepts sessions and hands their streams to a Handler.
+// Server accepts sessions and runs a Handler for each of their streams. It is
+// safe for concurrent use.
 type Server struct {
 	listener net.Listener
-	handle   Handler
+	handler  Handler
 
 	mu       sync.Mutex
 	closed   bool
@@ -29,12 +30,12 @@
 	wg       sync.WaitGroup
 }
 
-// NewServer serves l with h until Close.
+// NewServer returns a server that accepts connections from l. Serve runs it.
 func NewServer(l net.Listener, h Handler) *Server {
-	return &Server{listener: l, handle: h, sessions: make(map[*yamux.Session]struct{})}
+	return &Server{listener: l, handler: h, sessions: make(map[*yamux.Session]struct{})}
 }
 
-// Serve accepts until the listener closes.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
 	for {
 		conn, err := s.listener.Accept()
@@ -46,15 +47,16 @@
 			conn.Close()
 			continue
 		}
-		if !s.add(session) {
+		if !s.addSession(session) {
 			session.Close()
 			return
 		}
-		go s.session(session)
+		go s.serveSession(session)
 	}
 }
 
-func (s *Server) add(session *yamux.Session) bool {
+// addSession registers a session. It returns false if the server is closed.
+func (s *Server) addSession(session *yamux.Session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -65,7 +67,9 @@
 	return true
 }
 
-func (s *Server) session(session *yamux.Session) {
+// serveSession runs the handlers of a session's streams until the session ends,
+// and waits for them.
+func (s *Server) serveSession(session *yamux.Session) {
 	defer s.wg.Done()
 	ctx, cancel := context.WithCancel(context.Background())
 	var streams sync.WaitGroup
@@ -74,7 +78,7 @@
 		if err != nil {
 			break
 		}
-		streams.Go(func() { s.stream(ctx, newStream(conn)) })
+		streams.Go(func() { s.serveStream(ctx, newStream(conn)) })
 	}
 	cancel()
 	session.Close()
@@ -84,10 +88,12 @@
 	s.mu.Unlock()
 }
 
-func (s *Server) stream(ctx context.Context, st *Stream) {
+// serveStream reads and checks the first frame of a stream and runs the handler.
+func (s *Server) serveStream(ctx context.Context, st *Stream) {
 	defer st.Close()
-	// A peer that opens streams and sends nothing would hold a goroutine each.
-	st.SetReadDeadline(time.Now().Add(openTimeout))
+	// Without this deadline, a peer that opens streams and sends nothing would
+	// block one goroutine per stream.
+	st.SetReadDeadline(time.Now().Add(firstFrameTimeout))
 	open := &innerv1.Open{}
 	if err := st.Recv(open); err != nil {
 		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "first frame: %v", err))
@@ -98,10 +104,11 @@
 		st.SendFailure(failure.NotRun(kingcupv1.Reason_REASON_PROTOCOL, 0, "%v: got %d, want %d", ErrProtocolVersion, open.GetProtocol(), ProtocolVersion))
 		return
 	}
-	s.handle(ctx, open, st)
+	s.handler(ctx, open, st)
 }
 
-// Close stops accepting, ends all sessions and waits for their handlers.
+// Close stops accepting connections, closes all sessions and waits for their
+// handlers.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
