--- a/internal/relay/pacedqueue.go
+++ b/internal/relay/pacedqueue.go
@@ -9,8 +9,8 @@
 	"kingcupplank.example/kingcup/flow"
 )
 
-// pacedQueue is the queue of plain requests for a service whose servers are all rate-limited or
-// backing off. The most urgent request goes first. A request that cannot get its turn in time is
+// pacedQueue is the queue of plain requests for a service whose servers all have a bounded rate,
+// because they are rate-limited or cold, or are backing off. The most urgent request goes first. A request that cannot get its turn in time is
 // refused at once: waiting would cost its caller the time to go elsewhere or to retry.
 type pacedQueue struct {
 	mu    sync.Mutex
@@ -30,13 +30,13 @@
 
 // canAskServers reports whether a request, queued or not, may ask for a server now. A request
 // that may have run does not queue, as it would block the others for the few servers that it has
-// left. The queue is not used once a server without rate limit is available.
+// left. The queue is not used once a server without a bounded rate is available.
 func (r *Relay) canAskServers(j *job, pq *pacedQueue, w *flow.Waiter) bool {
 	return j.maybeRun > 0 || pq.isHead(w, r.Now()) || r.availability(j).HasUnlimited
 }
 
-// joinPacedQueue queues a request if all its servers are rate-limited or backing off. It returns
-// a refusal if the request's turn would come too late, nil otherwise.
+// joinPacedQueue queues a request if all its servers have a bounded rate or are backing off. It
+// returns a refusal if the request's turn would come too late, nil otherwise.
 func (r *Relay) joinPacedQueue(j *job, pq *pacedQueue, w *flow.Waiter, servers backends.Availability) *Refusal {
 	if !servers.MustWait() {
 		return nil
@@ -98,12 +98,12 @@
 	return &flow.Waiter{Priority: j.priority, PromptTokens: 1, Arrived: j.arrived, OnTimeDeadline: dispatchDeadline, DispatchDeadline: dispatchDeadline}
 }
 
-// maxRateLimitRetryAfter bounds the retry time because of rate limits: the rate limit may end,
-// and the retry may reach another gateway that has its turn sooner.
+// maxRateLimitRetryAfter bounds the retry time because of bounded rates: a rate limit may end, and
+// the retry may reach another gateway that has its turn sooner.
 const maxRateLimitRetryAfter = 10 * time.Second
 
-// refuseLongWait refuses a request that would have to wait too long for servers that are
-// rate-limited or backing off.
+// refuseLongWait refuses a request that would have to wait too long for servers that have a bounded
+// rate or are backing off.
 func (r *Relay) refuseLongWait(j *job, servers backends.Availability, wait time.Duration) *Refusal {
 	f := r.refuse(j, ReasonNoCapacity)
 	if servers.HasBoundedRate {
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -16,7 +16,7 @@
 	// fullRetryInterval is the wait before servers that refused are asked again. A batch of a few
 	// dozen generations of seconds each frees a slot every 100 to 200 ms.
 	fullRetryInterval = 150 * time.Millisecond
-	// pacedRetryInterval is the wait before rate-limited and cold servers are asked again: they
+	// pacedRetryInterval is the wait before servers with a bounded rate are asked again: they
 	// take a request every few ms, and the gateways take turns.
 	pacedRetryInterval = 10 * time.Millisecond
 	// maxWaitShare is the part of a route's target latency that a request may wait for a server
@@ -193,13 +193,12 @@
 	return r.refuse(j, ReasonNoCapacity)
 }
 
-// availability returns at what rate servers accept requests like this one.
+// availability returns when, and at what rate, servers accept requests like this one.
 func (r *Relay) availability(j *job) backends.Availability {
 	return r.Registry.Availability(j.service, j.regions, r.Peers.SharedClock(), r.Now())
 }
 
-// maxPacedWait is how long after its arrival a request may wait for rate-limited or cold servers:
-// half of its total time, as the other half may be needed to run it.
+// maxPacedWait is how long after its arrival a request may wait in a pacedQueue: half of its total time, as the other half may be needed to run it.
 func (r *Relay) maxPacedWait(j *job) time.Duration {
 	return (r.Now() - j.arrived + j.timeLeft()) / 2
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -59,8 +59,9 @@
 }
 
 // A popular request, which many callers make at the same time, runs on each server that crashes under
-// either of two crashing requests, and is quarantined first. Crashes must count against all requests that ran on the server, or the crashing
-// requests would never be quarantined. The decision on the popular request is ambiguous, so it is tried.
+// either of two crashing requests, and is quarantined first. Crashes must count against all requests
+// that ran on the server, or the crashing requests would never be quarantined. The decision on the
+// popular request is ambiguous, so it is tried.
 func TestCrashCountsDespiteQuarantinedRequest(t *testing.T) {
 	tracker, popular := NewTracker(Default()), request("popular")
 	crashing := []ID{request("x"), request("y")}
