--- a/internal/relay/pacedqueue.go
+++ b/internal/relay/pacedqueue.go
@@ -10,8 +10,9 @@
 )
 
 // pacedQueue is the queue of plain requests for a service whose servers all have a bounded rate,
-// because they are rate-limited or cold, or are backing off. The most urgent request goes first. A request that cannot get its turn in time is
-// refused at once: waiting would cost its caller the time to go elsewhere or to retry.
+// because they are rate-limited or cold, or are backing off. The most urgent request goes first. A
+// request that cannot get its turn in time is refused at once: waiting would cost its caller the
+// time to go elsewhere or to retry.
 type pacedQueue struct {
 	mu    sync.Mutex
 	queue *flow.Queue
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -110,8 +110,8 @@
 
 // discountAttempt undoes the counting of an attempt that never reached a server, so that the next
 // one takes nothing from the retry budget. The budget protects servers that are up; callers must not
-// be refused because of servers that are down. Peers are notified of a server that is down, as each would find out only by attempts of
-// its own.
+// be refused because of servers that are down. Peers are notified of a server that is down, as each
+// would find out only by attempts of its own.
 func (r *Relay) discountAttempt(j *job, reason NotRunReason) {
 	if reason == NotRunUnreachable || reason == NotRunDown {
 		j.arrivals--
@@ -198,7 +198,8 @@
 	return r.Registry.Availability(j.service, j.regions, r.Peers.SharedClock(), r.Now())
 }
 
-// maxPacedWait is how long after its arrival a request may wait in a pacedQueue: half of its total time, as the other half may be needed to run it.
+// maxPacedWait is how long after its arrival a request may wait in a pacedQueue: half of its total
+// time, as the other half may be needed to run it.
 func (r *Relay) maxPacedWait(j *job) time.Duration {
 	return (r.Now() - j.arrived + j.timeLeft()) / 2
 }
