--- a/internal/relay/enginequeue.go
+++ b/internal/relay/enginequeue.go
@@ -30,8 +30,7 @@
 	eventTimeoutShare = 0.9
 	// minRetryShare and maxRetryShare bound the random retry time of callers refused because of
 	// saturation, as parts of the time that callers are willing to wait (see callerWaitDivisor).
-	// Bursts last seconds, and
-	// callers that all retried at once would cause the next one.
+	// Bursts last seconds, and callers that all retried at once would cause the next one.
 	minRetryShare, maxRetryShare = 0.4, 1.0
 )
 
@@ -124,8 +123,8 @@
 }
 
 // reportQueue adds change to the number of unplaced requests and reports the queue to the peers. It
-// counts only requests that have found no server
-// with capacity: a request that is placed at once does not compete.
+// counts only requests that have found no server with capacity: a request that is placed at once does
+// not compete.
 func (r *Relay) reportQueue(service string, eq *engineQueue, change int) {
 	eq.mu.Lock()
 	defer eq.mu.Unlock()
--- a/internal/relay/speed.go
+++ b/internal/relay/speed.go
@@ -53,8 +53,8 @@
 
 // overdueAfter returns the time after which an engine should have begun to respond. Engines are
 // not asked what runs on them, so one may be fuller than the gateways know. After a power failure of
-// all gateways, their runs continued for up to 20 s, and new requests to the same engines waited 3 to 7 s for memory, one after the other,
-// while other engines had free memory.
+// all gateways, their runs continued for up to 20 s, and new requests to the same engines waited 3 to
+// 7 s for memory, one after the other, while other engines had free memory.
 func (r *Relay) overdueAfter(j *job, reservation *backends.Reservation) time.Duration {
 	expected := time.Duration(float64(reservation.PromptTokens+j.promptTokens()) / r.currentPromptSpeed() * float64(time.Second))
 	return overdueFactor*expected + overdueSlack
